--- a/sequoia-core/src/main/java/org/sequoiahub/core/holding/LoadTime.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/holding/LoadTime.java
@@ -23,7 +23,7 @@
    */
   private static final double DECAY_MILLIS = 1;
 
-  private final double least;
+  private final double minMillis;
   private double millis;
 
   /**
@@ -33,7 +33,7 @@
    */
   public LoadTime(long leastMillis) {
     checkArgument(leastMillis > 0, "leastMillis must be above 0, was %s", leastMillis);
-    this.least = leastMillis;
+    this.minMillis = leastMillis;
     this.millis = leastMillis;
   }
 
@@ -43,12 +43,12 @@
   }
 
   /** Records that a load was ordered. */
-  public void ordered() {
-    millis = Math.max(least, millis - DECAY_MILLIS);
+  public void recordOrdered() {
+    millis = Math.max(minMillis, millis - DECAY_MILLIS);
   }
 
   /** Records that an adapter was not there when it was expected to be. */
-  public void wasTooShort() {
+  public void recordLate() {
     millis = Math.min(MAX_MILLIS, millis + STEP_MILLIS);
   }
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/holding/ReportReply.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/holding/ReportReply.java
@@ -4,12 +4,12 @@
 public sealed interface ReportReply {
 
   /** The runner's report. */
-  record Given(RunnerReport report) implements ReportReply {}
+  record Received(RunnerReport report) implements ReportReply {}
 
   /**
    * No report that may be believed.
    *
-   * @param why what went wrong, for the log
+   * @param reason what went wrong, for the log
    */
-  record Missing(String why) implements ReportReply {}
+  record Missing(String reason) implements ReportReply {}
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/holding/ResidencySettings.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/holding/ResidencySettings.java
@@ -5,27 +5,27 @@
  *
  * @param loadMillis an adapter from the weight store
  * @param reloadMillis an adapter that the runner held a short while ago
- * @param remembered how many adapters a runner can have dropped and still reload fast
- * @param freeTransit adapters on their way over all runners before each takes longer
- * @param transitPerRunner adapters on their way to one runner at most
- * @param idleMillis how long an adapter must have been unused before it makes way
+ * @param warmCapacity how many adapters a runner can have dropped and still reload fast
+ * @param minTransitLimit adapters on their way over all runners before each takes longer
+ * @param maxTransitPerRunner adapters on their way to one runner at most
+ * @param minIdleMillis how long an adapter must have been unused before it makes way
  * @param modelRetryMillis how long after an order for a model the next one is given
- * @param lateMillis how much later an adapter is expected that was not there when it should be
- * @param reportAgeMillis how old a report may be; one read sooner after an order may not show it
+ * @param delayMillis how much later an adapter is expected that was not there when it should be
+ * @param maxReportAgeMillis how old a report may be; one read sooner after an order may not show it
  */
 public record ResidencySettings(
     long loadMillis,
     long reloadMillis,
-    int remembered,
-    int freeTransit,
-    int transitPerRunner,
-    long idleMillis,
+    int warmCapacity,
+    int minTransitLimit,
+    int maxTransitPerRunner,
+    long minIdleMillis,
     long modelRetryMillis,
-    long lateMillis,
-    long reportAgeMillis) {
+    long delayMillis,
+    long maxReportAgeMillis) {
 
   /** Runners for each adapter that may be on its way at full speed; see {@link #forFleet}. */
-  private static final double TRANSIT_PER_RUNNER = 0.6;
+  private static final double FULL_SPEED_LOADS_PER_RUNNER = 0.6;
 
   /**
    * The figures that the users' sheets give: 250 ms a load, a tenth of it for one held recently, 8
@@ -41,7 +41,7 @@
    * 100 for the host's word, 150 for the digest, and 150 more if one is lost. An adapter that is
    * dropped sooner may have a request on its way, which is refused.
    */
-  private static final long LARGE_IDLE_MILLIS = 400;
+  private static final long DELEGATED_MIN_IDLE_MILLIS = 400;
 
   /**
    * Returns the settings of a fleet of {@code runners}: the store of a larger one brings more at
@@ -51,16 +51,16 @@
    * @param large whether hosts tell each other what they have in flight through delegates
    */
   public static ResidencySettings forFleet(int runners, boolean large) {
-    int transit = Math.max(DEFAULT.freeTransit, (int) (runners * TRANSIT_PER_RUNNER));
+    int transit = Math.max(DEFAULT.minTransitLimit, (int) (runners * FULL_SPEED_LOADS_PER_RUNNER));
     return new ResidencySettings(
         DEFAULT.loadMillis,
         DEFAULT.reloadMillis,
-        DEFAULT.remembered,
+        DEFAULT.warmCapacity,
         transit,
-        DEFAULT.transitPerRunner,
-        large ? LARGE_IDLE_MILLIS : DEFAULT.idleMillis,
+        DEFAULT.maxTransitPerRunner,
+        large ? DELEGATED_MIN_IDLE_MILLIS : DEFAULT.minIdleMillis,
         DEFAULT.modelRetryMillis,
-        DEFAULT.lateMillis,
-        DEFAULT.reportAgeMillis);
+        DEFAULT.delayMillis,
+        DEFAULT.maxReportAgeMillis);
   }
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/holding/HeldItem.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/holding/ResidentAdapter.java
@@ -7,4 +7,4 @@
  * @param version its version; 0 if the newest was asked for
  * @param readyMillis when it can serve, on the clock of whoever holds this record
  */
-public record HeldItem(String target, int version, long readyMillis) {}
+public record ResidentAdapter(String target, int version, long readyMillis) {}
--- a/sequoia-core/src/main/java/org/sequoiahub/core/holding/RunnerOrders.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/holding/RunnerOrders.java
@@ -14,7 +14,7 @@
    * @param token grows with every change of the host that orders this runner
    * @param timeoutMillis without a reply for this long the outcome is unknown
    */
-  void order(
+  void sendOrder(
       RunnerEntry runner,
       Order order,
       long expectedSequence,
@@ -24,5 +24,5 @@
       Consumer<OrderReply> listener);
 
   /** Reads a runner's report. */
-  void report(RunnerEntry runner, long timeoutMillis, Consumer<ReportReply> listener);
+  void fetchReport(RunnerEntry runner, long timeoutMillis, Consumer<ReportReply> listener);
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/holding/RunnerResidency.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/holding/RunnerResidency.java
@@ -29,37 +29,37 @@
 public final class RunnerResidency {
 
   /** Use halves in this time (ms): popularity moves within seconds. */
-  private static final double HALF_LIFE_MILLIS = 4_000;
+  private static final double USE_HALF_LIFE_MILLIS = 4_000;
 
   /** Weight of the newest wait for a load; about the last five decide, a fifth of a second's. */
-  private static final double NEWEST_WAIT = 0.2;
+  private static final double NEWEST_WAIT_WEIGHT = 0.2;
 
   /** By how much less a demand counts for each rank below the most urgent; a mild preference. */
-  private static final double RANK_WEIGHT = 0.1;
+  private static final double PRIORITY_DISCOUNT = 0.1;
 
   private final EngineSpec engine;
   private final ResidencySettings settings;
   private final LoadEstimates estimates;
-  private final Map<String, Item> items = new LinkedHashMap<>();
+  private final Map<String, AdapterEntry> adapters = new LinkedHashMap<>();
   private final Set<String> models = new HashSet<>();
   private final WarmAdapters warm;
 
   /** Since when requests have waited here for each adapter that is not there. */
-  private final Map<String, Long> demandedMillis = new HashMap<>();
+  private final Map<String, Long> demandedSinceMillis = new HashMap<>();
 
   private long sequence = -1;
-  private @Nullable Order outstanding;
-  private long uncertainMillis = Long.MIN_VALUE / 2;
+  private @Nullable Order pendingOrder;
+  private long uncertainSinceMillis = Long.MIN_VALUE / 2;
   private boolean uncertain = true;
-  private long modelOrderMillis = Long.MIN_VALUE / 2;
+  private long lastModelOrderMillis = Long.MIN_VALUE / 2;
   private long nextOrderMillis = Long.MIN_VALUE / 2;
-  private int refusals;
+  private int consecutiveRejections;
 
   /** How long adapters lately waited until their load was ordered. */
-  private double queuedMillis;
+  private double averageQueueMillis;
 
   /**
-   * Creates a residency of which nothing is known until {@link #adopt}.
+   * Creates a residency of which nothing is known until {@link #applyReport}.
    *
    * @param estimates what all residencies of a holder have learnt from their loads
    */
@@ -67,7 +67,7 @@
     this.engine = requireNonNull(engine, "engine must not be null");
     this.settings = requireNonNull(settings, "settings must not be null");
     this.estimates = requireNonNull(estimates, "estimates must not be null");
-    this.warm = new WarmAdapters(estimates.warm());
+    this.warm = new WarmAdapters(estimates.warmCapacity());
   }
 
   private enum State {
@@ -76,19 +76,19 @@
     LEAVING
   }
 
-  private static final class Item {
+  private static final class AdapterEntry {
     final String target;
     final int version;
     State state;
 
     /** Whether the runner has not confirmed the order to drop it. */
-    boolean unconfirmed;
+    boolean unloadUnconfirmed;
 
     /** Whether the runner refused a request for it although it should be there. */
-    boolean doubted;
+    boolean suspect;
 
     /** Adapters on their way from the store when this one was ordered, itself included. */
-    int transit;
+    int transitAtOrder;
 
     /** Drops since this one was dropped, if the runner was expected to have kept it; else -1. */
     int warmDepth = -1;
@@ -97,81 +97,81 @@
     boolean superseded;
 
     /** Whether it is still open whether it came in time. */
-    boolean unproven;
+    boolean timingPending;
 
     long orderedMillis;
     long readyMillis;
-    long usedMillis;
+    long lastUsedMillis;
     double recentUse;
     long recentUseMillis;
 
-    Item(String target, int version, State state, long readyMillis, long nowMillis) {
+    AdapterEntry(String target, int version, State state, long readyMillis, long nowMillis) {
       this.target = target;
       this.version = version;
       this.state = state;
       this.readyMillis = readyMillis;
-      this.usedMillis = nowMillis;
+      this.lastUsedMillis = nowMillis;
       this.recentUseMillis = nowMillis;
     }
 
-    void used(int requests, long nowMillis) {
-      double decay = Math.pow(0.5, (nowMillis - recentUseMillis) / HALF_LIFE_MILLIS);
-      recentUse = recentUse * decay + requests * (nowMillis - recentUseMillis) / HALF_LIFE_MILLIS;
+    void recordUse(int requests, long nowMillis) {
+      double decay = Math.pow(0.5, (nowMillis - recentUseMillis) / USE_HALF_LIFE_MILLIS);
+      recentUse = recentUse * decay + requests * (nowMillis - recentUseMillis) / USE_HALF_LIFE_MILLIS;
       recentUseMillis = nowMillis;
       if (requests > 0) {
-        usedMillis = nowMillis;
+        lastUsedMillis = nowMillis;
       }
     }
   }
 
   /** Returns whether a report is needed before further orders, and would be new enough now. */
-  public boolean reportDue(long nowMillis) {
+  public boolean isReportDue(long nowMillis) {
     return uncertain
-        && outstanding == null
-        && nowMillis - uncertainMillis >= settings.reportAgeMillis();
+        && pendingOrder == null
+        && nowMillis - uncertainSinceMillis >= settings.maxReportAgeMillis();
   }
 
-  /** Takes in a report that was asked for when {@link #reportDue} held. */
-  public void adopt(RunnerReport report, long nowMillis) {
+  /** Takes in a report that was asked for when {@link #isReportDue} held. */
+  public void applyReport(RunnerReport report, long nowMillis) {
     final boolean noneAccepted = report.sequence() <= sequence;
     sequence = report.sequence();
     models.clear();
     models.addAll(report.models());
-    Map<String, Item> former = new LinkedHashMap<>(items);
-    items.clear();
+    Map<String, AdapterEntry> former = new LinkedHashMap<>(adapters);
+    adapters.clear();
     report
         .adapters()
-        .forEach((target, version) -> adopt(former, target, version, State.READY, nowMillis));
+        .forEach((target, version) -> applyReport(former, target, version, State.READY, nowMillis));
     report
-        .coming()
-        .forEach((target, version) -> adopt(former, target, version, State.COMING, nowMillis));
+        .loading()
+        .forEach((target, version) -> applyReport(former, target, version, State.COMING, nowMillis));
     boolean leaving = false;
-    for (Item item : former.values()) {
-      Item still = items.get(item.target);
+    for (AdapterEntry item : former.values()) {
+      AdapterEntry still = adapters.get(item.target);
       if (still == null) {
         warm.add(item.target);
-      } else if (item.state == State.LEAVING && !(item.unconfirmed && noneAccepted)) {
+      } else if (item.state == State.LEAVING && !(item.unloadUnconfirmed && noneAccepted)) {
         // Its order was accepted, or may have been: it waits for the last request that uses it.
         still.state = State.LEAVING;
         leaving = true;
       }
     }
     // While a drop waits for its requests, or a model loads, only reports tell when it is done.
-    uncertain = leaving || report.busy();
-    uncertainMillis = nowMillis;
+    uncertain = leaving || report.modelOrderPending();
+    uncertainSinceMillis = nowMillis;
   }
 
-  private void adopt(
-      Map<String, Item> former, String target, int version, State state, long nowMillis) {
-    Item before = former.get(target);
-    long ready = state == State.COMING ? nowMillis + estimates.time().millis() : nowMillis;
-    Item item = new Item(target, version, state, ready, nowMillis);
+  private void applyReport(
+      Map<String, AdapterEntry> former, String target, int version, State state, long nowMillis) {
+    AdapterEntry before = former.get(target);
+    long ready = state == State.COMING ? nowMillis + estimates.loadTime().millis() : nowMillis;
+    AdapterEntry item = new AdapterEntry(target, version, state, ready, nowMillis);
     if (before != null) {
-      item.usedMillis = before.usedMillis;
+      item.lastUsedMillis = before.lastUsedMillis;
       item.recentUse = before.recentUse;
       item.recentUseMillis = before.recentUseMillis;
     }
-    items.put(target, item);
+    adapters.put(target, item);
   }
 
   /**
@@ -182,23 +182,23 @@
    * @param newest the newest published version of an adapter, 0 if none was published
    * @param transitElsewhere adapters on their way to other runners
    */
-  public Optional<Order> next(
+  public Optional<Order> nextOrder(
       Collection<Demand> demands,
       ToIntFunction<String> uses,
       ToIntFunction<String> newest,
       int transitElsewhere,
       long nowMillis) {
-    settle(uses, nowMillis);
-    if (outstanding != null || uncertain || nowMillis < nextOrderMillis) {
+    refreshEntries(uses, nowMillis);
+    if (pendingOrder != null || uncertain || nowMillis < nextOrderMillis) {
       return Optional.empty();
     }
-    Optional<Order> outdated = outdated(newest);
+    Optional<Order> outdated = unloadOutdated(newest);
     if (outdated.isPresent()) {
       return outdated;
     }
-    List<Demand> ordered = inTurn(demands, nowMillis);
+    List<Demand> ordered = prioritize(demands, nowMillis);
     for (Demand demand : ordered) {
-      Optional<Order> order = serve(demand, ordered, newest, transitElsewhere, nowMillis);
+      Optional<Order> order = orderFor(demand, ordered, newest, transitElsewhere, nowMillis);
       if (order.isPresent()) {
         return order;
       }
@@ -222,49 +222,49 @@
    * <p>By number alone a single request for a rare adapter waited for seconds, as there was always
    * another adapter that two wanted; by age alone one load for many came after many for one.
    */
-  private List<Demand> inTurn(Collection<Demand> demands, long nowMillis) {
+  private List<Demand> prioritize(Collection<Demand> demands, long nowMillis) {
     Map<String, Demand> joined = new HashMap<>();
     for (Demand demand : demands) {
       joined.merge(demand.target(), demand, Demand::plus);
     }
-    demandedMillis.keySet().retainAll(joined.keySet());
-    joined.keySet().forEach(target -> demandedMillis.putIfAbsent(target, nowMillis));
+    demandedSinceMillis.keySet().retainAll(joined.keySet());
+    joined.keySet().forEach(target -> demandedSinceMillis.putIfAbsent(target, nowMillis));
     List<Demand> ordered = new ArrayList<>(joined.values());
     ordered.sort(
         Comparator.comparing((Demand demand) -> demand.inTime() == 0)
-            .thenComparingDouble(demand -> -waitedTogether(demand, nowMillis))
+            .thenComparingDouble(demand -> -weightedWait(demand, nowMillis))
             .thenComparing(Demand::target));
     return ordered;
   }
 
-  private double waitedTogether(Demand demand, long nowMillis) {
-    long since = demandedMillis.getOrDefault(demand.target(), nowMillis);
-    return demand.waiting() * (nowMillis - since + 1) / (1 + demand.priority() * RANK_WEIGHT);
+  private double weightedWait(Demand demand, long nowMillis) {
+    long since = demandedSinceMillis.getOrDefault(demand.target(), nowMillis);
+    return demand.waiting() * (nowMillis - since + 1) / (1 + demand.priority() * PRIORITY_DISCOUNT);
   }
 
-  private void settle(ToIntFunction<String> uses, long nowMillis) {
-    for (Item item : items.values()) {
-      item.used(uses.applyAsInt(item.target), nowMillis);
+  private void refreshEntries(ToIntFunction<String> uses, long nowMillis) {
+    for (AdapterEntry item : adapters.values()) {
+      item.recordUse(uses.applyAsInt(item.target), nowMillis);
       if (item.state == State.COMING && nowMillis >= item.readyMillis) {
         item.state = State.READY;
       }
-      if (item.unproven && nowMillis - item.readyMillis >= settings.lateMillis()) {
-        item.unproven = false;
-        cameInTime(item);
+      if (item.timingPending && nowMillis - item.readyMillis >= settings.delayMillis()) {
+        item.timingPending = false;
+        recordOnTime(item);
       }
     }
   }
 
-  private void cameInTime(Item item) {
+  private void recordOnTime(AdapterEntry item) {
     if (item.warmDepth >= 0) {
-      estimates.warm().cameQuickly(item.warmDepth);
+      estimates.warmCapacity().recordFastReload(item.warmDepth);
     } else {
-      estimates.limit().inTime(item.transit);
+      estimates.transitLimit().recordOnTime(item.transitAtOrder);
     }
   }
 
-  private Optional<Order> outdated(ToIntFunction<String> newest) {
-    for (Item item : items.values()) {
+  private Optional<Order> unloadOutdated(ToIntFunction<String> newest) {
+    for (AdapterEntry item : adapters.values()) {
       if (item.state == State.READY && item.version < newest.applyAsInt(item.target)) {
         item.superseded = true;
         return Optional.of(order(Operation.UNLOAD, item.target, 0));
@@ -273,7 +273,7 @@
     return Optional.empty();
   }
 
-  private Optional<Order> serve(
+  private Optional<Order> orderFor(
       Demand demand,
       List<Demand> demands,
       ToIntFunction<String> newest,
@@ -282,17 +282,17 @@
     if (!models.contains(demand.model())) {
       return loadModel(demand.model(), nowMillis);
     }
-    if (demand.adapter().isEmpty() || items.containsKey(demand.target())) {
+    if (demand.adapter().isEmpty() || adapters.containsKey(demand.target())) {
       return Optional.empty();
     }
-    if (!mayBring(demand.target(), transitElsewhere)) {
+    if (!mayLoad(demand.target(), transitElsewhere)) {
       return Optional.empty();
     }
     if (hasRoom(demand.model())) {
       return Optional.of(
           order(Operation.LOAD, demand.target(), newest.applyAsInt(demand.target())));
     }
-    return leastWorth(demands, nowMillis).map(item -> order(Operation.UNLOAD, item.target, 0));
+    return evictionCandidate(demands, nowMillis).map(item -> order(Operation.UNLOAD, item.target, 0));
   }
 
   /**
@@ -300,22 +300,22 @@
    * second, and each only takes longer; so every runner may bring one, and more only below that
    * number. One that the runner kept does not come from the store.
    */
-  private boolean mayBring(String target, int transitElsewhere) {
-    int coming = coming();
+  private boolean mayLoad(String target, int transitElsewhere) {
+    int coming = inTransit();
     return coming == 0
-        || (coming < settings.transitPerRunner()
-            && (coming + transitElsewhere < estimates.limit().limit() || warm.contains(target)));
+        || (coming < settings.maxTransitPerRunner()
+            && (coming + transitElsewhere < estimates.transitLimit().limit() || warm.contains(target)));
   }
 
   private boolean hasRoom(String model) {
-    if (items.size() >= engine.adapterPlaces()) {
+    if (adapters.size() >= engine.adapterPlaces()) {
       return false;
     }
     double used = 0;
     for (String held : models) {
       used += spec(held).map(ModelSpec::weightsMb).orElse(0.0);
     }
-    for (Item item : items.values()) {
+    for (AdapterEntry item : adapters.values()) {
       used += spec(Target.model(item.target)).map(ModelSpec::adapterMb).orElse(0.0);
     }
     return used + spec(model).map(ModelSpec::adapterMb).orElse(0.0) <= engine.weightsMb();
@@ -323,18 +323,18 @@
 
   /**
    * Returns the adapter to drop for another. One in use now counts as used at this moment (see
-   * {@link #settle}); one that was used a moment ago may have a request on its way from a host that
+   * {@link #refreshEntries}); one that was used a moment ago may have a request on its way from a host that
    * has not told of it yet.
    */
-  private Optional<Item> leastWorth(List<Demand> demands, long nowMillis) {
+  private Optional<AdapterEntry> evictionCandidate(List<Demand> demands, long nowMillis) {
     Set<String> demanded = new HashSet<>();
     demands.forEach(demand -> demanded.add(demand.target()));
-    return items.values().stream()
+    return adapters.values().stream()
         .filter(item -> item.state == State.READY && !demanded.contains(item.target))
-        .filter(item -> nowMillis - item.usedMillis >= settings.idleMillis())
+        .filter(item -> nowMillis - item.lastUsedMillis >= settings.minIdleMillis())
         .min(
-            Comparator.comparingDouble((Item item) -> item.recentUse)
-                .thenComparingLong(item -> item.usedMillis));
+            Comparator.comparingDouble((AdapterEntry item) -> item.recentUse)
+                .thenComparingLong(item -> item.lastUsedMillis));
   }
 
   /**
@@ -347,7 +347,7 @@
       used += spec(held).map(ModelSpec::weightsMb).orElse(0.0);
     }
     Optional<ModelSpec> wanted = spec(model);
-    boolean recent = nowMillis - modelOrderMillis < settings.modelRetryMillis();
+    boolean recent = nowMillis - lastModelOrderMillis < settings.modelRetryMillis();
     if (models.contains(model) || wanted.isEmpty() || recent) {
       return Optional.empty();
     }
@@ -358,41 +358,41 @@
   }
 
   /** Records that an order is being sent. */
-  public void sent(Order order, long nowMillis) {
-    outstanding = order;
+  public void orderSent(Order order, long nowMillis) {
+    pendingOrder = order;
     if (order.adapter().isEmpty()) {
-      modelOrderMillis = nowMillis;
+      lastModelOrderMillis = nowMillis;
     } else if (order.operation() == Operation.LOAD) {
-      long ready = nowMillis + estimates.time().millis();
-      Long demanded = demandedMillis.get(order.target());
+      long ready = nowMillis + estimates.loadTime().millis();
+      Long demanded = demandedSinceMillis.get(order.target());
       if (demanded != null) {
-        queuedMillis += NEWEST_WAIT * (nowMillis - demanded - queuedMillis);
+        averageQueueMillis += NEWEST_WAIT_WEIGHT * (nowMillis - demanded - averageQueueMillis);
       }
-      items.put(
+      adapters.put(
           order.target(),
-          new Item(order.target(), Math.max(1, order.version()), State.COMING, ready, nowMillis));
+          new AdapterEntry(order.target(), Math.max(1, order.version()), State.COMING, ready, nowMillis));
     } else {
-      Item item = items.get(order.target());
+      AdapterEntry item = adapters.get(order.target());
       if (item != null) {
         item.state = State.LEAVING;
-        item.unconfirmed = true;
+        item.unloadUnconfirmed = true;
       }
     }
   }
 
   /** Records the reply to the order that was sent last. */
-  public void replied(Order order, OrderReply reply, int transitElsewhere, long nowMillis) {
-    if (!order.equals(outstanding)) {
+  public void replyReceived(Order order, OrderReply reply, int transitElsewhere, long nowMillis) {
+    if (!order.equals(pendingOrder)) {
       return;
     }
-    outstanding = null;
+    pendingOrder = null;
     switch (reply) {
       case ACCEPTED, DONE -> {
-        refusals = 0;
-        accepted(order, reply, transitElsewhere, nowMillis);
+        consecutiveRejections = 0;
+        applyAccepted(order, reply, transitElsewhere, nowMillis);
       }
-      case UNKNOWN -> doubt(nowMillis);
-      default -> refused(order, nowMillis);
+      case UNKNOWN -> markUncertain(nowMillis);
+      default -> revertOrder(order, nowMillis);
     }
   }
 
@@ -400,61 +400,61 @@
    * Takes back an order that the runner did not accept. It may only have too many adapters on their
    * way; refused twice in a row, this account of it is wrong, and a report must mend it.
    */
-  private void refused(Order order, long nowMillis) {
-    Item item = items.get(order.target());
+  private void revertOrder(Order order, long nowMillis) {
+    AdapterEntry item = adapters.get(order.target());
     if (item != null && item.state == State.LEAVING) {
       item.state = State.READY;
     } else if (item != null && order.operation() == Operation.LOAD) {
-      items.remove(order.target());
+      adapters.remove(order.target());
     }
-    if (refusals++ > 0) {
-      doubt(nowMillis);
+    if (consecutiveRejections++ > 0) {
+      markUncertain(nowMillis);
     } else {
-      nextOrderMillis = nowMillis + settings.lateMillis();
+      nextOrderMillis = nowMillis + settings.delayMillis();
     }
   }
 
-  private void doubt(long nowMillis) {
+  private void markUncertain(long nowMillis) {
     uncertain = true;
-    uncertainMillis = nowMillis;
+    uncertainSinceMillis = nowMillis;
   }
 
-  private void accepted(Order order, OrderReply reply, int transitElsewhere, long nowMillis) {
+  private void applyAccepted(Order order, OrderReply reply, int transitElsewhere, long nowMillis) {
     boolean changed = reply == OrderReply.ACCEPTED || order.operation() == Operation.UNLOAD;
     sequence += changed ? 1 : 0;
     if (order.adapter().isEmpty()) {
-      doubt(nowMillis);
+      markUncertain(nowMillis);
       return;
     }
-    Item item = items.get(order.target());
+    AdapterEntry item = adapters.get(order.target());
     if (item == null) {
       return;
     }
-    item.unconfirmed = false;
+    item.unloadUnconfirmed = false;
     if (order.operation() == Operation.LOAD) {
       item.orderedMillis = nowMillis;
-      item.transit = transitElsewhere + coming();
+      item.transitAtOrder = transitElsewhere + inTransit();
       item.warmDepth = warm.depth(order.target());
-      long load = item.warmDepth >= 0 ? settings.reloadMillis() : bringMillis(transitElsewhere);
+      long load = item.warmDepth >= 0 ? settings.reloadMillis() : loadMillis(transitElsewhere);
       item.readyMillis = nowMillis + (changed ? load : 0);
-      item.unproven = changed;
-      estimates.time().ordered();
+      item.timingPending = changed;
+      estimates.loadTime().recordOrdered();
       warm.remove(order.target());
     } else if (reply == OrderReply.DONE) {
-      items.remove(order.target());
+      adapters.remove(order.target());
       if (!item.superseded) {
         warm.add(order.target());
       }
     } else {
-      doubt(nowMillis);
+      markUncertain(nowMillis);
     }
   }
 
   /** Returns how long an adapter takes from the weight store once its load is ordered (ms). */
-  public long bringMillis(int transitElsewhere) {
-    int transit = transitElsewhere + coming();
-    int limit = estimates.limit().limit();
-    return estimates.time().millis() * Math.max(transit, limit) / limit;
+  public long loadMillis(int transitElsewhere) {
+    int transit = transitElsewhere + inTransit();
+    int limit = estimates.transitLimit().limit();
+    return estimates.loadTime().millis() * Math.max(transit, limit) / limit;
   }
 
   /**
@@ -463,47 +463,47 @@
    * report must mend it. Until then it is not told as held: the hosts would send the same request
    * there again and again, each time to be refused.
    */
-  public void missing(String target, long nowMillis) {
-    Item item = items.get(target);
+  public void adapterMissing(String target, long nowMillis) {
+    AdapterEntry item = adapters.get(target);
     if (item == null || item.state == State.LEAVING) {
       return;
     }
-    if (nowMillis - item.readyMillis >= settings.reportAgeMillis()) {
-      item.doubted = true;
+    if (nowMillis - item.readyMillis >= settings.maxReportAgeMillis()) {
+      item.suspect = true;
       uncertain = true;
-      uncertainMillis = nowMillis - settings.reportAgeMillis();
+      uncertainSinceMillis = nowMillis - settings.maxReportAgeMillis();
     } else {
-      cameLate(item, nowMillis);
+      recordLate(item, nowMillis);
       item.state = State.COMING;
-      item.readyMillis = Math.max(item.readyMillis, nowMillis + settings.lateMillis());
+      item.readyMillis = Math.max(item.readyMillis, nowMillis + settings.delayMillis());
     }
   }
 
-  private void cameLate(Item item, long nowMillis) {
-    if (!item.unproven) {
+  private void recordLate(AdapterEntry item, long nowMillis) {
+    if (!item.timingPending) {
       return;
     }
-    item.unproven = false;
+    item.timingPending = false;
     if (item.warmDepth >= 0) {
       // The runner no longer had it: it comes from the store.
-      estimates.warm().cameSlowly(item.warmDepth);
-      item.readyMillis = item.orderedMillis + estimates.time().millis();
-    } else if (!estimates.limit().late(item.transit, item.orderedMillis, nowMillis)) {
-      estimates.time().wasTooShort();
+      estimates.warmCapacity().recordSlowReload(item.warmDepth);
+      item.readyMillis = item.orderedMillis + estimates.loadTime().millis();
+    } else if (!estimates.transitLimit().recordLate(item.transitAtOrder, item.orderedMillis, nowMillis)) {
+      estimates.loadTime().recordLate();
     }
   }
 
   /** Returns how many adapters are on their way. */
-  public int coming() {
-    return (int) items.values().stream().filter(item -> item.state == State.COMING).count();
+  public int inTransit() {
+    return (int) adapters.values().stream().filter(item -> item.state == State.COMING).count();
   }
 
   /** Returns the adapters that serve requests or soon will. */
-  public List<HeldItem> held() {
-    List<HeldItem> held = new ArrayList<>();
-    for (Item item : items.values()) {
-      if (item.state != State.LEAVING && !item.doubted) {
-        held.add(new HeldItem(item.target, item.version, item.readyMillis));
+  public List<ResidentAdapter> heldAdapters() {
+    List<ResidentAdapter> held = new ArrayList<>();
+    for (AdapterEntry item : adapters.values()) {
+      if (item.state != State.LEAVING && !item.suspect) {
+        held.add(new ResidentAdapter(item.target, item.version, item.readyMillis));
       }
     }
     return held;
@@ -517,7 +517,7 @@
   /** Returns how many places are empty or could be emptied at once. */
   public int freePlaces(ToIntFunction<String> uses) {
     int taken = 0;
-    for (Item item : items.values()) {
+    for (AdapterEntry item : adapters.values()) {
       boolean idle = item.state == State.READY && uses.applyAsInt(item.target) == 0;
       taken += idle ? 0 : 1;
     }
@@ -530,12 +530,12 @@
    */
   public long queueMillis(long nowMillis) {
     long oldest = 0;
-    for (Map.Entry<String, Long> demand : demandedMillis.entrySet()) {
-      if (!items.containsKey(demand.getKey())) {
+    for (Map.Entry<String, Long> demand : demandedSinceMillis.entrySet()) {
+      if (!adapters.containsKey(demand.getKey())) {
         oldest = Math.max(oldest, nowMillis - demand.getValue());
       }
     }
-    return oldest == 0 ? 0 : Math.max(oldest, Math.round(queuedMillis));
+    return oldest == 0 ? 0 : Math.max(oldest, Math.round(averageQueueMillis));
   }
 
   /** Returns the number of orders that the runner has accepted; negative if not known. */
@@ -545,7 +545,7 @@
 
   /** Returns whether the runner's state is known and no order is under way. */
   public boolean isSettled() {
-    return !uncertain && outstanding == null;
+    return !uncertain && pendingOrder == null;
   }
 
   private Optional<ModelSpec> spec(String model) {
--- a/sequoia-core/src/main/java/org/sequoiahub/core/holding/TransitLimit.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/holding/TransitLimit.java
@@ -26,8 +26,8 @@
    */
   private static final double SLOW_STEP = 0.002;
 
-  private final double least;
-  private final double most;
+  private final double minLimit;
+  private final double maxLimit;
   private double limit;
   private boolean lateSeen;
   private long loweredMillis = Long.MIN_VALUE;
@@ -40,8 +40,8 @@
    */
   public TransitLimit(int least, int most) {
     checkArgument(least > 0, "least must be above 0, was %s", least);
-    this.least = least;
-    this.most = Math.max(least, most);
+    this.minLimit = least;
+    this.maxLimit = Math.max(least, most);
     this.limit = least;
   }
 
@@ -51,9 +51,9 @@
   }
 
   /** Records that a load was there when it was expected. */
-  public void inTime(int transit) {
+  public void recordOnTime(int transit) {
     if (transit >= limit - 1) {
-      limit = Math.min(most, limit + (lateSeen ? SLOW_STEP : FAST_STEP));
+      limit = Math.min(maxLimit, limit + (lateSeen ? SLOW_STEP : FAST_STEP));
     }
   }
 
@@ -66,14 +66,14 @@
    * @param transit how many were on their way when it was ordered, itself included
    * @param orderedMillis when it was ordered
    */
-  public boolean late(int transit, long orderedMillis, long nowMillis) {
-    if (transit <= least) {
+  public boolean recordLate(int transit, long orderedMillis, long nowMillis) {
+    if (transit <= minLimit) {
       return false;
     }
     lateSeen = true;
     if (orderedMillis >= loweredMillis) {
       loweredMillis = nowMillis;
-      limit = Math.max(least, (int) limit - 1);
+      limit = Math.max(minLimit, (int) limit - 1);
     }
     return true;
   }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/holding/WarmAdapters.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/holding/WarmAdapters.java
@@ -12,7 +12,7 @@
   private static final int MAX_REMEMBERED = 1_024;
 
   private final WarmCapacity capacity;
-  private final LinkedHashMap<String, Boolean> dropped = new LinkedHashMap<>();
+  private final LinkedHashMap<String, Boolean> unloaded = new LinkedHashMap<>();
 
   /**
    * Creates an empty memory.
@@ -25,15 +25,15 @@
 
   /** Records that the runner dropped an adapter. */
   void add(String target) {
-    dropped.remove(target);
-    dropped.put(target, true);
-    if (dropped.size() > MAX_REMEMBERED) {
-      dropped.remove(dropped.keySet().iterator().next());
+    unloaded.remove(target);
+    unloaded.put(target, true);
+    if (unloaded.size() > MAX_REMEMBERED) {
+      unloaded.remove(unloaded.keySet().iterator().next());
     }
   }
 
   void remove(String target) {
-    dropped.remove(target);
+    unloaded.remove(target);
   }
 
   /** Returns whether the runner is expected to bring an adapter back quickly. */
@@ -46,17 +46,17 @@
    * too many were for the runner to bring it back quickly.
    */
   int depth(String target) {
-    if (!dropped.containsKey(target)) {
+    if (!unloaded.containsKey(target)) {
       return -1;
     }
     int before = 0;
-    for (String earlier : dropped.keySet()) {
+    for (String earlier : unloaded.keySet()) {
       if (earlier.equals(target)) {
         break;
       }
       before++;
     }
-    int depth = dropped.size() - before - 1;
-    return capacity.expects(depth) ? depth : -1;
+    int depth = unloaded.size() - before - 1;
+    return capacity.expectsFastReload(depth) ? depth : -1;
   }
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/holding/WarmCapacity.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/holding/WarmCapacity.java
@@ -11,7 +11,7 @@
 public final class WarmCapacity {
 
   /** An adapter this much deeper than any that came back quickly is tried as one that does. */
-  private static final double REACH = 1.5;
+  private static final double PROBE_FACTOR = 1.5;
 
   private double known;
   private double ceiling = Double.POSITIVE_INFINITY;
@@ -27,8 +27,8 @@
   }
 
   /** Returns whether an adapter is expected to come quickly that was dropped so many drops ago. */
-  boolean expects(int depth) {
-    return depth < Math.min(known * REACH, ceiling);
+  boolean expectsFastReload(int depth) {
+    return depth < Math.min(known * PROBE_FACTOR, ceiling);
   }
 
   /** Returns how many are believed. */
@@ -37,13 +37,13 @@
   }
 
   /** Records that an adapter came quickly. */
-  void cameQuickly(int depth) {
+  void recordFastReload(int depth) {
     known = Math.max(known, depth + 1);
     ceiling = Math.max(ceiling, known);
   }
 
   /** Records that one came from the store after all. */
-  void cameSlowly(int depth) {
+  void recordSlowReload(int depth) {
     ceiling = Math.max(1, Math.min(ceiling, depth));
     known = Math.min(known, ceiling);
   }
--- a/sequoia-core/src/test/java/org/sequoiahub/core/holding/HoldingsTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/holding/HoldingsTest.java
@@ -8,9 +8,9 @@
 
 class HoldingsTest {
 
-  private static Holdings.Holding holding(String host, int free, HeldItem... items) {
-    Map<String, HeldItem> byName = new java.util.HashMap<>();
-    for (HeldItem item : items) {
+  private static Holdings.Holding holding(String host, int free, ResidentAdapter... items) {
+    Map<String, ResidentAdapter> byName = new java.util.HashMap<>();
+    for (ResidentAdapter item : items) {
       byName.put(item.target(), item);
     }
     return new Holdings.Holding(host, 1, 0, byName, Set.of("m"), free, 250, 0, 0, 4);
@@ -24,21 +24,21 @@
   @Test
   void changesAreSeen() {
     Holdings holdings = new Holdings();
-    long none = holdings.changes("r");
-    holdings.told("r", holding("a", 1));
-    long first = holdings.changes("r");
+    long none = holdings.changeCount("r");
+    holdings.update("r", holding("a", 1));
+    long first = holdings.changeCount("r");
     assertThat(first).isNotEqualTo(none);
-    holdings.told("r", holding("a", 1));
-    assertThat(holdings.changes("r")).isEqualTo(first);
-    holdings.told("r", holding("a", 1, new HeldItem("m/a1", 1, 500)));
-    long coming = holdings.changes("r");
+    holdings.update("r", holding("a", 1));
+    assertThat(holdings.changeCount("r")).isEqualTo(first);
+    holdings.update("r", holding("a", 1, new ResidentAdapter("m/a1", 1, 500)));
+    long coming = holdings.changeCount("r");
     assertThat(coming).isNotEqualTo(first);
-    holdings.told("r", holding("a", 1, new HeldItem("m/a1", 2, 500)));
-    assertThat(holdings.changes("r")).isNotEqualTo(coming);
-    holdings.told("r", holding("a", 0, new HeldItem("m/a1", 1, 500)));
-    long full = holdings.changes("r");
+    holdings.update("r", holding("a", 1, new ResidentAdapter("m/a1", 2, 500)));
+    assertThat(holdings.changeCount("r")).isNotEqualTo(coming);
+    holdings.update("r", holding("a", 0, new ResidentAdapter("m/a1", 1, 500)));
+    long full = holdings.changeCount("r");
     assertThat(full).isNotEqualTo(coming);
-    holdings.told("r", holding("b", 0, new HeldItem("m/a1", 1, 500)));
-    assertThat(holdings.changes("r")).isNotEqualTo(full);
+    holdings.update("r", holding("b", 0, new ResidentAdapter("m/a1", 1, 500)));
+    assertThat(holdings.changeCount("r")).isNotEqualTo(full);
   }
 }
--- a/sequoia-core/src/test/java/org/sequoiahub/core/holding/LoadQueueTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/holding/LoadQueueTest.java
@@ -47,7 +47,7 @@
       for (int i = 0; i < RUNNERS; i++) {
         RunnerResidency residency =
             new RunnerResidency(ENGINE, ResidencySettings.DEFAULT, estimates);
-        residency.adopt(new RunnerReport(0, 0, false, Set.of("m"), Map.of(), Map.of()), now);
+        residency.applyReport(new RunnerReport(0, 0, false, Set.of("m"), Map.of(), Map.of()), now);
         residencies.add(residency);
         loading.add(new LinkedHashMap<>());
         waiting.add(new LinkedHashMap<>());
@@ -89,31 +89,31 @@
         Optional<Order> next =
             residencies
                 .get(i)
-                .next(demands, t -> used.get(i).containsKey(t) ? 1 : 0, t -> 0, elsewhere, now);
+                .nextOrder(demands, t -> used.get(i).containsKey(t) ? 1 : 0, t -> 0, elsewhere, now);
         if (next.isEmpty()) {
           return;
         }
         Order order = next.get();
-        residencies.get(i).sent(order, now);
+        residencies.get(i).orderSent(order, now);
         boolean load = order.operation() == Operation.LOAD;
         if (load) {
           loading.get(i).put(order.target(), 1.0);
         }
         OrderReply reply = load ? OrderReply.ACCEPTED : OrderReply.DONE;
-        residencies.get(i).replied(order, reply, elsewhere, now);
+        residencies.get(i).replyReceived(order, reply, elsewhere, now);
       }
     }
 
     private void serve(int i) {
       used.get(i).values().removeIf(until -> now >= until);
-      for (HeldItem item : residencies.get(i).held()) {
+      for (ResidentAdapter item : residencies.get(i).heldAdapters()) {
         String adapter = item.target().substring(2);
         Long since = waiting.get(i).get(adapter);
         if (since == null || now < item.readyMillis()) {
           continue;
         }
         if (loading.get(i).getOrDefault(item.target(), 0.0) > 1e-9) {
-          residencies.get(i).missing(item.target(), now);
+          residencies.get(i).adapterMissing(item.target(), now);
         } else {
           loading.get(i).remove(item.target());
           waiting.get(i).remove(adapter);
@@ -172,7 +172,7 @@
             ENGINE, ResidencySettings.DEFAULT, LoadEstimates.of(ResidencySettings.DEFAULT, 6));
 
     private String first(long now, Demand... demands) {
-      return residency.next(List.of(demands), t -> 0, t -> 0, 0, now).orElseThrow().target();
+      return residency.nextOrder(List.of(demands), t -> 0, t -> 0, 0, now).orElseThrow().target();
     }
 
     /**
@@ -184,7 +184,7 @@
      */
     @Test
     void singleRequestIsNotPassedForEver() {
-      residency.adopt(new RunnerReport(0, 0, false, Set.of("m"), Map.of(), Map.of()), 1_000);
+      residency.applyReport(new RunnerReport(0, 0, false, Set.of("m"), Map.of(), Map.of()), 1_000);
       Demand rare = new Demand("m", "rare", 1, 1, 0);
       assertThat(first(10_000, rare, new Demand("m", "b1", 2, 2, 0))).isEqualTo("m/b1");
       assertThat(first(10_100, rare, new Demand("m", "b2", 2, 2, 0))).isEqualTo("m/rare");
@@ -192,7 +192,7 @@
 
     @Test
     void thoseThatCanBeInTimeComeBeforeThoseThatCannot() {
-      residency.adopt(new RunnerReport(0, 0, false, Set.of("m"), Map.of(), Map.of()), 1_000);
+      residency.applyReport(new RunnerReport(0, 0, false, Set.of("m"), Map.of(), Map.of()), 1_000);
       Demand late = new Demand("m", "late", 5, 0, 0);
       first(10_000, late);
       assertThat(first(12_000, late, new Demand("m", "new", 1, 1, 0))).isEqualTo("m/new");
@@ -209,12 +209,12 @@
       int refused = 0;
       for (int load = 0; load < 2_000; load++) {
         int depth = random.nextInt(200);
-        if (capacity.expects(depth)) {
+        if (capacity.expectsFastReload(depth)) {
           if (depth < kept) {
-            capacity.cameQuickly(depth);
+            capacity.recordFastReload(depth);
           } else {
             refused++;
-            capacity.cameSlowly(depth);
+            capacity.recordSlowReload(depth);
           }
         }
       }
--- a/sequoia-core/src/test/java/org/sequoiahub/core/holding/ResidencyWorld.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/holding/ResidencyWorld.java
@@ -60,7 +60,7 @@
   }
 
   void pump() {
-    next().ifPresent(order -> residency.replied(order, execute(order), 0, now));
+    next().ifPresent(order -> residency.replyReceived(order, execute(order), 0, now));
   }
 
   void pumpAndLoseReply() {
@@ -68,17 +68,17 @@
         .ifPresent(
             order -> {
               execute(order);
-              residency.replied(order, OrderReply.UNKNOWN, 0, now);
+              residency.replyReceived(order, OrderReply.UNKNOWN, 0, now);
             });
   }
 
   void pumpAndRefuse() {
-    next().ifPresent(order -> residency.replied(order, OrderReply.CONFLICT, 0, now));
+    next().ifPresent(order -> residency.replyReceived(order, OrderReply.CONFLICT, 0, now));
   }
 
   void report() {
-    if (residency.reportDue(now)) {
-      residency.adopt(currentReport(), now);
+    if (residency.isReportDue(now)) {
+      residency.applyReport(currentReport(), now);
       assertThat(residency.sequence()).isEqualTo(sequence);
     }
   }
@@ -99,13 +99,13 @@
     List<Demand> demands = new ArrayList<>();
     demanded.forEach(target -> demands.add(new Demand("m", target.substring(2), 1, 1, 0)));
     Optional<Order> next =
-        residency.next(
+        residency.nextOrder(
             demands,
             target -> running.getOrDefault(target, 0),
             target -> published.getOrDefault(target, 0),
             0,
             now);
-    next.ifPresent(order -> residency.sent(order, now));
+    next.ifPresent(order -> residency.orderSent(order, now));
     return next;
   }
 
--- a/sequoia-core/src/test/java/org/sequoiahub/core/holding/RunnerResidencyTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/holding/RunnerResidencyTest.java
@@ -34,29 +34,29 @@
      */
     @Test
     void areExpectedLaterNextTime() {
-      residency.adopt(report(Map.of()), 1_000);
+      residency.applyReport(report(Map.of()), 1_000);
       int refused = 0;
       long now = 10_000;
       for (int load = 0; load < 200; load++) {
         final long start = now;
-        Order order = residency.next(List.of(demand(load)), target -> 0, target -> 0, 0, now).get();
+        Order order = residency.nextOrder(List.of(demand(load)), target -> 0, target -> 0, 0, now).get();
         while (order.operation() == Order.Operation.UNLOAD) {
-          residency.sent(order, now);
-          residency.replied(order, OrderReply.DONE, 0, now);
-          order = residency.next(List.of(demand(load)), target -> 0, target -> 0, 0, now).get();
+          residency.orderSent(order, now);
+          residency.replyReceived(order, OrderReply.DONE, 0, now);
+          order = residency.nextOrder(List.of(demand(load)), target -> 0, target -> 0, 0, now).get();
         }
-        residency.sent(order, now);
-        residency.replied(order, OrderReply.ACCEPTED, 0, now);
+        residency.orderSent(order, now);
+        residency.replyReceived(order, OrderReply.ACCEPTED, 0, now);
         String target = order.target();
         long ready =
-            residency.held().stream()
+            residency.heldAdapters().stream()
                 .filter(item -> item.target().equals(target))
                 .findFirst()
                 .get()
                 .readyMillis();
         if (ready < start + 288) {
           refused++;
-          residency.missing(target, ready);
+          residency.adapterMissing(target, ready);
         }
         assertThat(ready).isAtMost(start + 288 + 40);
         now += 5_000;
@@ -81,20 +81,20 @@
      */
     @Test
     void isNotToldAsHeldUntilTheNextReport() {
-      residency.adopt(report(Map.of("m/a1", 1)), 1_000);
-      residency.missing("m/a1", 5_000);
-      assertThat(residency.held()).isEmpty();
-      assertThat(residency.reportDue(5_000)).isTrue();
-      residency.adopt(report(Map.of("m/a1", 1)), 5_100);
-      assertThat(residency.held()).hasSize(1);
+      residency.applyReport(report(Map.of("m/a1", 1)), 1_000);
+      residency.adapterMissing("m/a1", 5_000);
+      assertThat(residency.heldAdapters()).isEmpty();
+      assertThat(residency.isReportDue(5_000)).isTrue();
+      residency.applyReport(report(Map.of("m/a1", 1)), 5_100);
+      assertThat(residency.heldAdapters()).hasSize(1);
     }
 
     @Test
     void isToldAsComingWhileItMayBeLate() {
-      residency.adopt(report(Map.of("m/a1", 1)), 1_000);
-      residency.missing("m/a1", 1_100);
-      assertThat(residency.held()).hasSize(1);
-      assertThat(residency.held().get(0).readyMillis()).isGreaterThan(1_100);
+      residency.applyReport(report(Map.of("m/a1", 1)), 1_000);
+      residency.adapterMissing("m/a1", 1_100);
+      assertThat(residency.heldAdapters()).hasSize(1);
+      assertThat(residency.heldAdapters().get(0).readyMillis()).isGreaterThan(1_100);
     }
   }
 
--- a/sequoia-node/src/main/java/org/sequoiahub/node/Node.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/Node.java
@@ -573,7 +573,7 @@
   private void stateOf(String from, HostState state) {
     long now = MonotonicClock.SYSTEM.nowMillis();
     loads.told(from, StateCodec.uses(state.getLoadsList()), state.getLoadsComplete(), now);
-    StateCodec.holdings(from, state, now).forEach(holdings::told);
+    StateCodec.holdings(from, state, now).forEach(holdings::update);
     wordOf(from, state);
   }
 
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/FleetView.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/FleetView.java
@@ -16,7 +16,7 @@
 import org.sequoiahub.core.dispatch.FleetLoad;
 import org.sequoiahub.core.dispatch.PromptMemory;
 import org.sequoiahub.core.dispatch.RunnerHealth;
-import org.sequoiahub.core.holding.HeldItem;
+import org.sequoiahub.core.holding.ResidentAdapter;
 import org.sequoiahub.core.holding.Holdings;
 import org.sequoiahub.core.routing.EngineSpec;
 import org.sequoiahub.core.routing.Route;
@@ -224,13 +224,13 @@
     String target = generation.target();
     return holdings
         .find(runner.id())
-        .map(holding -> holding.items().containsKey(target))
+        .map(holding -> holding.adapters().containsKey(target))
         .orElseGet(() -> runner.heldAdapters().containsKey(target));
   }
 
   /** Returns a number that differs whenever what a runner holds has changed. */
   long holdingChanges(RunnerEntry runner) {
-    return holdings.changes(runner.id());
+    return holdings.changeCount(runner.id());
   }
 
   /** Returns how many requests use a generation's adapter or wait for it, at all runners. */
@@ -266,7 +266,7 @@
       return present ? Residency.present(0, false) : Residency.absent(wait, true, false);
     }
     Holdings.Holding holding = told.get();
-    final long queue = holding.queueMillis() + Math.max(0, holding.ordersFromMillis() - nowMillis);
+    final long queue = holding.queueMillis() + Math.max(0, holding.mayOrderFromMillis() - nowMillis);
     boolean ordered = isSound.test(holding.host(), nowMillis);
     if (!holding.models().contains(generation.model())) {
       return Residency.absent(MODEL_LOAD_MILLIS, true, ordered);
@@ -274,7 +274,7 @@
     if (!generation.usesAdapter()) {
       return Residency.present(0, ordered);
     }
-    HeldItem item = holding.items().get(generation.target());
+    ResidentAdapter item = holding.adapters().get(generation.target());
     int wanted = newestVersion(generation.target());
     if (item != null && item.version() >= wanted) {
       long coming = Math.max(0, item.readyMillis() - nowMillis);
@@ -282,10 +282,10 @@
       return Residency.present(Math.max(coming, refused), ordered);
     }
     boolean room = holding.freePlaces() > 0;
-    if (item == null && holdings.isKept(runner.id(), generation.target())) {
+    if (item == null && holdings.isWarm(runner.id(), generation.target())) {
       return new Residency(false, queue + RELOAD_MILLIS, true, room, ordered);
     }
-    long bring = Math.max(LOAD_MILLIS, holding.bringMillis());
+    long bring = Math.max(LOAD_MILLIS, holding.loadMillis());
     return Residency.absent(queue + bring, room, ordered);
   }
 
--- a/sequoia-node/src/main/java/org/sequoiahub/node/holder/HolderService.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/holder/HolderService.java
@@ -20,7 +20,7 @@
 import org.sequoiahub.core.authority.RenewalRound;
 import org.sequoiahub.core.dispatch.FleetLoad;
 import org.sequoiahub.core.holding.Demand;
-import org.sequoiahub.core.holding.HeldItem;
+import org.sequoiahub.core.holding.ResidentAdapter;
 import org.sequoiahub.core.holding.Holdings;
 import org.sequoiahub.core.holding.LoadEstimates;
 import org.sequoiahub.core.holding.Order;
@@ -376,7 +376,7 @@
   public void missing(String runner, String target, long nowMillis) {
     Held entry = heldLife(runner);
     if (entry != null && entry.residency != null) {
-      entry.residency.missing(target, nowMillis);
+      entry.residency.adapterMissing(target, nowMillis);
       tell(entry, nowMillis);
     }
   }
@@ -502,7 +502,7 @@
     Optional<Holdings.Holding> holding = holdings.find(runner.id());
     if (holding.isPresent()
         && members.isSound(holding.get().host(), nowMillis)
-        && nowMillis - holding.get().toldMillis() < HOLDER_SILENT_MILLIS) {
+        && nowMillis - holding.get().reportedMillis() < HOLDER_SILENT_MILLIS) {
       return false;
     }
     return choice.isThisHost(runner, nowMillis);
@@ -558,7 +558,7 @@
     entry.heldMillis = nowMillis;
     RunnerResidency residency = entry.residency;
     boolean reportWanted =
-        residency != null && residency.reportDue(nowMillis) && nowMillis >= entry.reportDueMillis;
+        residency != null && residency.isReportDue(nowMillis) && nowMillis >= entry.reportDueMillis;
     // Also while orders must wait: what the runner holds serves requests meanwhile.
     if (reportWanted && !entry.reporting) {
       report(entry, nowMillis);
@@ -655,7 +655,7 @@
     entry.reporting = true;
     entry.reportDueMillis = nowMillis + REPORT_PERIOD_MILLIS;
     RunnerEntry asked = entry.runner;
-    orders.report(
+    orders.fetchReport(
         asked,
         ORDER_TIMEOUT_MILLIS,
         reply -> decisions.accept(() -> reported(entry, asked, reply)));
@@ -672,10 +672,10 @@
     }
     long now = clock.getAsLong();
     if (reply instanceof ReportReply.Missing missing) {
-      log.info("report-missing", "runner", entry.runner.id(), "why", missing.why());
+      log.info("report-missing", "runner", entry.runner.id(), "why", missing.reason());
       return;
     }
-    residency.adopt(((ReportReply.Given) reply).report(), now);
+    residency.applyReport(((ReportReply.Received) reply).report(), now);
     pump(entry.runner.id(), now);
     tell(entry, now);
   }
@@ -689,9 +689,9 @@
     if (residency == null) {
       return;
     }
-    int transit = holdings.transitElsewhere(runnerId, nowMillis);
+    int transit = holdings.inTransitElsewhere(runnerId, nowMillis);
     Optional<Order> next =
-        residency.next(
+        residency.nextOrder(
             demands(runnerId, nowMillis),
             target -> loads.uses(runnerId, target, nowMillis),
             newestVersion,
@@ -717,7 +717,7 @@
   private void send(
       Held entry, RunnerResidency residency, Order order, int transit, long nowMillis) {
     long sequence = residency.sequence();
-    residency.sent(order, nowMillis);
+    residency.orderSent(order, nowMillis);
     if (order.operation() == Order.Operation.LOAD) {
       loadGuard.ordered(order.target(), order.version(), entry.runner.idHash(), nowMillis);
     }
@@ -734,7 +734,7 @@
         "expect",
         sequence);
     RunnerEntry runner = entry.runner;
-    orders.order(
+    orders.sendOrder(
         runner,
         order,
         sequence,
@@ -756,7 +756,7 @@
     if (reply == OrderReply.UNKNOWN && order.operation() == Order.Operation.LOAD) {
       loadGuard.unanswered(order.target(), order.version(), ordered.idHash(), now);
     }
-    residency.replied(order, reply, transit, now);
+    residency.replyReceived(order, reply, transit, now);
     if (reply != OrderReply.ACCEPTED && reply != OrderReply.DONE) {
       log.warning(
           "order-failed",
@@ -782,11 +782,11 @@
     }
     entry.tellDueMillis = nowMillis + TELL_MILLIS;
     String runner = entry.runner.id();
-    Map<String, HeldItem> items = new HashMap<>();
-    residency.held().forEach(item -> items.put(item.target(), item));
+    Map<String, ResidentAdapter> items = new HashMap<>();
+    residency.heldAdapters().forEach(item -> items.put(item.target(), item));
     int free = residency.freePlaces(target -> loads.uses(runner, target, nowMillis));
     Optional<Holdings.Holding> before = holdings.find(runner);
-    holdings.told(
+    holdings.update(
         runner,
         new Holdings.Holding(
             settings.host(),
@@ -795,13 +795,13 @@
             items,
             residency.models(),
             free,
-            residency.bringMillis(holdings.transitElsewhere(runner, nowMillis)),
+            residency.loadMillis(holdings.inTransitElsewhere(runner, nowMillis)),
             residency.queueMillis(nowMillis),
             entry.orderFromMillis,
-            estimates == null ? 0 : estimates.warm().size()));
+            estimates == null ? 0 : estimates.warmCapacity().size()));
     boolean same =
         before.isPresent()
-            && before.get().items().equals(items)
+            && before.get().adapters().equals(items)
             && before.get().models().equals(residency.models());
     if (!same) {
       entry.changes++;
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/DigestBuilder.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/DigestBuilder.java
@@ -89,7 +89,7 @@
         .forEach(
             (runner, holding) -> {
               if (!holder.test(holding.host())
-                  || nowMillis - holding.toldMillis() > HOLDING_MILLIS) {
+                  || nowMillis - holding.reportedMillis() > HOLDING_MILLIS) {
                 return;
               }
               Set<String> brief = brief(holding, nowMillis);
@@ -158,7 +158,7 @@
   }
 
   private static Set<String> brief(Holdings.Holding holding, long nowMillis) {
-    return holding.items().values().stream()
+    return holding.adapters().values().stream()
         .map(item -> item.target() + "@" + item.version() + (item.readyMillis() > nowMillis))
         .collect(Collectors.toSet());
   }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/DigestExchange.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/DigestExchange.java
@@ -225,7 +225,7 @@
     }
     for (HeldBy held : digest.getHoldingsList()) {
       if (!held.getHost().equals(settings.host())) {
-        holdings.told(
+        holdings.update(
             held.getHolding().getRunner(),
             StateCodec.decodeHolding(held.getHost(), held.getHolding(), nowMillis));
       }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/StateCodec.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/StateCodec.java
@@ -8,7 +8,7 @@
 import org.sequoiahub.core.call.Target;
 import org.sequoiahub.core.dispatch.FleetLoad;
 import org.sequoiahub.core.holding.Demand;
-import org.sequoiahub.core.holding.HeldItem;
+import org.sequoiahub.core.holding.ResidentAdapter;
 import org.sequoiahub.core.holding.Holdings;
 import org.sequoiahub.core.quarantine.RunnerEnd;
 import org.sequoiahub.schema.peer.AdapterDemand;
@@ -101,12 +101,12 @@
             .setRunner(runner)
             .setToken(holding.token())
             .setFreeSlots(holding.freePlaces())
-            .setBringMs((int) holding.bringMillis())
+            .setBringMs((int) holding.loadMillis())
             .setQueueMs((int) holding.queueMillis())
-            .setOrdersInMs((int) Math.max(0, holding.ordersFromMillis() - nowMillis))
-            .setKept(holding.kept())
+            .setOrdersInMs((int) Math.max(0, holding.mayOrderFromMillis() - nowMillis))
+            .setKept(holding.warmCapacity())
             .addAllModels(holding.models());
-    for (HeldItem item : holding.items().values()) {
+    for (ResidentAdapter item : holding.adapters().values()) {
       message.addAdapters(
           HeldAdapter.newBuilder()
               .setAdapter(item.target())
@@ -128,11 +128,11 @@
 
   /** Decodes what a runner holds, as the host that orders it told. */
   static Holdings.Holding decodeHolding(String host, Holding message, long nowMillis) {
-    Map<String, HeldItem> items = new HashMap<>();
+    Map<String, ResidentAdapter> items = new HashMap<>();
     for (HeldAdapter adapter : message.getAdaptersList()) {
       items.put(
           adapter.getAdapter(),
-          new HeldItem(
+          new ResidentAdapter(
               adapter.getAdapter(), adapter.getVersion(), nowMillis + adapter.getReadyInMs()));
     }
     return new Holdings.Holding(
--- a/sequoia-node/src/test/java/org/sequoiahub/node/holder/HolderWorld.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/holder/HolderWorld.java
@@ -316,7 +316,7 @@
           new FleetSpending(8_000),
           this::send,
           this::state,
-          (from, state) -> StateCodec.holdings(from, state, now).forEach(holdings::told),
+          (from, state) -> StateCodec.holdings(from, state, now).forEach(holdings::update),
           (from, state) -> {},
           random,
           new EventLog("test", "host-" + number));
@@ -421,7 +421,7 @@
     }
 
     @Override
-    public void order(
+    public void sendOrder(
         RunnerEntry runner,
         Order order,
         long expectedSequence,
@@ -445,7 +445,7 @@
     }
 
     @Override
-    public void report(RunnerEntry runner, long timeoutMillis, Consumer<ReportReply> listener) {
+    public void fetchReport(RunnerEntry runner, long timeoutMillis, Consumer<ReportReply> listener) {
       int sentIn = life;
       after(
           delay(),
@@ -456,7 +456,7 @@
                 candidate.held.forEach(target -> adapters.put(target, 1));
                 RunnerReport report =
                     new RunnerReport(0, candidate.sequence, false, Set.of("m"), adapters, Map.of());
-                answer(sentIn, () -> listener.accept(new ReportReply.Given(report)));
+                answer(sentIn, () -> listener.accept(new ReportReply.Received(report)));
                 return;
               }
             }
--- a/sequoia-node/src/test/java/org/sequoiahub/node/upstream/StandinRunnerTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/upstream/StandinRunnerTest.java
@@ -41,14 +41,14 @@
       OrderClient client = new OrderClient(http, decoder);
       Order load = new Order(Order.Operation.LOAD, "m", "a1", 0);
       CompletableFuture<OrderReply> reply = new CompletableFuture<>();
-      client.order(entry, load, 0, "host-1", 1, WAIT_MILLIS, reply::complete);
+      client.sendOrder(entry, load, 0, "host-1", 1, WAIT_MILLIS, reply::complete);
       assertThat(reply.get()).isEqualTo(OrderReply.ACCEPTED);
       CompletableFuture<ReportReply> answer = new CompletableFuture<>();
-      client.report(entry, WAIT_MILLIS, answer::complete);
-      assertThat(answer.get()).isInstanceOf(ReportReply.Given.class);
-      RunnerReport report = ((ReportReply.Given) answer.get()).report();
+      client.fetchReport(entry, WAIT_MILLIS, answer::complete);
+      assertThat(answer.get()).isInstanceOf(ReportReply.Received.class);
+      RunnerReport report = ((ReportReply.Received) answer.get()).report();
       assertThat(report.sequence()).isEqualTo(1);
-      assertThat(report.coming().keySet()).containsExactly("m/a1");
+      assertThat(report.loading().keySet()).containsExactly("m/a1");
     } finally {
       http.stop();
     }
