--- a/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/Candidate.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/Candidate.java
@@ -8,32 +8,32 @@
  * @param runner the runner
  * @param inFlight requests there now, from all hosts
  * @param unreadAheadTokens prompt tokens of these that are still to be read
- * @param heldAheadTokens prompt tokens of requests that wait to be sent there
+ * @param queuedAheadTokens prompt tokens of requests that wait to be sent there
  * @param unreadTokens prompt tokens of the request that are still to be read there
  * @param adapterWaitMillis until the adapter can serve there; 0 if it does or none is needed
- * @param kept whether it dropped the adapter so lately that it brings it back quickly
+ * @param warm whether it dropped the adapter so lately that it brings it back quickly
  * @param adapterUses requests that use the adapter or wait for it, at all runners
- * @param present whether the model and the adapter are there or on their way
- * @param roomForAdapter whether the adapter could be loaded at once
- * @param ordered whether some host may order the runner now
+ * @param heldOrLoading whether the model and the adapter are there or on their way
+ * @param hasRoom whether the adapter could be loaded at once
+ * @param hasHolder whether some host may order the runner now
  * @param failureRate part of recent requests that failed there
  * @param latencyMillis how long requests took there lately; 0 if unknown
  * @param vanished whether its entry disappeared just now
- * @param near whether it is in this host's failure domain
+ * @param sameFailureDomain whether it is in this host's failure domain
  */
 public record Candidate(
     RunnerEntry runner,
     int inFlight,
     long unreadAheadTokens,
-    long heldAheadTokens,
+    long queuedAheadTokens,
     int unreadTokens,
     long adapterWaitMillis,
-    boolean kept,
+    boolean warm,
     int adapterUses,
-    boolean present,
-    boolean roomForAdapter,
-    boolean ordered,
+    boolean heldOrLoading,
+    boolean hasRoom,
+    boolean hasHolder,
     double failureRate,
     double latencyMillis,
     boolean vanished,
-    boolean near) {}
+    boolean sameFailureDomain) {}
--- a/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/FleetLoad.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/FleetLoad.java
@@ -17,24 +17,24 @@
   private static final long MAX_AGE_MILLIS = 2_500;
 
   /** The source of sums over the whole fleet; no host has an empty name. */
-  private static final String WHOLE = "";
+  private static final String TOTALS = "";
 
   /** Nothing in flight. */
   public static final Use NONE = new Use(0, 0, 0, Map.of());
 
-  private final Map<String, Told> others = new HashMap<>();
-  private final Map<String, Counts> own = new HashMap<>();
+  private final Map<String, SourceLoad> others = new HashMap<>();
+  private final Map<String, MutableUse> own = new HashMap<>();
 
   /**
    * What one host has in flight at one runner.
    *
    * @param requests requests sent, and those that wait to be sent there
    * @param unreadTokens prompt tokens of those sent that the runner has still to read
-   * @param heldTokens prompt tokens of those that wait to be sent
+   * @param queuedTokens prompt tokens of those that wait to be sent
    * @param adapters how many of the requests use each adapter
    */
   public record Use(
-      int requests, long unreadTokens, long heldTokens, Map<String, Integer> adapters) {
+      int requests, long unreadTokens, long queuedTokens, Map<String, Integer> adapters) {
     /** Copies the map. */
     public Use {
       adapters = Map.copyOf(adapters);
@@ -47,33 +47,33 @@
    * @param uses by runner
    * @param adapterUses requests by adapter, over all runners
    */
-  private record Told(Map<String, Use> uses, Map<String, Integer> adapterUses, long toldMillis) {
+  private record SourceLoad(Map<String, Use> uses, Map<String, Integer> adapterUses, long receivedMillis) {
 
-    static Told of(Map<String, Use> uses, long toldMillis) {
+    static SourceLoad of(Map<String, Use> uses, long toldMillis) {
       Map<String, Integer> adapterUses = new HashMap<>();
       for (Use use : uses.values()) {
         use.adapters.forEach((adapter, count) -> adapterUses.merge(adapter, count, Integer::sum));
       }
-      return new Told(uses, adapterUses, toldMillis);
+      return new SourceLoad(uses, adapterUses, toldMillis);
     }
   }
 
   /** What is in flight at one runner, while it is counted. */
-  private static final class Counts {
+  private static final class MutableUse {
     int requests;
     long unreadTokens;
-    long heldTokens;
+    long queuedTokens;
     final Map<String, Integer> adapters = new HashMap<>();
 
     void add(Use use) {
       requests += use.requests;
       unreadTokens += use.unreadTokens;
-      heldTokens += use.heldTokens;
+      queuedTokens += use.queuedTokens;
       use.adapters.forEach((adapter, count) -> adapters.merge(adapter, count, Integer::sum));
     }
 
     Use use() {
-      return new Use(requests, Math.max(0, unreadTokens), Math.max(0, heldTokens), adapters);
+      return new Use(requests, Math.max(0, unreadTokens), Math.max(0, queuedTokens), adapters);
     }
   }
 
@@ -82,51 +82,51 @@
    *
    * @param complete whether it told all; otherwise only what has changed since
    */
-  public void told(String host, Map<String, Use> uses, boolean complete, long nowMillis) {
+  public void update(String host, Map<String, Use> uses, boolean complete, long nowMillis) {
     Map<String, Use> now = new HashMap<>();
-    Told before = others.get(host);
+    SourceLoad before = others.get(host);
     if (!complete && before != null) {
       now.putAll(before.uses);
     }
     now.putAll(uses);
     now.values().removeIf(use -> use.requests == 0);
-    others.put(host, Told.of(now, nowMillis));
+    others.put(host, SourceLoad.of(now, nowMillis));
   }
 
   /**
    * Takes in the sums over the whole fleet, this host's own part included, in place of all that was
    * told before.
    */
-  public void toldWhole(Map<String, Use> sums, long nowMillis) {
+  public void replaceWithTotals(Map<String, Use> sums, long nowMillis) {
     Map<String, Use> rest = new HashMap<>();
-    sums.forEach((runner, sum) -> rest.put(runner, without(sum, own(runner))));
+    sums.forEach((runner, sum) -> rest.put(runner, subtract(sum, own(runner))));
     others.clear();
-    told(WHOLE, rest, true, nowMillis);
+    update(TOTALS, rest, true, nowMillis);
   }
 
   /** Forgets sums over the whole fleet: its parts are told from now on. */
-  public void forgetWhole() {
-    others.remove(WHOLE);
+  public void removeTotals() {
+    others.remove(TOTALS);
   }
 
   /** The sums may be some 100 ms older than this host's own part, so they can be below it. */
-  private static Use without(Use sum, Use part) {
+  private static Use subtract(Use sum, Use part) {
     return new Use(
         Math.max(0, sum.requests - part.requests),
         Math.max(0, sum.unreadTokens - part.unreadTokens),
-        Math.max(0, sum.heldTokens - part.heldTokens),
+        Math.max(0, sum.queuedTokens - part.queuedTokens),
         sum.adapters);
   }
 
   /** Returns the sums over this host and those other sources that {@code included} accepts. */
   public Map<String, Use> sums(Predicate<String> included, long nowMillis) {
-    Map<String, Counts> sums = new HashMap<>();
-    own.forEach((runner, mine) -> sums.computeIfAbsent(runner, id -> new Counts()).add(mine.use()));
+    Map<String, MutableUse> sums = new HashMap<>();
+    own.forEach((runner, mine) -> sums.computeIfAbsent(runner, id -> new MutableUse()).add(mine.use()));
     others.forEach(
         (source, told) -> {
           if (included.test(source) && isRecent(told, nowMillis)) {
             told.uses.forEach(
-                (runner, use) -> sums.computeIfAbsent(runner, id -> new Counts()).add(use));
+                (runner, use) -> sums.computeIfAbsent(runner, id -> new MutableUse()).add(use));
           }
         });
     Map<String, Use> uses = new HashMap<>();
@@ -143,10 +143,10 @@
    * @param target the adapter that the request uses; empty for none
    */
   public void add(String runner, int requests, long unread, long held, String target) {
-    Counts use = own.computeIfAbsent(runner, id -> new Counts());
+    MutableUse use = own.computeIfAbsent(runner, id -> new MutableUse());
     use.requests += requests;
     use.unreadTokens += unread;
-    use.heldTokens += held;
+    use.queuedTokens += held;
     if (!target.isEmpty() && requests != 0) {
       int left = use.adapters.merge(target, requests, Integer::sum);
       if (left <= 0) {
@@ -160,9 +160,9 @@
 
   /** Returns how many requests are at a runner. */
   public int requests(String runner, long nowMillis) {
-    Counts mine = own.get(runner);
+    MutableUse mine = own.get(runner);
     int sum = mine == null ? 0 : mine.requests;
-    for (Told told : others.values()) {
+    for (SourceLoad told : others.values()) {
       sum += isRecent(told, nowMillis) ? use(told, runner).requests : 0;
     }
     return sum;
@@ -170,29 +170,29 @@
 
   /** Returns how many prompt tokens a runner has still to read. */
   public long unreadTokens(String runner, long nowMillis) {
-    Counts mine = own.get(runner);
+    MutableUse mine = own.get(runner);
     long sum = mine == null ? 0 : Math.max(0, mine.unreadTokens);
-    for (Told told : others.values()) {
+    for (SourceLoad told : others.values()) {
       sum += isRecent(told, nowMillis) ? use(told, runner).unreadTokens : 0;
     }
     return Math.max(0, sum);
   }
 
   /** Returns how many prompt tokens wait to be sent to a runner. */
-  public long heldTokens(String runner, long nowMillis) {
-    Counts mine = own.get(runner);
-    long sum = mine == null ? 0 : Math.max(0, mine.heldTokens);
-    for (Told told : others.values()) {
-      sum += isRecent(told, nowMillis) ? use(told, runner).heldTokens : 0;
+  public long queuedTokens(String runner, long nowMillis) {
+    MutableUse mine = own.get(runner);
+    long sum = mine == null ? 0 : Math.max(0, mine.queuedTokens);
+    for (SourceLoad told : others.values()) {
+      sum += isRecent(told, nowMillis) ? use(told, runner).queuedTokens : 0;
     }
     return Math.max(0, sum);
   }
 
   /** Returns how many requests use an adapter at a runner or wait for it there. */
   public int uses(String runner, String target, long nowMillis) {
-    Counts mine = own.get(runner);
+    MutableUse mine = own.get(runner);
     int sum = mine == null ? 0 : mine.adapters.getOrDefault(target, 0);
-    for (Told told : others.values()) {
+    for (SourceLoad told : others.values()) {
       if (isRecent(told, nowMillis)) {
         sum += use(told, runner).adapters.getOrDefault(target, 0);
       }
@@ -201,24 +201,24 @@
   }
 
   /** Returns how many requests use an adapter or wait for it, at all runners. */
-  public int usesEverywhere(String target, long nowMillis) {
+  public int totalUses(String target, long nowMillis) {
     int sum = 0;
-    for (Counts mine : own.values()) {
+    for (MutableUse mine : own.values()) {
       sum += mine.adapters.getOrDefault(target, 0);
     }
-    for (Told told : others.values()) {
+    for (SourceLoad told : others.values()) {
       sum += isRecent(told, nowMillis) ? told.adapterUses.getOrDefault(target, 0) : 0;
     }
     return sum;
   }
 
-  private static boolean isRecent(Told told, long nowMillis) {
-    return nowMillis - told.toldMillis < MAX_AGE_MILLIS;
+  private static boolean isRecent(SourceLoad told, long nowMillis) {
+    return nowMillis - told.receivedMillis < MAX_AGE_MILLIS;
   }
 
   /** Returns how many requests this host itself has at a runner. */
   public int ownRequests(String runner) {
-    Counts mine = own.get(runner);
+    MutableUse mine = own.get(runner);
     return mine == null ? 0 : mine.requests;
   }
 
@@ -230,11 +230,11 @@
   }
 
   private Use own(String runner) {
-    Counts use = own.get(runner);
+    MutableUse use = own.get(runner);
     return use == null ? NONE : use.use();
   }
 
-  private static Use use(Told told, String runner) {
+  private static Use use(SourceLoad told, String runner) {
     return told.uses.getOrDefault(runner, NONE);
   }
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/GenerationPlacement.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/GenerationPlacement.java
@@ -21,10 +21,10 @@
   private static final int MAX_RANK = 4;
 
   /** A first event that is expected within this part of the time left is in time. */
-  private static final double SAFE_PART = 0.6;
+  private static final double SAFE_FRACTION = 0.6;
 
   /** One that is expected after this part of it is late. */
-  private static final double LATE_PART = 1.1;
+  private static final double LATE_FRACTION = 1.1;
 
   private final PlacementSettings settings;
 
@@ -45,7 +45,7 @@
    * Returns the best of the candidates.
    *
    * <p>A request that waits for an adapter stays where it waits unless another runner gains it more
-   * than {@link PlacementSettings#moveMillis}: each move begins another wait at its end. Moved for
+   * than {@link PlacementSettings#moveThresholdMillis}: each move begins another wait at its end. Moved for
    * any gain, two hundred requests of a day went to and fro for seconds, and their adapters were
    * brought to both runners.
    *
@@ -64,9 +64,9 @@
     for (int rank = 0; rank < ranked.size(); rank++) {
       Candidate candidate = ranked.get(rank);
       double expected = expectedMillis(candidate);
-      double score = expected + penalty(candidate) + fetchCost(candidate, rank);
-      score += harm(candidate, limits) + lateness(expected, limits);
-      score -= candidate.runner().id().equals(waitingAt) ? settings.moveMillis() : 0;
+      double score = expected + riskPenalty(candidate) + loadPenalty(candidate, rank);
+      score += pausePenalty(candidate, limits) + latePenalty(expected, limits);
+      score -= candidate.runner().id().equals(waitingAt) ? settings.moveThresholdMillis() : 0;
       if (score < bestScore) {
         bestScore = score;
         best = new Choice(candidate, expected);
@@ -81,18 +81,18 @@
    * <p>While an adapter is on its way the prompts ahead are read and slots become free.
    */
   public double expectedMillis(Candidate candidate) {
-    long ahead = candidate.unreadAheadTokens() + candidate.heldAheadTokens();
+    long ahead = candidate.unreadAheadTokens() + candidate.queuedAheadTokens();
     long overSlots = Math.max(0, candidate.inFlight() + 1 - candidate.runner().slots());
     double queue = ahead / settings.readTokensPerMilli() + overSlots * settings.slotWaitMillis();
     double expected =
         Math.max(queue, (double) candidate.adapterWaitMillis())
             + candidate.unreadTokens() / settings.readTokensPerMilli()
             + candidate.inFlight() * settings.perRequestMillis();
-    if (candidate.present()) {
+    if (candidate.heldOrLoading()) {
       return expected;
     }
-    expected += candidate.roomForAdapter() ? 0 : settings.noRoomMillis();
-    expected += candidate.ordered() ? 0 : settings.unorderedMillis();
+    expected += candidate.hasRoom() ? 0 : settings.noRoomMillis();
+    expected += candidate.hasHolder() ? 0 : settings.noHolderMillis();
     return expected;
   }
 
@@ -105,19 +105,19 @@
    * accept a shorter pause get their whole stream too late. So no more is sent than the streams can
    * bear, and the next prompt waits here until the ones ahead are read.
    */
-  public boolean mayRead(Candidate candidate, StreamLimits limits) {
+  public boolean mayStartReading(Candidate candidate, StreamLimits limits) {
     return candidate.unreadAheadTokens() == 0
         || !pausesStreams(limits, candidate.unreadAheadTokens() + candidate.unreadTokens());
   }
 
   /** Returns whether reading so many tokens at a stretch pauses a runner's streams for too long. */
   private boolean pausesStreams(StreamLimits limits, long tokens) {
-    double pieceMillis = settings.pieceTokens() / settings.pieceTokensPerMilli();
-    if (limits.pauseMillis() <= 0 || limits.tokensPerEvent() * pieceMillis < limits.pauseMillis()) {
+    double pieceMillis = settings.chunkTokens() / settings.chunkTokensPerMilli();
+    if (limits.maxPauseMillis() <= 0 || limits.tokensPerEvent() * pieceMillis < limits.maxPauseMillis()) {
       return false;
     }
-    long bearableMillis = limits.pauseMillis() - settings.pauseMarginMillis();
-    return tokens > bearableMillis * settings.pieceTokensPerMilli();
+    long bearableMillis = limits.maxPauseMillis() - settings.pauseMarginMillis();
+    return tokens > bearableMillis * settings.chunkTokensPerMilli();
   }
 
   /**
@@ -125,29 +125,29 @@
    * the runner with the fewest streams, such prompts come together on a few runners, and the short
    * answers on the others.
    */
-  private double harm(Candidate candidate, StreamLimits limits) {
+  private double pausePenalty(Candidate candidate, StreamLimits limits) {
     return pausesStreams(limits, candidate.unreadTokens())
-        ? candidate.inFlight() * settings.harmMillis()
+        ? candidate.inFlight() * settings.pausePenaltyMillis()
         : 0;
   }
 
-  private double penalty(Candidate candidate) {
-    return candidate.failureRate() * settings.failureMillis()
-        + (candidate.vanished() ? settings.vanishedMillis() : 0)
-        + (candidate.near() ? 0 : settings.farMillis());
+  private double riskPenalty(Candidate candidate) {
+    return candidate.failureRate() * settings.failurePenaltyMillis()
+        + (candidate.vanished() ? settings.vanishedPenaltyMillis() : 0)
+        + (candidate.sameFailureDomain() ? 0 : settings.otherDomainPenaltyMillis());
   }
 
   /**
    * What it costs the caller to get the first event after its target latency: the answer is worth
    * less than a third then. The expected time is not exact, so the cost begins before the target.
    */
-  private double lateness(double expectedMillis, StreamLimits limits) {
-    if (limits.inTimeMillis() <= 0) {
+  private double latePenalty(double expectedMillis, StreamLimits limits) {
+    if (limits.timeToTargetMillis() <= 0) {
       return 0;
     }
-    double used = expectedMillis / limits.inTimeMillis();
-    double risk = (used - SAFE_PART) / (LATE_PART - SAFE_PART);
-    return settings.lateMillis() * Math.max(0, Math.min(1, risk));
+    double used = expectedMillis / limits.timeToTargetMillis();
+    double risk = (used - SAFE_FRACTION) / (LATE_FRACTION - SAFE_FRACTION);
+    return settings.latePenaltyMillis() * Math.max(0, Math.min(1, risk));
   }
 
   /**
@@ -157,11 +157,11 @@
    * an adapter has a first runner, and others only in their order: what a runner dropped then lies
    * where the adapter is asked for again, and hosts that decide at the same moment agree.
    */
-  private double fetchCost(Candidate candidate, int rank) {
-    if (candidate.present() || candidate.kept()) {
+  private double loadPenalty(Candidate candidate, int rank) {
+    if (candidate.heldOrLoading() || candidate.warm()) {
       return 0;
     }
-    double cost = settings.fetchMillis() + Math.min(rank, MAX_RANK) * settings.rankMillis();
+    double cost = settings.loadPenaltyMillis() + Math.min(rank, MAX_RANK) * settings.rankPenaltyMillis();
     // An adapter that many use at once pays for a second runner soon.
     return cost / (1 + candidate.adapterUses());
   }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/PlacementSettings.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/PlacementSettings.java
@@ -7,17 +7,17 @@
  * @param slotWaitMillis wait for each request that is ahead beyond the runner's slots
  * @param perRequestMillis how much each request that runs there slows the others
  * @param noRoomMillis wait for a place when all adapters of a runner are in use
- * @param unorderedMillis wait for a host that may order the runner
- * @param failureMillis cost of a request that certainly fails
- * @param vanishedMillis cost of a runner that may be gone
- * @param farMillis cost of leaving the failure domain; bytes between domains are dear
- * @param fetchMillis cost, beyond the wait, of bringing an adapter to a runner
- * @param moveMillis what a request that waits must gain to wait elsewhere: one load
- * @param rankMillis the same for each runner before it in the adapter's order
- * @param pieceTokens prompt tokens that a runner reads in one step
- * @param pieceTokensPerMilli how fast it reads them, with what long contexts cost
- * @param lateMillis cost of a first event after its target latency
- * @param harmMillis cost of pausing one stream for too long
+ * @param noHolderMillis wait for a host that may order the runner
+ * @param failurePenaltyMillis cost of a request that certainly fails
+ * @param vanishedPenaltyMillis cost of a runner that may be gone
+ * @param otherDomainPenaltyMillis cost of leaving the failure domain; bytes between domains are dear
+ * @param loadPenaltyMillis cost, beyond the wait, of bringing an adapter to a runner
+ * @param moveThresholdMillis what a request that waits must gain to wait elsewhere: one load
+ * @param rankPenaltyMillis the same for each runner before it in the adapter's order
+ * @param chunkTokens prompt tokens that a runner reads in one step
+ * @param chunkTokensPerMilli how fast it reads them, with what long contexts cost
+ * @param latePenaltyMillis cost of a first event after its target latency
+ * @param pausePenaltyMillis cost of pausing one stream for too long
  * @param pauseMarginMillis part of a bearable pause that is left for steps and the network
  */
 public record PlacementSettings(
@@ -25,17 +25,17 @@
     long slotWaitMillis,
     double perRequestMillis,
     long noRoomMillis,
-    long unorderedMillis,
-    long failureMillis,
-    long vanishedMillis,
-    long farMillis,
-    long fetchMillis,
-    long moveMillis,
-    long rankMillis,
-    int pieceTokens,
-    double pieceTokensPerMilli,
-    long lateMillis,
-    long harmMillis,
+    long noHolderMillis,
+    long failurePenaltyMillis,
+    long vanishedPenaltyMillis,
+    long otherDomainPenaltyMillis,
+    long loadPenaltyMillis,
+    long moveThresholdMillis,
+    long rankPenaltyMillis,
+    int chunkTokens,
+    double chunkTokensPerMilli,
+    long latePenaltyMillis,
+    long pausePenaltyMillis,
     long pauseMarginMillis) {
 
   /**
--- a/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/PromptMemory.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/PrefixCacheEstimate.java
@@ -14,7 +14,7 @@
  * <p>A part is reused only for the same model and adapter and if all parts before it are kept too,
  * so a part is known by everything up to its end. The least recently used parts yield.
  */
-public final class PromptMemory {
+public final class PrefixCacheEstimate {
 
   private final long capacityTokens;
   private final LinkedHashMap<String, Integer> parts = new LinkedHashMap<>(16, 0.75f, true);
@@ -25,7 +25,7 @@
    *
    * @param capacityTokens how many tokens to believe in
    */
-  public PromptMemory(long capacityTokens) {
+  public PrefixCacheEstimate(long capacityTokens) {
     checkArgument(capacityTokens > 0, "capacityTokens must be above 0, was %s", capacityTokens);
     this.capacityTokens = capacityTokens;
   }
@@ -45,7 +45,7 @@
   }
 
   /** Records that the runner reads this prompt. */
-  public void read(Generation generation) {
+  public void recordRead(Generation generation) {
     StringBuilder key = new StringBuilder(generation.target());
     for (PromptPart part : generation.parts()) {
       key.append('|').append(part.id());
@@ -61,7 +61,7 @@
   }
 
   /** Forgets what was kept for a model or adapter that the runner dropped. */
-  public void drop(String target) {
+  public void forget(String target) {
     Iterator<Map.Entry<String, Integer>> each = parts.entrySet().iterator();
     while (each.hasNext()) {
       Map.Entry<String, Integer> part = each.next();
--- a/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/RunnerHealth.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/RunnerHealth.java
@@ -7,7 +7,7 @@
 public final class RunnerHealth {
 
   /** Weight of the newest result; about the last eight results decide. */
-  private static final double NEWEST = 0.12;
+  private static final double NEWEST_WEIGHT = 0.12;
 
   /** Failures are forgiven by half in this time (ms), so that a runner is tried again. */
   private static final double HALF_LIFE_MILLIS = 1_500;
@@ -18,15 +18,15 @@
 
   /** Records a good result and how long it took. */
   public void succeeded(long tookMillis, long nowMillis) {
-    failures = failureRate(nowMillis) * (1 - NEWEST);
+    failures = failureRate(nowMillis) * (1 - NEWEST_WEIGHT);
     updatedMillis = nowMillis;
     latencyMillis =
-        latencyMillis == 0 ? tookMillis : latencyMillis + NEWEST * (tookMillis - latencyMillis);
+        latencyMillis == 0 ? tookMillis : latencyMillis + NEWEST_WEIGHT * (tookMillis - latencyMillis);
   }
 
   /** Records a failure that the runner caused. */
   public void failed(long nowMillis) {
-    failures = failureRate(nowMillis) * (1 - NEWEST) + NEWEST;
+    failures = failureRate(nowMillis) * (1 - NEWEST_WEIGHT) + NEWEST_WEIGHT;
     updatedMillis = nowMillis;
   }
 
--- a/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/ServicePlacement.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/ServicePlacement.java
@@ -51,8 +51,8 @@
     return work
         + waiting
         + crowding
-        + candidate.failureRate() * settings.failureMillis()
-        + (candidate.vanished() ? settings.vanishedMillis() : 0)
-        + (candidate.near() ? 0 : settings.farMillis());
+        + candidate.failureRate() * settings.failurePenaltyMillis()
+        + (candidate.vanished() ? settings.vanishedPenaltyMillis() : 0)
+        + (candidate.sameFailureDomain() ? 0 : settings.otherDomainPenaltyMillis());
   }
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/Shutdown.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/Shutdown.java
@@ -9,26 +9,26 @@
  * the process, and its caller cannot tell whether it ran; refused at once, it is served by another
  * host.
  *
- * @param askedMillis when the host was asked to stop
+ * @param requestedMillis when the host was asked to stop
  * @param graceMillis how long after that the platform kills the process
  */
-public record Shutdown(long askedMillis, long graceMillis) {
+public record Shutdown(long requestedMillis, long graceMillis) {
 
   /**
    * The process ends after this part of the grace time, whatever is in progress: what is left over
    * of 8 s covers a slow host's exit (0.6 s were too few).
    */
-  private static final double END_PART = 0.86;
+  private static final double END_FRACTION = 0.86;
 
   /**
    * Until this part of the grace time all requests are taken: most callers have not asked for new
    * addresses yet, and answers take a tenth of what is left then (0.4 of 4.1 s). Later ones are
    * only taken if their whole time fits: one sent 3.3 s after the signal was cut unanswered.
    */
-  private static final double TAKE_ALL_PART = 0.35;
+  private static final double ACCEPT_ALL_FRACTION = 0.35;
 
   /** Requests that have no answer this long before the end get their final status (ms). */
-  private static final long LAST_WORD_MILLIS = 150;
+  private static final long FINAL_STATUS_MARGIN_MILLIS = 150;
 
   /** Checks the arguments. */
   public Shutdown {
@@ -37,14 +37,14 @@
 
   /** Returns when the process ends. */
   public long endMillis() {
-    return askedMillis + (long) (graceMillis * END_PART);
+    return requestedMillis + (long) (graceMillis * END_FRACTION);
   }
 
   /**
    * Returns when requests that are still without an answer get a status, whatever they wait for.
    */
-  public long lastWordMillis() {
-    return endMillis() - LAST_WORD_MILLIS;
+  public long finalStatusMillis() {
+    return endMillis() - FINAL_STATUS_MARGIN_MILLIS;
   }
 
   /**
@@ -52,12 +52,12 @@
    *
    * @param wantedMillis the longest time that its caller and its route allow it
    */
-  public boolean takes(long wantedMillis, long nowMillis) {
-    return isFirstPart(nowMillis) || nowMillis + wantedMillis <= lastWordMillis();
+  public boolean accepts(long wantedMillis, long nowMillis) {
+    return acceptsAll(nowMillis) || nowMillis + wantedMillis <= finalStatusMillis();
   }
 
   /** Returns whether requests are still taken that the first part of the grace time allows. */
-  public boolean isFirstPart(long nowMillis) {
-    return nowMillis < askedMillis + (long) (graceMillis * TAKE_ALL_PART);
+  public boolean acceptsAll(long nowMillis) {
+    return nowMillis < requestedMillis + (long) (graceMillis * ACCEPT_ALL_FRACTION);
   }
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/StreamLimits.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/StreamLimits.java
@@ -3,9 +3,9 @@
 /**
  * What the streams of a service bear.
  *
- * @param pauseMillis the longest pause between two events that callers accept; 0 if none said
+ * @param maxPauseMillis the longest pause between two events that callers accept; 0 if none said
  * @param tokensPerEvent tokens of one event, each of which takes a step
- * @param inTimeMillis how much longer the first event may take to be in time; not above 0 if it is
+ * @param timeToTargetMillis how much longer the first event may take to be in time; not above 0 if it is
  *     late already
  */
-public record StreamLimits(long pauseMillis, int tokensPerEvent, long inTimeMillis) {}
+public record StreamLimits(long maxPauseMillis, int tokensPerEvent, long timeToTargetMillis) {}
--- a/sequoia-core/src/test/java/org/sequoiahub/core/dispatch/FleetLoadTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/dispatch/FleetLoadTest.java
@@ -27,15 +27,15 @@
     @Test
     void coverThisHostAndTheSourcesAskedFor() {
       loads.add(RUNNER, 1, 10, 0, "m/a1");
-      loads.told("near", use(2), true, 1_000);
-      loads.told("far", use(4), true, 1_000);
+      loads.update("near", use(2), true, 1_000);
+      loads.update("far", use(4), true, 1_000);
       FleetLoad.Use sum = loads.sums(source -> source.equals("near"), 1_100).get(RUNNER);
       assertThat(sum).isEqualTo(new FleetLoad.Use(3, 210, 0, Map.of("m/a1", 3)));
     }
 
     @Test
     void leaveOutWhatIsOld() {
-      loads.told("dead", use(2), true, 1_000);
+      loads.update("dead", use(2), true, 1_000);
       assertThat(loads.sums(source -> true, 10_000)).isEmpty();
     }
   }
@@ -65,14 +65,14 @@
         } else {
           Map<String, FleetLoad.Use> uses =
               Map.of(runner, new FleetLoad.Use(requests, 0, 0, Map.of(adapter, requests)));
-          some.told("host-" + code % 4, uses, code % 7 == 0, now);
+          some.update("host-" + code % 4, uses, code % 7 == 0, now);
         }
         for (String target : List.of("m/a0", "m/a1")) {
           int sum = 0;
           for (String each : List.of("i-0", "i-1", "i-2")) {
             sum += some.uses(each, target, now);
           }
-          assertThat(some.usesEverywhere(target, now)).isEqualTo(sum);
+          assertThat(some.totalUses(target, now)).isEqualTo(sum);
         }
       }
     }
@@ -90,7 +90,7 @@
     @Test
     void doesNotCountTheOwnPartTwice() {
       loads.add(RUNNER, 3, 300, 0, "m/a1");
-      loads.toldWhole(use(5), 1_000);
+      loads.replaceWithTotals(use(5), 1_000);
       assertThat(loads.requests(RUNNER, 1_000)).isEqualTo(5);
       assertThat(loads.unreadTokens(RUNNER, 1_000)).isEqualTo(500);
     }
@@ -98,15 +98,15 @@
     @Test
     void mayBeOlderThanTheOwnPart() {
       loads.add(RUNNER, 3, 300, 0, "m/a1");
-      loads.toldWhole(use(1), 1_000);
+      loads.replaceWithTotals(use(1), 1_000);
       assertThat(loads.requests(RUNNER, 1_000)).isEqualTo(3);
     }
 
     @Test
     void givesWayToItsParts() {
-      loads.toldWhole(use(5), 1_000);
-      loads.forgetWhole();
-      loads.told("group a", use(2), true, 1_000);
+      loads.replaceWithTotals(use(5), 1_000);
+      loads.removeTotals();
+      loads.update("group a", use(2), true, 1_000);
       assertThat(loads.requests(RUNNER, 1_000)).isEqualTo(2);
     }
   }
--- a/sequoia-core/src/test/java/org/sequoiahub/core/dispatch/GenerationPlacementTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/dispatch/GenerationPlacementTest.java
@@ -159,7 +159,7 @@
     @Test
     void isNotHeldBackWhereStreamsBearIt() {
       assertThat(
-              placement.mayRead(
+              placement.mayStartReading(
                   candidate("r", true, 30_000, PROMPT), new StreamLimits(600, 4, 1_000)))
           .isTrue();
     }
@@ -167,7 +167,7 @@
     @Test
     void isNeverHeldBackAtAnIdleRunner() {
       assertThat(
-              placement.mayRead(candidate("r", true, 0, 40_000), new StreamLimits(500, 5, 1_000)))
+              placement.mayStartReading(candidate("r", true, 0, 40_000), new StreamLimits(500, 5, 1_000)))
           .isTrue();
     }
 
@@ -213,7 +213,7 @@
         }
         while (held > 0
             && (!pace
-                || placement.mayRead(
+                || placement.mayStartReading(
                     candidate("r", true, believed, PROMPT), new StreamLimits(500, 5, 1_000)))) {
           held--;
           unread += PROMPT;
--- a/sequoia-core/src/test/java/org/sequoiahub/core/dispatch/ShutdownTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/dispatch/ShutdownTest.java
@@ -26,17 +26,17 @@
   class LateRequests {
     @Test
     void streamThatMayOutliveTheProcessIsRefused() {
-      assertThat(SHUTDOWN.takes(5_000, 30_559)).isFalse();
+      assertThat(SHUTDOWN.accepts(5_000, 30_559)).isFalse();
     }
 
     @Test
     void shortRequestIsStillTaken() {
-      assertThat(SHUTDOWN.takes(800, 30_559)).isTrue();
+      assertThat(SHUTDOWN.accepts(800, 30_559)).isTrue();
     }
 
     @Test
     void callersWithTheAddressInHandAreServedAtFirst() {
-      assertThat(SHUTDOWN.takes(5_000, ASKED + 1_000)).isTrue();
+      assertThat(SHUTDOWN.accepts(5_000, ASKED + 1_000)).isTrue();
     }
   }
 
@@ -48,7 +48,7 @@
       @ForAll @IntRange(max = 30_000) int after) {
     Shutdown shutdown = new Shutdown(ASKED, grace);
     long now = ASKED + after;
-    if (shutdown.takes(wanted, now) && !shutdown.isFirstPart(now)) {
+    if (shutdown.accepts(wanted, now) && !shutdown.acceptsAll(now)) {
       assertThat(now + wanted).isLessThan(shutdown.endMillis());
     }
     assertThat(shutdown.endMillis()).isLessThan(ASKED + grace);
--- a/sequoia-node/src/main/java/org/sequoiahub/node/Node.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/Node.java
@@ -364,7 +364,7 @@
     boolean idle = false;
     while (MonotonicClock.SYSTEM.nowMillis() < shutdown.endMillis() && !idle) {
       TimeUnit.MILLISECONDS.sleep(50);
-      idle = !shutdown.isFirstPart(MonotonicClock.SYSTEM.nowMillis()) && inProgress() == 0;
+      idle = !shutdown.acceptsAll(MonotonicClock.SYSTEM.nowMillis()) && inProgress() == 0;
     }
     log.info("stopped", "in_progress", inProgress());
   }
@@ -572,7 +572,7 @@
 
   private void stateOf(String from, HostState state) {
     long now = MonotonicClock.SYSTEM.nowMillis();
-    loads.told(from, StateCodec.uses(state.getLoadsList()), state.getLoadsComplete(), now);
+    loads.update(from, StateCodec.uses(state.getLoadsList()), state.getLoadsComplete(), now);
     StateCodec.holdings(from, state, now).forEach(holdings::update);
     wordOf(from, state);
   }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/FleetView.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/FleetView.java
@@ -14,7 +14,7 @@
 import org.sequoiahub.core.call.Generation;
 import org.sequoiahub.core.dispatch.Candidate;
 import org.sequoiahub.core.dispatch.FleetLoad;
-import org.sequoiahub.core.dispatch.PromptMemory;
+import org.sequoiahub.core.dispatch.PrefixCacheEstimate;
 import org.sequoiahub.core.dispatch.RunnerHealth;
 import org.sequoiahub.core.holding.ResidentAdapter;
 import org.sequoiahub.core.holding.Holdings;
@@ -53,7 +53,7 @@
   private final ToIntFunction<String> newestVersion;
   private final MissingListener missing;
   private final Map<String, RunnerHealth> health = new HashMap<>();
-  private final Map<String, PromptMemory> prompts = new HashMap<>();
+  private final Map<String, PrefixCacheEstimate> prompts = new HashMap<>();
   private final Map<String, Long> pauses = new HashMap<>();
   private final Map<String, Long> refusedUntil = new HashMap<>();
   private @Nullable RoutingTable table;
@@ -140,7 +140,7 @@
   }
 
   void sent(RunnerEntry runner, Generation generation) {
-    memory(runner).read(generation);
+    memory(runner).recordRead(generation);
   }
 
   /** Returns the runners of a service that may get requests. */
@@ -195,7 +195,7 @@
       long nowMillis) {
     boolean counted = countedTokens >= 0;
     int inFlight = loads.requests(runner.id(), nowMillis) - (counted ? 1 : 0);
-    long held = loads.heldTokens(runner.id(), nowMillis) - Math.max(0, countedTokens);
+    long held = loads.queuedTokens(runner.id(), nowMillis) - Math.max(0, countedTokens);
     RunnerHealth results = health(runner);
     Residency residency = residency(runner, generation, nowMillis);
     return new Candidate(
@@ -237,7 +237,7 @@
   int adapterUses(@Nullable Generation generation, long nowMillis) {
     return generation == null || !generation.usesAdapter()
         ? 0
-        : loads.usesEverywhere(generation.target(), nowMillis);
+        : loads.totalUses(generation.target(), nowMillis);
   }
 
   private record Residency(
@@ -289,13 +289,13 @@
     return Residency.absent(queue + bring, room, ordered);
   }
 
-  private PromptMemory memory(RunnerEntry runner) {
+  private PrefixCacheEstimate memory(RunnerEntry runner) {
     return prompts.computeIfAbsent(
         runner.id(),
         id -> {
           long tokens =
               engine(runner.service()).map(EngineSpec::cacheTokens).orElse(DEFAULT_CACHE_TOKENS);
-          return new PromptMemory(Math.max(1, (long) (tokens * KEPT_PART)));
+          return new PrefixCacheEstimate(Math.max(1, (long) (tokens * KEPT_PART)));
         });
   }
 
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/RequestCoordinator.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/RequestCoordinator.java
@@ -23,7 +23,7 @@
 import org.sequoiahub.core.dispatch.GenerationPlacement;
 import org.sequoiahub.core.dispatch.PlacementSettings;
 import org.sequoiahub.core.dispatch.RetryRule;
-import org.sequoiahub.core.dispatch.RetryRule.Ending;
+import org.sequoiahub.core.dispatch.RetryRule.AttemptOutcome;
 import org.sequoiahub.core.dispatch.ServicePlacement;
 import org.sequoiahub.core.dispatch.Shutdown;
 import org.sequoiahub.core.dispatch.StreamLimits;
@@ -186,11 +186,11 @@
     long wanted = Math.min(deadline, route.timeoutMillis());
     long end = now + wanted;
     if (shutdown != null) {
-      if (!shutdown.takes(wanted, now)) {
+      if (!shutdown.accepts(wanted, now)) {
         answers.refuse(exchange, headers, "stopping", BUSY_RETRY_MILLIS);
         return;
       }
-      end = Math.min(end, shutdown.lastWordMillis());
+      end = Math.min(end, shutdown.finalStatusMillis());
     }
     Optional<Admission.Denied> beyond = admission.charge(permitted, headers, now);
     if (beyond.isPresent()) {
@@ -281,7 +281,7 @@
     calls.forEach(
         call -> {
           call.exchange.closeAfterwards();
-          call.endBy(begun.lastWordMillis());
+          call.endBy(begun.finalStatusMillis());
         });
   }
 
@@ -349,7 +349,7 @@
       giveUp(call, "would be late", (long) choice.firstTokenMillis());
       return;
     }
-    Optional<Hold> load = candidate.present() ? Optional.empty() : loadHold(call, nowMillis);
+    Optional<Hold> load = candidate.heldOrLoading() ? Optional.empty() : loadHold(call, nowMillis);
     if (load.isPresent()) {
       quarantine.heldBack(call, load.get(), nowMillis);
       giveUp(
@@ -358,8 +358,8 @@
           load.get().untilMillis() - nowMillis);
       return;
     }
-    boolean there = candidate.present() && candidate.adapterWaitMillis() <= 0;
-    if (there && generations.mayRead(candidate, limits)) {
+    boolean there = candidate.heldOrLoading() && candidate.adapterWaitMillis() <= 0;
+    if (there && generations.mayStartReading(candidate, limits)) {
       start(call, candidate.runner(), candidate.unreadTokens(), nowMillis);
     } else {
       waitAt(call, candidate, nowMillis);
@@ -444,7 +444,7 @@
         "wait_ms",
         candidate.adapterWaitMillis(),
         "present",
-        candidate.present());
+        candidate.heldOrLoading());
     changed.run();
   }
 
@@ -598,7 +598,7 @@
       if (notSent.refused()) {
         quarantine.nobodyListens(running.runner, now);
       }
-      failed(call, running, Ending.NOT_SENT, notSent.why(), null, now);
+      failed(call, running, AttemptOutcome.NOT_SENT, notSent.why(), null, now);
     } else if (outcome instanceof Outcome.Lost lost) {
       call.runs++;
       fleet.health(running.runner).failed(now);
@@ -606,7 +606,7 @@
       if (lost.connectionBroke()) {
         quarantine.broken(call, running, now);
       }
-      failed(call, running, Ending.LOST, lost.why(), null, now);
+      failed(call, running, AttemptOutcome.LOST, lost.why(), null, now);
     }
   }
 
@@ -641,7 +641,7 @@
       return;
     }
     fleet.health(running.runner).failed(now);
-    failed(call, running, Ending.FAILED, "status " + answered.status(), answered, now);
+    failed(call, running, AttemptOutcome.FAILED, "status " + answered.status(), answered, now);
   }
 
   private void refused(Call call, Call.Running running, Outcome.Refused refused, long now) {
@@ -654,13 +654,13 @@
       call.tried.add(running.runner.id());
       fleet.health(running.runner).failed(now);
     }
-    failed(call, running, Ending.REFUSED, "refused " + refused.status(), null, now);
+    failed(call, running, AttemptOutcome.REFUSED, "refused " + refused.status(), null, now);
   }
 
   private void failed(
       Call call,
       Call.Running running,
-      Ending ending,
+      AttemptOutcome ending,
       String why,
       Outcome.@Nullable Answered answer,
       long now) {
@@ -681,21 +681,21 @@
         call.runs,
         "after_ms",
         now - call.arrivedMillis);
-    if (ending != Ending.REFUSED) {
+    if (ending != AttemptOutcome.REFUSED) {
       call.tried.add(running.runner.id());
     }
     if (!call.running.isEmpty()) {
       return;
     }
     boolean again =
-        RetryRule.mayOfferAgain(
+        RetryRule.mayRetry(
             ending,
             call.route.repetition(),
             call.sends,
             call.runs,
             call.route.maxAttempts(),
             call.endMillis() - now);
-    if (RetryRule.drawsOnBudget(ending)) {
+    if (RetryRule.usesRetryBudget(ending)) {
       call.retries.reachedRunner();
     }
     if (again && retries.maySendAgain(call, now)) {
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/DigestExchange.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/DigestExchange.java
@@ -241,10 +241,10 @@
   private void loadsTold(Digest digest, long nowMillis) {
     Map<String, FleetLoad.Use> uses = StateCodec.uses(digest.getLoadsList());
     if (!digest.getGroup().isEmpty()) {
-      loads.forgetWhole();
-      loads.told(GROUP_SOURCE + digest.getGroup(), uses, true, nowMillis);
+      loads.removeTotals();
+      loads.update(GROUP_SOURCE + digest.getGroup(), uses, true, nowMillis);
     } else if (!shape.isDelegate()) {
-      loads.toldWhole(uses, nowMillis);
+      loads.replaceWithTotals(uses, nowMillis);
     }
   }
 
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/StateCodec.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/StateCodec.java
@@ -40,7 +40,7 @@
             .setRunner(runner)
             .setRequests(use.requests())
             .setUnreadTokens((int) Math.min(Integer.MAX_VALUE, use.unreadTokens()))
-            .setHeldTokens((int) Math.min(Integer.MAX_VALUE, use.heldTokens()));
+            .setHeldTokens((int) Math.min(Integer.MAX_VALUE, use.queuedTokens()));
     if (withAdapters) {
       use.adapters()
           .forEach(
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/PeerWorld.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/PeerWorld.java
@@ -171,7 +171,7 @@
     }
 
     private void told(String from, HostState state) {
-      loads.told(from, StateCodec.uses(state.getLoadsList()), true, now);
+      loads.update(from, StateCodec.uses(state.getLoadsList()), true, now);
       word(from, state);
     }
 
