--- a/sequoia-cli/src/main/java/org/sequoiahub/cli/bench/PolicySimulation.java
+++ b/sequoia-cli/src/main/java/org/sequoiahub/cli/bench/PolicySimulation.java
@@ -200,17 +200,17 @@
   private void perform(SimulatedRunner runner, RunnerAction action) {
     if (action instanceof RunnerAction.Start start) {
       start(runner, start.request());
-    } else if (action instanceof RunnerAction.Refuse refuse) {
+    } else if (action instanceof RunnerAction.Reject refuse) {
       Waiting gone = waiting.remove(refuse.request().id());
       if (gone != null && gone.arrivedMillis >= Trace.WARM_UP_MILLIS) {
         figures.refused();
       }
-    } else if (action instanceof RunnerAction.AskTurn ask) {
+    } else if (action instanceof RunnerAction.RequestLoadTurn ask) {
       TurnKey key = new TurnKey(runner.runner.id(), ask.adapter());
-      turns.ask(key, ask.waiting(), ask.interactive(), now);
+      turns.request(key, ask.waiting(), ask.interactive(), now);
       grantTurns();
-    } else if (action instanceof RunnerAction.ReturnTurn back) {
-      turns.done(new TurnKey(runner.runner.id(), back.adapter()));
+    } else if (action instanceof RunnerAction.ReleaseLoadTurn back) {
+      turns.release(new TurnKey(runner.runner.id(), back.adapter()));
       grantTurns();
     } else if (action instanceof RunnerAction.Load load) {
       load(runner, load.adapter());
@@ -255,7 +255,7 @@
 
   private void end(SimulatedRunner runner, String id) {
     runner.running.remove(id);
-    runner.controller.ended(id, now);
+    runner.controller.requestEnded(id, now);
     Waiting ended = waiting.remove(id);
     if (ended != null) {
       RunnerHints own = hints.get(ended.entry);
@@ -305,7 +305,7 @@
     at(
         now + 1,
         () -> {
-          runner.controller.reported(
+          runner.controller.applyReport(
               new EngineReport(now, Set.of(), Set.of(), Map.of()), SOLE, now);
           settle(runner);
           again.forEach(request -> offer(request, new HashSet<>()));
@@ -320,7 +320,7 @@
   private void grantTurns() {
     for (TurnKey key : turns.grant(now)) {
       SimulatedRunner runner = target(key.runner);
-      runner.controller.turnGranted(key.adapter);
+      runner.controller.loadTurnGranted(key.adapter);
       at(now, () -> settle(runner));
     }
   }
--- a/sequoia-cli/src/main/java/org/sequoiahub/cli/bench/SlopesCommand.java
+++ b/sequoia-cli/src/main/java/org/sequoiahub/cli/bench/SlopesCommand.java
@@ -128,7 +128,7 @@
               EngineReport one = reports[i % 2];
               controllers
                   .get(i % size)
-                  .reported(
+                  .applyReport(
                       new EngineReport(i + 10, one.resident(), one.loading(), one.active()),
                       SOLE,
                       i + 10);
@@ -143,7 +143,7 @@
                   new RunnerRequest(id, adapter(i % 8), Priority.INTERACTIVE, i + 900_000L),
                   i + 100L);
               controller.decide(SOLE, i + 100L);
-              controller.ended(id, i + 101L);
+              controller.requestEnded(id, i + 101L);
               controller.decide(SOLE, i + 101L);
             });
     line(
@@ -299,7 +299,7 @@
 
   private static RunnerController controller() {
     RunnerController controller = new RunnerController(8, 16, PolicySettings.ashcombe());
-    controller.reported(report(), SOLE, 2);
+    controller.applyReport(report(), SOLE, 2);
     return controller;
   }
 
--- a/sequoia-cli/src/test/java/org/sequoiahub/cli/bench/HotDecisionBenchmark.java
+++ b/sequoia-cli/src/test/java/org/sequoiahub/cli/bench/HotDecisionBenchmark.java
@@ -79,7 +79,7 @@
     controllers = new ArrayList<>();
     for (int i = 0; i < runners; i++) {
       RunnerController controller = new RunnerController(SLOTS, BATCH, PolicySettings.ashcombe());
-      controller.reported(
+      controller.applyReport(
           new EngineReport(1, Set.of(names[0], names[1]), Set.of(), Map.of()), SOLE, 2);
       controllers.add(controller);
     }
@@ -100,7 +100,7 @@
     String id = "r" + number;
     controller.offer(new RunnerRequest(id, names[0], Priority.INTERACTIVE, now + 60_000), now);
     List<RunnerAction> started = controller.decide(SOLE, now);
-    controller.ended(id, now + 1);
+    controller.requestEnded(id, now + 1);
     return started;
   }
 
@@ -123,13 +123,13 @@
         steps++;
       }
     }
-    controller.ended(id, now + 1);
+    controller.requestEnded(id, now + 1);
     return steps;
   }
 
   private static void perform(RunnerController controller, RunnerAction action, long now) {
-    if (action instanceof RunnerAction.AskTurn ask) {
-      controller.turnGranted(ask.adapter());
+    if (action instanceof RunnerAction.RequestLoadTurn ask) {
+      controller.loadTurnGranted(ask.adapter());
     } else if (action instanceof RunnerAction.Load load) {
       controller.loadAnswered(load.adapter(), OrderResult.DONE, now);
     } else if (action instanceof RunnerAction.Unload unload) {
--- a/sequoia-core/src/main/java/org/sequoiahub/core/load/LoadTurns.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/load/LoadTurns.java
@@ -27,8 +27,8 @@
 
   private final double spacingMillis;
   private final long turnLimitMillis;
-  private final int atOnce;
-  private final Map<T, Ask> waiting = new LinkedHashMap<>();
+  private final int maxGranted;
+  private final Map<T, TurnRequest> waiting = new LinkedHashMap<>();
   private final Map<T, Long> granted = new LinkedHashMap<>();
   private double nextGrantMillis = Double.NEGATIVE_INFINITY;
 
@@ -44,27 +44,27 @@
     checkArgument(atOnce > 0, "atOnce must be above 0");
     checkArgument(turnLimitMillis > 0, "turnLimitMillis must be above 0");
     this.spacingMillis = MILLIS_PER_SECOND / loadsPerSecond;
-    this.atOnce = atOnce;
+    this.maxGranted = atOnce;
     this.turnLimitMillis = turnLimitMillis;
   }
 
   /** Asks for a turn; asking again renews the numbers and keeps the age. */
-  public void ask(T who, int requestsWaiting, boolean urgent, long nowMillis) {
-    Ask earlier = waiting.get(who);
+  public void request(T who, int requestsWaiting, boolean urgent, long nowMillis) {
+    TurnRequest earlier = waiting.get(who);
     long since = earlier == null ? nowMillis : earlier.sinceMillis;
     if (!granted.containsKey(who)) {
-      waiting.put(who, new Ask(requestsWaiting, urgent, since));
+      waiting.put(who, new TurnRequest(requestsWaiting, urgent, since));
     }
   }
 
   /** Takes back an ask, or ends a turn. */
-  public void done(T who) {
+  public void release(T who) {
     waiting.remove(who);
     granted.remove(who);
   }
 
   /** Withdraws the asks and ends the turns of those that {@code gone} names. */
-  public void withdrawIf(Predicate<T> gone) {
+  public void releaseIf(Predicate<T> gone) {
     waiting.keySet().removeIf(gone);
     granted.keySet().removeIf(gone);
   }
@@ -73,7 +73,7 @@
   public List<T> grant(long nowMillis) {
     granted.values().removeIf(since -> nowMillis - since >= turnLimitMillis);
     List<T> now = new ArrayList<>();
-    while (granted.size() < atOnce && nowMillis >= nextGrantMillis) {
+    while (granted.size() < maxGranted && nowMillis >= nextGrantMillis) {
       Optional<T> next = next(nowMillis);
       if (next.isEmpty()) {
         break;
@@ -93,13 +93,13 @@
 
   private Optional<T> next(long nowMillis) {
     return waiting.entrySet().stream()
-        .max(Comparator.comparingDouble(entry -> entry.getValue().worth(nowMillis)))
+        .max(Comparator.comparingDouble(entry -> entry.getValue().score(nowMillis)))
         .map(Map.Entry::getKey);
   }
 
-  private record Ask(int requests, boolean urgent, long sinceMillis) {
+  private record TurnRequest(int requests, boolean urgent, long sinceMillis) {
     /** Waiting time saved, roughly: more and older requests first, interactive ones before all. */
-    double worth(long nowMillis) {
+    double score(long nowMillis) {
       return (urgent ? URGENT_BONUS : 0) + requests * (double) (1 + nowMillis - sinceMillis);
     }
   }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/runner/Admission.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/runner/Admission.java
@@ -14,5 +14,5 @@
   record Admitted(long expectedWaitMillis, boolean resident) implements Admission {}
 
   /** It was refused and has not run. */
-  record Refused(NotRun verdict) implements Admission {}
+  record Rejected(NotRun verdict) implements Admission {}
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/runner/PolicySettings.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/runner/PolicySettings.java
@@ -9,7 +9,7 @@
  * @param orderLifetimeMillis how long an order or request of unknown outcome may still reach the
  *     engine after its connection was given up
  * @param requestLimitMillis no request outlives this
- * @param evictByValue whether the least popular adapter is evicted, else the least recently used
+ * @param evictByPopularity whether the least popular adapter is evicted, else the least recently used
  */
 public record PolicySettings(
     int queueLimit,
@@ -17,7 +17,7 @@
     long drainAfterMillis,
     long orderLifetimeMillis,
     long requestLimitMillis,
-    boolean evictByValue) {
+    boolean evictByPopularity) {
 
   /** Load stalls weigh most: slots turn over quickly. */
   public static PolicySettings ashcombe() {
@@ -37,6 +37,6 @@
         drainAfterMillis,
         orderLifetimeMillis,
         newRequestLimitMillis,
-        evictByValue);
+        evictByPopularity);
   }
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/runner/Popularity.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/runner/Popularity.java
@@ -17,21 +17,21 @@
 final class Popularity {
 
   private static final double HALF_LIFE_MILLIS = 300_000;
-  private static final double MEMORY_MILLIS = HALF_LIFE_MILLIS / Math.log(2);
-  private static final double GAPS_TO_HALF = 2;
-  private static final double FORGOTTEN = 0.01;
-  private static final int SWEEP_ABOVE = 256;
+  private static final double MEAN_LIFETIME_MILLIS = HALF_LIFE_MILLIS / Math.log(2);
+  private static final double HALF_LIFE_GAPS = 2;
+  private static final double NEGLIGIBLE_COUNT = 0.01;
+  private static final int MIN_SWEEP_SIZE = 256;
 
   private final Map<AdapterVersion, Count> counts = new HashMap<>();
-  private int sweepAt = SWEEP_ABOVE;
+  private int sweepSize = MIN_SWEEP_SIZE;
 
-  void requested(AdapterVersion adapter, long nowMillis) {
+  void recordRequest(AdapterVersion adapter, long nowMillis) {
     Count earlier = counts.get(adapter);
     double before = earlier == null ? 0 : earlier.at(nowMillis);
     counts.put(adapter, new Count(before + 1, nowMillis));
-    if (counts.size() > sweepAt) {
-      counts.values().removeIf(count -> count.at(nowMillis) < FORGOTTEN);
-      sweepAt = Math.max(SWEEP_ABOVE, 2 * counts.size());
+    if (counts.size() > sweepSize) {
+      counts.values().removeIf(count -> count.at(nowMillis) < NEGLIGIBLE_COUNT);
+      sweepSize = Math.max(MIN_SWEEP_SIZE, 2 * counts.size());
     }
   }
 
@@ -40,9 +40,9 @@
     if (count == null) {
       return 0;
     }
-    double usualGapMillis = MEMORY_MILLIS / count.value;
+    double usualGapMillis = MEAN_LIFETIME_MILLIS / count.value;
     double gapsIdle = (nowMillis - count.atMillis) / usualGapMillis;
-    return count.at(nowMillis) * Math.pow(0.5, gapsIdle / GAPS_TO_HALF);
+    return count.at(nowMillis) * Math.pow(0.5, gapsIdle / HALF_LIFE_GAPS);
   }
 
   private record Count(double value, long atMillis) {
--- a/sequoia-core/src/main/java/org/sequoiahub/core/runner/RequestQueue.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/runner/RequestQueue.java
@@ -16,7 +16,7 @@
 final class RequestQueue {
 
   private final long briefAgeMillis;
-  private final Map<AdapterVersion, LinkedHashMap<String, Queued>> byAdapter =
+  private final Map<AdapterVersion, LinkedHashMap<String, QueuedRequest>> byAdapter =
       new LinkedHashMap<>();
   private final Map<String, AdapterVersion> adapterOf = new LinkedHashMap<>();
 
@@ -27,7 +27,7 @@
   void add(RunnerRequest request, long nowMillis) {
     byAdapter
         .computeIfAbsent(request.adapter(), a -> new LinkedHashMap<>())
-        .put(request.id(), new Queued(request, nowMillis));
+        .put(request.id(), new QueuedRequest(request, nowMillis));
     adapterOf.put(request.id(), request.adapter());
   }
 
@@ -36,8 +36,8 @@
     if (adapter == null) {
       return Optional.empty();
     }
-    Map<String, Queued> group = byAdapter.getOrDefault(adapter, new LinkedHashMap<>());
-    Queued queued = group.remove(requestId);
+    Map<String, QueuedRequest> group = byAdapter.getOrDefault(adapter, new LinkedHashMap<>());
+    QueuedRequest queued = group.remove(requestId);
     if (group.isEmpty()) {
       byAdapter.remove(adapter);
     }
@@ -49,7 +49,7 @@
   }
 
   int waiting(AdapterVersion adapter) {
-    Map<String, Queued> group = byAdapter.get(adapter);
+    Map<String, QueuedRequest> group = byAdapter.get(adapter);
     return group == null ? 0 : group.size();
   }
 
@@ -63,11 +63,11 @@
 
   /** Returns the request to start next among the adapters that {@code startable} admits. */
   Optional<RunnerRequest> next(Predicate<AdapterVersion> startable, long nowMillis) {
-    Queued best = null;
-    for (Map.Entry<AdapterVersion, LinkedHashMap<String, Queued>> group : byAdapter.entrySet()) {
+    QueuedRequest best = null;
+    for (Map.Entry<AdapterVersion, LinkedHashMap<String, QueuedRequest>> group : byAdapter.entrySet()) {
       if (startable.test(group.getKey())) {
-        for (Queued queued : group.getValue().values()) {
-          best = better(best, queued, nowMillis);
+        for (QueuedRequest queued : group.getValue().values()) {
+          best = moreUrgent(best, queued, nowMillis);
         }
       }
     }
@@ -76,12 +76,12 @@
 
   /** Returns how long the oldest request for {@code adapter} has waited; 0 if none waits. */
   long oldestWait(AdapterVersion adapter, long nowMillis) {
-    Map<String, Queued> group = byAdapter.get(adapter);
+    Map<String, QueuedRequest> group = byAdapter.get(adapter);
     return group == null ? 0 : nowMillis - group.values().iterator().next().sinceMillis;
   }
 
   boolean hasUrgent(AdapterVersion adapter, long nowMillis) {
-    Map<String, Queued> group = byAdapter.get(adapter);
+    Map<String, QueuedRequest> group = byAdapter.get(adapter);
     return group != null && group.values().stream().anyMatch(q -> isUrgent(q, nowMillis));
   }
 
@@ -96,9 +96,9 @@
 
   private List<RunnerRequest> removeIf(Predicate<RunnerRequest> condition) {
     List<RunnerRequest> removed = new ArrayList<>();
-    Iterator<LinkedHashMap<String, Queued>> groups = byAdapter.values().iterator();
+    Iterator<LinkedHashMap<String, QueuedRequest>> groups = byAdapter.values().iterator();
     while (groups.hasNext()) {
-      Map<String, Queued> group = groups.next();
+      Map<String, QueuedRequest> group = groups.next();
       group
           .values()
           .removeIf(
@@ -117,7 +117,7 @@
     return removed;
   }
 
-  private Queued better(@Nullable Queued best, Queued queued, long nowMillis) {
+  private QueuedRequest moreUrgent(@Nullable QueuedRequest best, QueuedRequest queued, long nowMillis) {
     if (best == null) {
       return queued;
     }
@@ -129,10 +129,10 @@
   }
 
   /** A brief that has aged counts as interactive, so that interactive calls never starve it. */
-  private boolean isUrgent(Queued queued, long nowMillis) {
+  private boolean isUrgent(QueuedRequest queued, long nowMillis) {
     return queued.request.priority() == Priority.INTERACTIVE
         || nowMillis - queued.sinceMillis >= briefAgeMillis;
   }
 
-  private record Queued(RunnerRequest request, long sinceMillis) {}
+  private record QueuedRequest(RunnerRequest request, long sinceMillis) {}
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/runner/RunnerAction.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/runner/RunnerAction.java
@@ -10,17 +10,17 @@
   record Start(RunnerRequest request) implements RunnerAction {}
 
   /** Give the request its final answer now: it was not handed to the engine. */
-  record Refuse(RunnerRequest request, NotRun verdict) implements RunnerAction {}
+  record Reject(RunnerRequest request, NotRun verdict) implements RunnerAction {}
 
   /** Ask the engine to stop a running request. */
   record CancelRunning(RunnerRequest request) implements RunnerAction {}
 
   /** Ask the load-turn keeper for a turn. */
-  record AskTurn(AdapterVersion adapter, int waiting, boolean interactive)
+  record RequestLoadTurn(AdapterVersion adapter, int waiting, boolean interactive)
       implements RunnerAction {}
 
   /** Give a turn, asked for or granted, back. */
-  record ReturnTurn(AdapterVersion adapter) implements RunnerAction {}
+  record ReleaseLoadTurn(AdapterVersion adapter) implements RunnerAction {}
 
   /** Order the engine to load an adapter version. */
   record Load(AdapterVersion adapter) implements RunnerAction {}
--- a/sequoia-core/src/main/java/org/sequoiahub/core/runner/RunnerController.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/runner/RunnerController.java
@@ -33,27 +33,27 @@
 public final class RunnerController {
 
   /** A term that is never held: whose requests may run on the adapter is not known. */
-  private static final long UNPROVEN = 0;
+  private static final long NO_TERM = 0;
 
-  private static final double SMOOTHING = 0.2;
-  private static final long FIRST_SERVICE_MILLIS = 1_000;
-  private static final long FIRST_LOAD_MILLIS = 1_000;
+  private static final double NEWEST_WEIGHT = 0.2;
+  private static final long INITIAL_SERVICE_MILLIS = 1_000;
+  private static final long INITIAL_LOAD_MILLIS = 1_000;
   private static final long MIN_RETRY_AFTER_MILLIS = 100;
 
   private final int slotCount;
   private final int batch;
   private final PolicySettings policy;
   private final Map<AdapterVersion, Slot> slots = new LinkedHashMap<>();
-  private final Map<String, Running> running = new LinkedHashMap<>();
-  private final Map<AdapterVersion, Long> quarantinedUntil = new HashMap<>();
-  private final Map<AdapterVersion, Long> loadAgainFrom = new HashMap<>();
+  private final Map<String, RunningRequest> running = new LinkedHashMap<>();
+  private final Map<AdapterVersion, Long> quarantinedUntilMillis = new HashMap<>();
+  private final Map<AdapterVersion, Long> retryLoadFromMillis = new HashMap<>();
   private final RequestQueue queue;
   private final Popularity popularity = new Popularity();
   private final List<RunnerAction> actions = new ArrayList<>();
-  private @Nullable PendingLoad pending;
+  private @Nullable PendingLoad pendingLoad;
   private long lastSampleMillis = Long.MIN_VALUE;
-  private double serviceMillis = FIRST_SERVICE_MILLIS;
-  private double loadMillis = FIRST_LOAD_MILLIS;
+  private double serviceMillis = INITIAL_SERVICE_MILLIS;
+  private double loadMillis = INITIAL_LOAD_MILLIS;
 
   /**
    * Creates the controller of a runner about which nothing is known yet.
@@ -74,19 +74,19 @@
   /** Offers a request; it is queued or refused at once. */
   public Admission offer(RunnerRequest request, long nowMillis) {
     if (queue.contains(request.id()) || running.containsKey(request.id())) {
-      return refused("duplicate-request", "a request with this id is already here", 0);
+      return rejected("duplicate-request", "a request with this id is already here", 0);
     }
     if (request.deadlineMillis() <= nowMillis) {
-      return refused("deadline-passed", "the deadline passed before the request was queued", 0);
+      return rejected("deadline-passed", "the deadline passed before the request was queued", 0);
     }
     long wait = expectedWaitMillis(request.adapter(), nowMillis);
     if (queue.size() >= policy.queueLimit()) {
-      return refused("queue-full", "the runner's queue is full; repeat later", wait);
+      return rejected("queue-full", "the runner's queue is full; repeat later", wait);
     }
     if (nowMillis + wait >= request.deadlineMillis()) {
-      return refused("too-late", "the queue is longer than the deadline; repeat later", wait);
+      return rejected("too-late", "the queue is longer than the deadline; repeat later", wait);
     }
-    popularity.requested(request.adapter(), nowMillis);
+    popularity.recordRequest(request.adapter(), nowMillis);
     queue.add(request, nowMillis);
     return new Admission.Admitted(wait, isReady(request.adapter()));
   }
@@ -100,34 +100,34 @@
     if (queue.remove(requestId).isPresent()) {
       return true;
     }
-    Running found = running.get(requestId);
-    if (found != null && !found.cancelAsked) {
-      found.cancelAsked = true;
+    RunningRequest found = running.get(requestId);
+    if (found != null && !found.cancelRequested) {
+      found.cancelRequested = true;
       actions.add(new RunnerAction.CancelRunning(found.request));
     }
     return false;
   }
 
   /** Records that the engine's end marker, or its confirmation of a cancel, was seen. */
-  public void ended(String requestId, long nowMillis) {
-    Running ended = running.remove(requestId);
+  public void requestEnded(String requestId, long nowMillis) {
+    RunningRequest ended = running.remove(requestId);
     if (ended != null) {
-      serviceMillis += SMOOTHING * (nowMillis - ended.sinceMillis - serviceMillis);
-      usedNow(ended.request.adapter(), nowMillis);
+      serviceMillis += NEWEST_WEIGHT * (nowMillis - ended.sinceMillis - serviceMillis);
+      markUsed(ended.request.adapter(), nowMillis);
     }
   }
 
   /** Records that nobody can tell whether the request still runs: its pin stays. */
-  public void uncertain(String requestId, long nowMillis) {
-    Running doubtful = running.get(requestId);
+  public void requestUncertain(String requestId, long nowMillis) {
+    RunningRequest doubtful = running.get(requestId);
     if (doubtful != null) {
       doubtful.uncertainSinceMillis = nowMillis;
     }
   }
 
   /** Records that a running request is being resumed: it is no longer in doubt. */
-  public void resumed(String requestId) {
-    Running found = running.get(requestId);
+  public void requestResumed(String requestId) {
+    RunningRequest found = running.get(requestId);
     if (found != null) {
       found.uncertainSinceMillis = Long.MAX_VALUE;
     }
@@ -137,21 +137,21 @@
    * Adopts a request that a former owner started and that is resumed here, so that it pins its
    * adapter from now on.
    */
-  public void adopted(RunnerRequest request, long nowMillis) {
-    Running known = running.get(request.id());
+  public void adoptRequest(RunnerRequest request, long nowMillis) {
+    RunningRequest known = running.get(request.id());
     if (known == null) {
-      running.put(request.id(), new Running(request, nowMillis));
+      running.put(request.id(), new RunningRequest(request, nowMillis));
     } else {
       known.uncertainSinceMillis = Long.MAX_VALUE;
     }
   }
 
   /** Records that a load turn was granted. */
-  public void turnGranted(AdapterVersion adapter) {
-    if (pending != null && pending.adapter.equals(adapter) && !pending.turnGranted) {
-      pending.turnGranted = true;
-    } else if (pending == null || !pending.adapter.equals(adapter)) {
-      actions.add(new RunnerAction.ReturnTurn(adapter));
+  public void loadTurnGranted(AdapterVersion adapter) {
+    if (pendingLoad != null && pendingLoad.adapter.equals(adapter) && !pendingLoad.turnGranted) {
+      pendingLoad.turnGranted = true;
+    } else if (pendingLoad == null || !pendingLoad.adapter.equals(adapter)) {
+      actions.add(new RunnerAction.ReleaseLoadTurn(adapter));
     }
   }
 
@@ -163,19 +163,19 @@
     }
     switch (result) {
       case DONE -> {
-        loadMillis += SMOOTHING * (nowMillis - slot.changedMillis() - loadMillis);
-        slot.become(State.READY, nowMillis);
+        loadMillis += NEWEST_WEIGHT * (nowMillis - slot.changedMillis() - loadMillis);
+        slot.transitionTo(State.READY, nowMillis);
       }
       case FAILED -> {
         // Only the next load waits. The engine may have refused because it holds the adapter,
         // loaded by a former owner; the next report then shows it, and it must be taken into use.
         slots.remove(adapter);
-        loadAgainFrom.put(adapter, nowMillis + (long) loadMillis);
+        retryLoadFromMillis.put(adapter, nowMillis + (long) loadMillis);
       }
-      case UNKNOWN -> slot.become(State.LOAD_UNKNOWN, nowMillis);
+      case UNKNOWN -> slot.transitionTo(State.LOAD_UNKNOWN, nowMillis);
       default -> throw new IllegalArgumentException("result must be known, was " + result);
     }
-    endPending(adapter);
+    endPendingLoad(adapter);
   }
 
   /** Records what became of an eviction order. */
@@ -188,48 +188,48 @@
       case DONE -> slots.remove(adapter);
       case FAILED -> {
         // Tried again at once, a refusal would come back as fast as the network goes, for ever.
-        slot.become(State.READY, nowMillis);
-        slot.noEvictionBefore(nowMillis + (long) loadMillis);
+        slot.transitionTo(State.READY, nowMillis);
+        slot.deferEvictionUntil(nowMillis + (long) loadMillis);
       }
       case UNKNOWN -> {
         // The order may still be on its way. Were the adapter used or loaded again now, the late
         // order would evict it under the new request; the symptom is a stream that ends with an
         // unknown-model error. Nothing uses it here until the order can no longer arrive.
-        slot.become(State.UNLOAD_UNKNOWN, nowMillis);
-        quarantinedUntil.put(adapter, nowMillis + policy.orderLifetimeMillis());
+        slot.transitionTo(State.UNLOAD_UNKNOWN, nowMillis);
+        quarantinedUntilMillis.put(adapter, nowMillis + policy.orderLifetimeMillis());
       }
       default -> throw new IllegalArgumentException("result must be known, was " + result);
     }
   }
 
   /** Takes in what the engine said of itself; a report sampled before the last one is dropped. */
-  public void reported(EngineReport report, Rights rights, long nowMillis) {
+  public void applyReport(EngineReport report, Rights rights, long nowMillis) {
     long sampled = report.sampledNotBeforeMillis();
     if (sampled <= lastSampleMillis) {
       return;
     }
     lastSampleMillis = sampled;
-    endRequestsNotShown(report);
+    endUnreportedRequests(report);
     reconcileSlots(report, nowMillis);
     adoptResidents(report, nowMillis);
     if (rights.held()) {
-      proveIdle(report, rights, nowMillis);
+      markExclusiveSlots(report, rights, nowMillis);
     }
   }
 
   /** Refuses every queued request as not run, for example because the runner has a new owner. */
-  public void refuseQueued(String reason, String message, long retryAfterMillis) {
+  public void rejectQueued(String reason, String message, long retryAfterMillis) {
     for (RunnerRequest request : queue.removeAll()) {
       NotRun verdict = new NotRun(reason, message, retryAfterMillis);
-      actions.add(new RunnerAction.Refuse(request, verdict));
+      actions.add(new RunnerAction.Reject(request, verdict));
     }
   }
 
   /** Returns, and forgets, everything that is to be done now. */
   public List<RunnerAction> decide(Rights rights, long nowMillis) {
-    refuseExpired(nowMillis);
-    quarantinedUntil.values().removeIf(until -> until <= nowMillis);
-    loadAgainFrom.values().removeIf(from -> from <= nowMillis);
+    rejectExpired(nowMillis);
+    quarantinedUntilMillis.values().removeIf(until -> until <= nowMillis);
+    retryLoadFromMillis.values().removeIf(from -> from <= nowMillis);
     if (rights.held()) {
       startRequests(nowMillis);
       continuePendingLoad(rights, nowMillis);
@@ -288,9 +288,9 @@
     return states;
   }
 
-  private Admission refused(String reason, String message, long waitMillis) {
+  private Admission rejected(String reason, String message, long waitMillis) {
     long retryAfter = waitMillis == 0 ? 0 : Math.max(MIN_RETRY_AFTER_MILLIS, waitMillis);
-    return new Admission.Refused(new NotRun(reason, message, retryAfter));
+    return new Admission.Rejected(new NotRun(reason, message, retryAfter));
   }
 
   private double loadWaitMillis(AdapterVersion adapter, long nowMillis) {
@@ -307,12 +307,12 @@
     return (loadsAhead + 1) * loadMillis;
   }
 
-  private void refuseExpired(long nowMillis) {
+  private void rejectExpired(long nowMillis) {
     for (RunnerRequest request : queue.removeExpired(nowMillis)) {
       long retryAfter =
           Math.max(MIN_RETRY_AFTER_MILLIS, expectedWaitMillis(request.adapter(), nowMillis));
       actions.add(
-          new RunnerAction.Refuse(
+          new RunnerAction.Reject(
               request,
               new NotRun(
                   "deadline-passed", "the deadline passed while the request waited", retryAfter)));
@@ -327,51 +327,51 @@
       }
       RunnerRequest request = next.get();
       queue.remove(request.id());
-      running.put(request.id(), new Running(request, nowMillis));
-      usedNow(request.adapter(), nowMillis);
+      running.put(request.id(), new RunningRequest(request, nowMillis));
+      markUsed(request.adapter(), nowMillis);
       actions.add(new RunnerAction.Start(request));
     }
   }
 
   private void continuePendingLoad(Rights rights, long nowMillis) {
-    if (pending == null || pending.loadOrdered) {
+    if (pendingLoad == null || pendingLoad.loadOrdered) {
       return;
     }
-    AdapterVersion adapter = pending.adapter;
+    AdapterVersion adapter = pendingLoad.adapter;
     if (queue.waiting(adapter) == 0 || slots.containsKey(adapter)) {
-      endPending(adapter);
+      endPendingLoad(adapter);
       return;
     }
-    if (!pending.turnGranted) {
+    if (!pendingLoad.turnGranted) {
       return;
     }
     if (slots.size() < slotCount) {
-      pending.loadOrdered = true;
+      pendingLoad.loadOrdered = true;
       // A former owner that does not know of this term yet may start requests on this adapter.
-      boolean sole = nowMillis >= nothingArrivesSince(rights);
-      long provenTerm = sole ? rights.term() : UNPROVEN;
+      boolean sole = nowMillis >= exclusiveSinceMillis(rights);
+      long provenTerm = sole ? rights.term() : NO_TERM;
       slots.put(adapter, new Slot(adapter, State.LOADING, provenTerm, nowMillis));
       actions.add(new RunnerAction.Load(adapter));
     } else if (slots.values().stream().noneMatch(s -> s.is(State.UNLOADING))) {
-      victim(rights, nowMillis)
-          .ifPresentOrElse(slot -> evict(slot, nowMillis), () -> endPending(adapter));
+      evictionCandidate(rights, nowMillis)
+          .ifPresentOrElse(slot -> evict(slot, nowMillis), () -> endPendingLoad(adapter));
     }
   }
 
   private void planLoad(Rights rights, long nowMillis) {
-    if (pending != null) {
+    if (pendingLoad != null) {
       return;
     }
-    Optional<AdapterVersion> wanted = mostWanted(nowMillis);
+    Optional<AdapterVersion> wanted = nextAdapterToLoad(nowMillis);
     if (wanted.isEmpty()) {
       stopDraining(nowMillis);
       return;
     }
     AdapterVersion adapter = wanted.get();
-    if (slots.size() < slotCount || victim(rights, nowMillis).isPresent()) {
-      pending = new PendingLoad(adapter);
+    if (slots.size() < slotCount || evictionCandidate(rights, nowMillis).isPresent()) {
+      pendingLoad = new PendingLoad(adapter);
       actions.add(
-          new RunnerAction.AskTurn(
+          new RunnerAction.RequestLoadTurn(
               adapter, queue.waiting(adapter), queue.hasUrgent(adapter, nowMillis)));
     } else if (queue.oldestWait(adapter, nowMillis) >= policy.drainAfterMillis()) {
       drainOne(rights, adapter, nowMillis);
@@ -379,25 +379,25 @@
   }
 
   /** The waiting adapter that gains most by a load: urgent first, then most and oldest requests. */
-  private Optional<AdapterVersion> mostWanted(long nowMillis) {
+  private Optional<AdapterVersion> nextAdapterToLoad(long nowMillis) {
     return queue.adapters().stream()
-        .filter(a -> !slots.containsKey(a) && !quarantinedUntil.containsKey(a))
-        .filter(a -> !loadAgainFrom.containsKey(a))
+        .filter(a -> !slots.containsKey(a) && !quarantinedUntilMillis.containsKey(a))
+        .filter(a -> !retryLoadFromMillis.containsKey(a))
         .max(
             Comparator.comparing((AdapterVersion a) -> queue.hasUrgent(a, nowMillis))
                 .thenComparingLong(a -> queue.waiting(a) * (1 + queue.oldestWait(a, nowMillis))));
   }
 
-  private Optional<Slot> victim(Rights rights, long nowMillis) {
+  private Optional<Slot> evictionCandidate(Rights rights, long nowMillis) {
     return slots.values().stream()
-        .filter(slot -> isEvictable(slot, rights) && slot.mayTryEviction(nowMillis))
+        .filter(slot -> isEvictable(slot, rights) && slot.isEvictionAllowed(nowMillis))
         .filter(slot -> slot.is(State.DRAINING) || queue.waiting(slot.adapter()) == 0)
         .min(leastValuableFirst(nowMillis));
   }
 
   private boolean isEvictable(Slot slot, Rights rights) {
     boolean usable = slot.is(State.READY) || slot.is(State.DRAINING);
-    return usable && rights.held() && slot.provenIn(rights.term()) && !isPinned(slot.adapter());
+    return usable && rights.held() && slot.isExclusiveIn(rights.term()) && !isPinned(slot.adapter());
   }
 
   private boolean isPinned(AdapterVersion adapter) {
@@ -406,7 +406,7 @@
 
   private Comparator<Slot> leastValuableFirst(long nowMillis) {
     Comparator<Slot> drainingFirst = Comparator.comparing(slot -> !slot.is(State.DRAINING));
-    if (!policy.evictByValue()) {
+    if (!policy.evictByPopularity()) {
       return drainingFirst.thenComparingLong(Slot::lastUsedMillis);
     }
     return drainingFirst
@@ -423,10 +423,10 @@
       return;
     }
     slots.values().stream()
-        .filter(slot -> slot.is(State.READY) && slot.provenIn(rights.term()))
+        .filter(slot -> slot.is(State.READY) && slot.isExclusiveIn(rights.term()))
         .filter(slot -> !slot.adapter().equals(wanted))
         .min(leastValuableFirst(nowMillis))
-        .ifPresent(slot -> slot.become(State.DRAINING, nowMillis));
+        .ifPresent(slot -> slot.transitionTo(State.DRAINING, nowMillis));
   }
 
   /**
@@ -436,22 +436,22 @@
   private void stopDraining(long nowMillis) {
     slots.values().stream()
         .filter(slot -> slot.is(State.DRAINING))
-        .forEach(slot -> slot.become(State.READY, nowMillis));
+        .forEach(slot -> slot.transitionTo(State.READY, nowMillis));
   }
 
   private void evict(Slot slot, long nowMillis) {
-    slot.become(State.UNLOADING, nowMillis);
+    slot.transitionTo(State.UNLOADING, nowMillis);
     actions.add(new RunnerAction.Unload(slot.adapter()));
   }
 
-  private void endPending(AdapterVersion adapter) {
-    if (pending != null && pending.adapter.equals(adapter)) {
-      pending = null;
-      actions.add(new RunnerAction.ReturnTurn(adapter));
+  private void endPendingLoad(AdapterVersion adapter) {
+    if (pendingLoad != null && pendingLoad.adapter.equals(adapter)) {
+      pendingLoad = null;
+      actions.add(new RunnerAction.ReleaseLoadTurn(adapter));
     }
   }
 
-  private void endRequestsNotShown(EngineReport report) {
+  private void endUnreportedRequests(EngineReport report) {
     // A request whose start is in doubt may still reach the engine for the order lifetime.
     running
         .values()
@@ -482,12 +482,12 @@
             gone.add(slot);
           } else if (report.sampledNotBeforeMillis()
               >= slot.changedMillis() + policy.orderLifetimeMillis()) {
-            slot.become(State.READY, nowMillis);
+            slot.transitionTo(State.READY, nowMillis);
           }
         }
         case LOAD_UNKNOWN -> {
           if (resident) {
-            slot.become(State.READY, nowMillis);
+            slot.transitionTo(State.READY, nowMillis);
           } else if (!loading) {
             gone.add(slot);
           }
@@ -503,14 +503,14 @@
   private void adoptResidents(EngineReport report, long nowMillis) {
     for (AdapterVersion adapter : report.resident()) {
       boolean room = slots.size() < slotCount;
-      if (room && !slots.containsKey(adapter) && !quarantinedUntil.containsKey(adapter)) {
-        slots.put(adapter, new Slot(adapter, State.READY, UNPROVEN, nowMillis));
+      if (room && !slots.containsKey(adapter) && !quarantinedUntilMillis.containsKey(adapter)) {
+        slots.put(adapter, new Slot(adapter, State.READY, NO_TERM, nowMillis));
       }
     }
   }
 
-  private void proveIdle(EngineReport report, Rights rights, long nowMillis) {
-    long since = nothingArrivesSince(rights);
+  private void markExclusiveSlots(EngineReport report, Rights rights, long nowMillis) {
+    long since = exclusiveSinceMillis(rights);
     boolean nothingOutlives = nowMillis >= since + policy.requestLimitMillis();
     if (report.sampledNotBeforeMillis() < since && !nothingOutlives) {
       return;
@@ -526,7 +526,7 @@
             });
     for (Slot slot : slots.values()) {
       if (!foreign.contains(slot.adapter())) {
-        slot.prove(rights.term());
+        slot.markExclusiveIn(rights.term());
       }
     }
   }
@@ -535,24 +535,24 @@
    * Returns since when nothing that another dispatcher sent can reach the engine: what a former
    * owner sent just before its authority ended may be on its way for the order lifetime.
    */
-  private long nothingArrivesSince(Rights rights) {
+  private long exclusiveSinceMillis(Rights rights) {
     return rights.soleSinceMillis() + policy.orderLifetimeMillis();
   }
 
-  private void usedNow(AdapterVersion adapter, long nowMillis) {
+  private void markUsed(AdapterVersion adapter, long nowMillis) {
     Slot slot = slots.get(adapter);
     if (slot != null) {
-      slot.used(nowMillis);
+      slot.markUsed(nowMillis);
     }
   }
 
-  private static final class Running {
+  private static final class RunningRequest {
     private final RunnerRequest request;
     private final long sinceMillis;
     private long uncertainSinceMillis = Long.MAX_VALUE;
-    private boolean cancelAsked;
+    private boolean cancelRequested;
 
-    Running(RunnerRequest request, long sinceMillis) {
+    RunningRequest(RunnerRequest request, long sinceMillis) {
       this.request = request;
       this.sinceMillis = sinceMillis;
     }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/runner/Slot.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/runner/Slot.java
@@ -22,13 +22,13 @@
   private State state;
   private long changedMillis;
   private long lastUsedMillis;
-  private long provenTerm;
+  private long exclusiveTerm;
   private long evictableFromMillis = Long.MIN_VALUE;
 
   Slot(AdapterVersion adapter, State state, long provenTerm, long nowMillis) {
     this.adapter = adapter;
     this.state = state;
-    this.provenTerm = provenTerm;
+    this.exclusiveTerm = provenTerm;
     this.changedMillis = nowMillis;
     this.lastUsedMillis = nowMillis;
   }
@@ -45,7 +45,7 @@
     return state == wanted;
   }
 
-  void become(State next, long nowMillis) {
+  void transitionTo(State next, long nowMillis) {
     state = next;
     changedMillis = nowMillis;
   }
@@ -58,16 +58,16 @@
     return lastUsedMillis;
   }
 
-  void used(long nowMillis) {
+  void markUsed(long nowMillis) {
     lastUsedMillis = nowMillis;
   }
 
   /** Returns whether an eviction may be tried, as far as earlier tries are concerned. */
-  boolean mayTryEviction(long nowMillis) {
+  boolean isEvictionAllowed(long nowMillis) {
     return nowMillis >= evictableFromMillis;
   }
 
-  void noEvictionBefore(long millis) {
+  void deferEvictionUntil(long millis) {
     evictableFromMillis = millis;
   }
 
@@ -75,11 +75,11 @@
    * Returns whether everything that may run on this adapter in {@code term} was started in that
    * term by its holder. Until that is proven a request of a former owner may be running on it.
    */
-  boolean provenIn(long term) {
-    return provenTerm == term;
+  boolean isExclusiveIn(long term) {
+    return exclusiveTerm == term;
   }
 
-  void prove(long term) {
-    provenTerm = term;
+  void markExclusiveIn(long term) {
+    exclusiveTerm = term;
   }
 }
--- a/sequoia-core/src/test/java/org/sequoiahub/core/runner/EngineOracle.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/runner/EngineOracle.java
@@ -18,7 +18,7 @@
   private final Map<String, AdapterVersion> active = new HashMap<>();
   private final Set<AdapterVersion> resident = new HashSet<>();
   private final Set<String> everStarted = new HashSet<>();
-  private final Set<String> toldNotRun = new HashSet<>();
+  private final Set<String> recordNotRun = new HashSet<>();
   private long highestFencing;
 
   EngineOracle(int slots, boolean checksFencing) {
@@ -32,16 +32,16 @@
       return false;
     }
     assertWithMessage("started although told not-run: %s", request.id())
-        .that(toldNotRun)
+        .that(recordNotRun)
         .doesNotContain(request.id());
     everStarted.add(request.id());
     active.put(request.id(), request.adapter());
     return true;
   }
 
-  void toldNotRun(String id) {
+  void recordNotRun(String id) {
     assertWithMessage("told not-run although started").that(everStarted).doesNotContain(id);
-    toldNotRun.add(id);
+    recordNotRun.add(id);
   }
 
   boolean passesFencing(long number) {
--- a/sequoia-core/src/test/java/org/sequoiahub/core/runner/RunnerActions.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/runner/RunnerActions.java
@@ -28,7 +28,7 @@
         .withAction(1, two("cancel", 1, 20, RunnerWorld::cancel))
         .withAction(1, one("pause", 1, RunnerWorld::pause))
         .withAction(2, one("wake", 1, RunnerWorld::wake))
-        .withAction(1, one("calm", 1, RunnerWorld::calm))
+        .withAction(1, one("calm", 1, RunnerWorld::runWithoutFaults))
         .withAction(1, one("unloadsFail", 1, (w, n) -> w.unloadsFail(n == 1)))
         .withAction(1, one("kill", 1, RunnerWorld::kill))
         .withAction(2, one("restartGranter", 2, RunnerWorld::restartGranter))
@@ -60,12 +60,12 @@
             .as(
                 (a, b) ->
                     Transformer.mutate(
-                        label + "(" + a + ", " + b + ")", w -> event.happen(w, a, b))));
+                        label + "(" + a + ", " + b + ")", w -> event.apply(w, a, b))));
   }
 
   @FunctionalInterface
   private interface TwoNumbers {
-    void happen(RunnerWorld world, int a, int b);
+    void apply(RunnerWorld world, int a, int b);
   }
 
   private record Event(Arbitrary<Transformer<RunnerWorld>> events)
--- a/sequoia-core/src/test/java/org/sequoiahub/core/runner/RunnerWorld.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/runner/RunnerWorld.java
@@ -28,10 +28,10 @@
   private static final int SLOTS = 1;
   private static final int BATCH = 2;
   private static final int GRANTERS = 3;
-  private static final int MESSAGES_PER_ROUND = 500;
+  private static final int MAX_MESSAGES_PER_ROUND = 500;
   private static final long DEADLINE_MILLIS = 90_000;
-  private static final long CALM_STEP_MILLIS = 100;
-  private static final int CALM_ROUNDS = 25;
+  private static final long STEP_MILLIS = 100;
+  private static final int FAULT_FREE_ROUNDS = 25;
   private static final int SETTLE_ROUNDS = 300;
   private static final PolicySettings POLICY =
       new PolicySettings(16, 300, 400, ORDER_LIFETIME_MILLIS, DEADLINE_MILLIS, true);
@@ -46,7 +46,7 @@
   private int lastTag;
   private boolean loadsFail;
   private boolean unloadsFail;
-  private boolean deadlinesCount;
+  private boolean checkDeadlines;
 
   RunnerWorld(boolean fenced) {
     this.fenced = fenced;
@@ -56,12 +56,12 @@
     }
     holders.add(new Holder("a"));
     holders.add(new Holder("b"));
-    calm(0);
+    runWithoutFaults(0);
   }
 
   void pass(int millis) {
     now += millis;
-    expireMessages();
+    dropExpiredMessages();
   }
 
   void offer(int holder, int adapter, boolean brief) {
@@ -76,8 +76,8 @@
     if (at.paused) {
       return;
     }
-    if (at.controller.offer(request, now) instanceof Admission.Refused) {
-      engine.toldNotRun(id);
+    if (at.controller.offer(request, now) instanceof Admission.Rejected) {
+      engine.recordNotRun(id);
     } else {
       at.settle();
     }
@@ -87,7 +87,7 @@
     Holder at = holders.get(holder);
     String id = "r" + (1 + request % Math.max(1, lastRequest));
     if (!at.paused && at.controller.cancel(id)) {
-      engine.toldNotRun(id);
+      engine.recordNotRun(id);
     }
     at.settle();
   }
@@ -135,13 +135,13 @@
 
   void finish(int n) {
     for (String id : engine.finish(n)) {
-      streamsEnd(id, true);
+      sendStreamEnd(id, true);
     }
   }
 
   void coldRestart() {
     for (String id : engine.coldRestart()) {
-      streamsEnd(id, false);
+      sendStreamEnd(id, false);
     }
   }
 
@@ -158,10 +158,10 @@
   }
 
   /** A while without faults: time passes, one dispatcher works, every message arrives in order. */
-  void calm(int holder) {
+  void runWithoutFaults(int holder) {
     holders.forEach(other -> other.paused = false);
-    for (int round = 0; round < CALM_ROUNDS; round++) {
-      calmRound(holder);
+    for (int round = 0; round < FAULT_FREE_ROUNDS; round++) {
+      runRoundWithoutFaults(holder);
     }
   }
 
@@ -170,11 +170,11 @@
     loadsFail = false;
     unloadsFail = false;
     holders.forEach(holder -> holder.paused = false);
-    deadlinesCount = true;
+    checkDeadlines = true;
     for (int round = 0; round < SETTLE_ROUNDS; round++) {
       // The host list settles: the second dispatcher learns that it is not the owner.
       holders.get(1).handOver();
-      calmRound(0);
+      runRoundWithoutFaults(0);
       finish(round);
     }
     for (Holder holder : holders) {
@@ -193,20 +193,20 @@
     assertWithMessage("engine still runs").that(engine.activeCount()).isEqualTo(0);
   }
 
-  private void calmRound(int holder) {
-    pass((int) CALM_STEP_MILLIS);
+  private void runRoundWithoutFaults(int holder) {
+    pass((int) STEP_MILLIS);
     holders.get(holder).tick();
-    for (int i = 0; i < MESSAGES_PER_ROUND && !network.isEmpty(); i++) {
+    for (int i = 0; i < MAX_MESSAGES_PER_ROUND && !network.isEmpty(); i++) {
       deliver(0);
     }
     assertWithMessage("a message storm").that(network).isEmpty();
   }
 
   /** A stream's end travels to whoever reads it; without its marker the reader is in doubt. */
-  private void streamsEnd(String id, boolean marker) {
+  private void sendStreamEnd(String id, boolean marker) {
     for (Holder holder : holders) {
-      Runnable doubt = holder.heard(() -> holder.controller.uncertain(id, now));
-      Runnable end = holder.heard(() -> holder.controller.ended(id, now));
+      Runnable doubt = holder.receiving(() -> holder.controller.requestUncertain(id, now));
+      Runnable end = holder.receiving(() -> holder.controller.requestEnded(id, now));
       send(() -> {}, doubt, marker ? end : doubt);
     }
   }
@@ -224,7 +224,7 @@
   }
 
   /** Nothing of a connection that was given up arrives after the order lifetime. */
-  private void expireMessages() {
+  private void dropExpiredMessages() {
     for (Message message : List.copyOf(network)) {
       if (now - message.sentMillis >= ORDER_LIFETIME_MILLIS) {
         network.remove(message);
@@ -288,13 +288,13 @@
         send(
             () -> report[0] = engine.report(now),
             () -> reportSent = null,
-            heard(
+            receiving(
                 () -> {
                   reportSent = null;
                   // Dated by the question: the sample is surely not older.
                   EngineReport dated =
                       new EngineReport(sent, report[0].resident(), Set.of(), report[0].active());
-                  controller.reported(dated, authority.rights(now), now);
+                  controller.applyReport(dated, authority.rights(now), now);
                 }));
       }
     }
@@ -302,7 +302,7 @@
     void handOver() {
       authority.giveUp();
       readReport();
-      controller.refuseQueued("moved", "another dispatcher owns the runner", 1);
+      controller.rejectQueued("moved", "another dispatcher owns the runner", 1);
       settle();
     }
 
@@ -319,28 +319,28 @@
     private void perform(RunnerAction action) {
       if (action instanceof RunnerAction.Start start) {
         start(start.request());
-      } else if (action instanceof RunnerAction.Refuse refuse) {
-        engine.toldNotRun(refuse.request().id());
+      } else if (action instanceof RunnerAction.Reject refuse) {
+        engine.recordNotRun(refuse.request().id());
         boolean late = refuse.verdict().reason().equals("deadline-passed");
         assertWithMessage("waited in vain: %s", refuse.request())
-            .that(late && deadlinesCount)
+            .that(late && checkDeadlines)
             .isFalse();
       } else if (action instanceof RunnerAction.CancelRunning cancel) {
         String id = cancel.request().id();
         boolean[] known = new boolean[1];
         send(
             () -> known[0] = engine.cancel(id),
-            heard(() -> controller.uncertain(id, now)),
-            heard(
+            receiving(() -> controller.requestUncertain(id, now)),
+            receiving(
                 () -> {
                   if (known[0]) {
-                    controller.ended(id, now);
+                    controller.requestEnded(id, now);
                   } else {
-                    controller.uncertain(id, now);
+                    controller.requestUncertain(id, now);
                   }
                 }));
-      } else if (action instanceof RunnerAction.AskTurn ask) {
-        controller.turnGranted(ask.adapter());
+      } else if (action instanceof RunnerAction.RequestLoadTurn ask) {
+        controller.loadTurnGranted(ask.adapter());
         settle();
       } else if (action instanceof RunnerAction.Load load) {
         order(load.adapter(), true);
@@ -354,14 +354,14 @@
       boolean[] taken = new boolean[1];
       send(
           () -> taken[0] = engine.start(request),
-          heard(() -> controller.uncertain(request.id(), now)),
-          heard(
+          receiving(() -> controller.requestUncertain(request.id(), now)),
+          receiving(
               () -> {
                 if (!taken[0]) {
-                  engine.toldNotRun(request.id());
-                  controller.ended(request.id(), now);
+                  engine.recordNotRun(request.id());
+                  controller.requestEnded(request.id(), now);
                 } else if (!engine.isActive(request.id())) {
-                  controller.ended(request.id(), now);
+                  controller.requestEnded(request.id(), now);
                 }
               }));
     }
@@ -385,17 +385,17 @@
               result[0] = OrderResult.DONE;
             }
           },
-          heard(() -> answered(adapter, load, OrderResult.UNKNOWN)),
-          heard(
+          receiving(() -> orderAnswered(adapter, load, OrderResult.UNKNOWN)),
+          receiving(
               () -> {
                 if (fencedOff[0] && authority instanceof FencedAuthority own) {
                   own.refused(number, engine.highestFencing(), now);
                 }
-                answered(adapter, load, result[0]);
+                orderAnswered(adapter, load, result[0]);
               }));
     }
 
-    private void answered(AdapterVersion adapter, boolean load, OrderResult result) {
+    private void orderAnswered(AdapterVersion adapter, boolean load, OrderResult result) {
       if (load) {
         controller.loadAnswered(adapter, result, now);
       } else {
@@ -416,7 +416,7 @@
               highest[0] = engine.highestFencing();
             },
             () -> {},
-            heard(
+            receiving(
                 () -> {
                   if (passed[0]) {
                     own.claimAccepted(number, sent, now);
@@ -433,7 +433,7 @@
           send(
               () -> granted[0] = granters.get(granter).grant("runner", name, AUTHORITY_MILLIS, now),
               () -> {},
-              heard(
+              receiving(
                   () -> {
                     if (granted[0]) {
                       own.granted("g" + granter, sent, now);
@@ -446,7 +446,7 @@
     /**
      * What arrives while the process is paused is handled after it wakes; a dead one hears none.
      */
-    private Runnable heard(Runnable work) {
+    private Runnable receiving(Runnable work) {
       return new Runnable() {
         @Override
         public void run() {
--- a/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/JobScheduler.java
+++ b/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/JobScheduler.java
@@ -125,7 +125,7 @@
     inFlightByAdapter.merge(adapter.adapter(), 1, Integer::sum);
     Admission admission =
         runners.offer(message.getRunner(), asked, message.getFallback(), nowMillis);
-    if (admission instanceof Admission.Refused refused) {
+    if (admission instanceof Admission.Rejected refused) {
       finish(job, Outcomes.of(refused.verdict()));
     } else if (admission instanceof Admission.Admitted admitted && jobs.containsKey(job.id())) {
       job.send(
@@ -158,7 +158,7 @@
     if (job == null) {
       OwnedRunner owner = runners.owned(runner.id());
       if (owner != null) {
-        owner.controller().ended(request.id(), nowMillis);
+        owner.controller().requestEnded(request.id(), nowMillis);
       }
       return;
     }
@@ -234,7 +234,7 @@
       resumeStream(job, "chunks are missing before the end marker");
       return;
     }
-    withRunner(job, owner -> owner.controller().ended(job.id(), nowMillis));
+    withRunner(job, owner -> owner.controller().requestEnded(job.id(), nowMillis));
     finish(job, Outcomes.whole(event.chunks()));
   }
 
@@ -243,7 +243,7 @@
     if (job == null) {
       return;
     }
-    withRunner(job, owner -> owner.controller().ended(job.id(), nowMillis));
+    withRunner(job, owner -> owner.controller().requestEnded(job.id(), nowMillis));
     if (job.countResume() > 1 || job.request().getResume() || job.sequencer().delivered() > 0) {
       // A refused resume: the engine no longer knows the request, for example after a restart.
       finish(job, Outcomes.of(new MayHaveRun("engine-lost-request", event.message())));
@@ -266,7 +266,7 @@
       return;
     }
     if (event.confirmed()) {
-      withRunner(job, owner -> owner.controller().ended(job.id(), nowMillis));
+      withRunner(job, owner -> owner.controller().requestEnded(job.id(), nowMillis));
       finish(job, Outcomes.ranButFailed("cancelled", "the request was cancelled"));
     } else {
       endWithoutMarker(job);
@@ -331,7 +331,7 @@
     jobs.put(job.id(), job);
     inFlightByAdapter.merge(adapter.adapter(), 1, Integer::sum);
     job.start();
-    withRunner(job, owner -> owner.controller().adopted(job.asked(), nowMillis));
+    withRunner(job, owner -> owner.controller().adoptRequest(job.asked(), nowMillis));
     openResume(job);
   }
 
@@ -392,7 +392,7 @@
     withRunner(
         job,
         owner -> {
-          owner.controller().uncertain(job.id(), nowMillis);
+          owner.controller().requestUncertain(job.id(), nowMillis);
           if (!job.isCancelled()) {
             owner.controller().cancel(job.id());
           }
--- a/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/LoadTurnService.java
+++ b/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/LoadTurnService.java
@@ -59,11 +59,11 @@
   }
 
   /** Asks for a turn; the answer comes as an event. */
-  void ask(String runner, RunnerAction.AskTurn ask, long nowMillis) {
+  void ask(String runner, RunnerAction.RequestLoadTurn ask, long nowMillis) {
     TurnKey key = key(runner, ask.adapter());
     Optional<Host> keeper = Placement.loadTurnKeeper(fleet);
     if (keeper.isEmpty() || keeper.get().id().equals(settings.getHostId())) {
-      kept.ask(key, ask.waiting(), ask.interactive(), nowMillis);
+      kept.request(key, ask.waiting(), ask.interactive(), nowMillis);
       return;
     }
     WireClient client =
@@ -84,8 +84,8 @@
   /** Gives a turn back, or withdraws the ask. */
   void giveBack(String runner, AdapterVersion adapter) {
     TurnKey key = key(runner, adapter);
-    kept.done(key);
-    ownShare.done(key);
+    kept.release(key);
+    ownShare.release(key);
     AskedTurn turn = asked.remove(key);
     if (turn != null) {
       LoadTurnCall done = LoadTurnCall.newBuilder().setDone(true).build();
@@ -97,11 +97,11 @@
   /** Takes in another dispatcher's ask or give-back. */
   void received(WireConnection connection, long call, LoadTurnCall message, long nowMillis) {
     if (message.getDone()) {
-      kept.done(new TurnKey(connection, call, "", ""));
+      kept.release(new TurnKey(connection, call, "", ""));
       return;
     }
     TurnKey key = new TurnKey(connection, call, "", "");
-    kept.ask(key, message.getWaiting(), message.getInteractive(), nowMillis);
+    kept.request(key, message.getWaiting(), message.getInteractive(), nowMillis);
   }
 
   /**
@@ -109,7 +109,7 @@
    * up every load of the fleet until it expires.
    */
   void closed(WireConnection connection) {
-    kept.withdrawIf(key -> connection.equals(key.connection()));
+    kept.releaseIf(key -> connection.equals(key.connection()));
   }
 
   /** The keeper cannot be reached: takes the turn from this host's own share of the rate. */
@@ -117,7 +117,7 @@
     TurnKey key = key(runner, adapter);
     if (asked.remove(key) != null) {
       fallbacks.inc();
-      ownShare.ask(key, 1, true, nowMillis);
+      ownShare.request(key, 1, true, nowMillis);
     }
   }
 
--- a/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/OwnedRunnerController.java
+++ b/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/OwnedRunnerController.java
@@ -121,7 +121,7 @@
         runner.runner(changed);
       }
       if (changed == null || changed.state() == State.LEAVING) {
-        runner.controller().refuseQueued("runner-leaving", "the runner is leaving", 1);
+        runner.controller().rejectQueued("runner-leaving", "the runner is leaving", 1);
         settle(runner, nowMillis);
       }
     }
@@ -219,7 +219,7 @@
     } else if (runner == null) {
       turns.giveBack(event.runner(), event.adapter());
     } else {
-      runner.controller().turnGranted(event.adapter());
+      runner.controller().loadTurnGranted(event.adapter());
       settle(runner, nowMillis);
     }
   }
@@ -269,7 +269,7 @@
       return;
     }
     runner.reportAnswered();
-    runner.controller().reported(report, runner.rights(nowMillis), nowMillis);
+    runner.controller().applyReport(report, runner.rights(nowMillis), nowMillis);
     settle(runner, nowMillis);
   }
 
@@ -285,7 +285,7 @@
   void stop(long nowMillis) {
     stopping = true;
     for (OwnedRunner runner : owned.values()) {
-      runner.controller().refuseQueued("stopping", "this host is stopping; use another address", 1);
+      runner.controller().rejectQueued("stopping", "this host is stopping; use another address", 1);
       settle(runner, nowMillis);
       giveUp(runner);
     }
@@ -312,13 +312,13 @@
     long number = owner.authority().fencingNumber();
     if (action instanceof RunnerAction.Start start) {
       requests.start(runner, start.request(), number);
-    } else if (action instanceof RunnerAction.Refuse refuse) {
+    } else if (action instanceof RunnerAction.Reject refuse) {
       requests.refuse(refuse.request(), refuse.verdict());
     } else if (action instanceof RunnerAction.CancelRunning cancel) {
       requests.cancelRunning(runner, cancel.request());
-    } else if (action instanceof RunnerAction.AskTurn ask) {
+    } else if (action instanceof RunnerAction.RequestLoadTurn ask) {
       turns.ask(runner.id(), ask, nowMillis);
-    } else if (action instanceof RunnerAction.ReturnTurn back) {
+    } else if (action instanceof RunnerAction.ReleaseLoadTurn back) {
       turns.giveBack(runner.id(), back.adapter());
     } else if (action instanceof RunnerAction.Load load) {
       orderLoad(runner, load.adapter(), number);
@@ -433,14 +433,14 @@
   private void refuseIfPowerless(OwnedRunner runner, long nowMillis) {
     boolean held = runner.rights(nowMillis).held();
     if (!held && !mayClaim(runner, nowMillis)) {
-      runner.controller().refuseQueued("not-owner", "another dispatcher owns the runner", 1);
+      runner.controller().rejectQueued("not-owner", "another dispatcher owns the runner", 1);
       return;
     }
     boolean powerless = !held && runner.cannotGainAuthority();
     if (powerless && runner.controller().queued() > 0) {
       runner
           .controller()
-          .refuseQueued(
+          .rejectQueued(
               "no-authority",
               "this host cannot gain authority over the runner",
               settings.getAuthorityMs());
@@ -479,6 +479,6 @@
   }
 
   private static Admission refused(String reason, String message) {
-    return new Admission.Refused(new NotRun(reason, message, 1));
+    return new Admission.Rejected(new NotRun(reason, message, 1));
   }
 }
