--- a/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/RetryRule.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/RetryRule.java
@@ -14,7 +14,7 @@
   private RetryRule() {}
 
   /** What is known of an attempt that ended. */
-  public enum AttemptOutcome {
+  public enum Ending {
     /** Nothing reached the runner. */
     NOT_SENT,
     /** The runner said that it did not run the request. */
@@ -33,7 +33,7 @@
    * @param leftMillis how long the caller still waits
    */
   public static boolean mayRetry(
-      AttemptOutcome ending, Repetition repetition, int sends, int runs, int maxAttempts, long leftMillis) {
+      Ending ending, Repetition repetition, int sends, int runs, int maxAttempts, long leftMillis) {
     if (sends >= MAX_SENDS || leftMillis < MIN_LEFT_MILLIS) {
       return false;
     }
@@ -48,7 +48,7 @@
   }
 
   /** Returns whether offering it again draws on the retry budget: it reached a runner before. */
-  public static boolean usesRetryBudget(AttemptOutcome ending) {
-    return ending != AttemptOutcome.NOT_SENT;
+  public static boolean usesRetryBudget(Ending ending) {
+    return ending != Ending.NOT_SENT;
   }
 }
--- a/sequoia-core/src/test/java/org/sequoiahub/core/dispatch/RetryRuleTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/dispatch/RetryRuleTest.java
@@ -5,7 +5,7 @@
 import net.jqwik.api.ForAll;
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
-import org.sequoiahub.core.dispatch.RetryRule.AttemptOutcome;
+import org.sequoiahub.core.dispatch.RetryRule.Ending;
 import org.sequoiahub.core.routing.Repetition;
 
 /**
@@ -19,13 +19,13 @@
 
   @Property(tries = 5_000, seed = "20261214")
   void neverAllowsSecondRunOfWhatRunsOnce(
-      @ForAll AttemptOutcome ending,
+      @ForAll Ending ending,
       @ForAll Repetition repetition,
       @ForAll @IntRange(min = 1, max = 5) int sends,
       @ForAll @IntRange(max = 4) int earlierRuns,
       @ForAll @IntRange(min = 1, max = 4) int maxAttempts,
       @ForAll @IntRange(max = 2_000) int left) {
-    boolean thisMayHaveRun = ending == AttemptOutcome.FAILED || ending == AttemptOutcome.LOST;
+    boolean thisMayHaveRun = ending == Ending.FAILED || ending == Ending.LOST;
     int runs = earlierRuns + (thisMayHaveRun ? 1 : 0);
     boolean again = RetryRule.mayRetry(ending, repetition, sends, runs, maxAttempts, left);
     if (again && runs > 0) {
@@ -35,7 +35,7 @@
     if (again) {
       assertThat(sends).isLessThan(RetryRule.MAX_SENDS);
     }
-    boolean refusedWithRoomLeft = ending == AttemptOutcome.REFUSED && runs == 0 && sends < 4 && left > 100;
+    boolean refusedWithRoomLeft = ending == Ending.REFUSED && runs == 0 && sends < 4 && left > 100;
     if (refusedWithRoomLeft) {
       assertThat(again).isTrue();
     }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/RequestCoordinator.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/RequestCoordinator.java
@@ -23,7 +23,7 @@
 import org.sequoiahub.core.dispatch.GenerationPlacement;
 import org.sequoiahub.core.dispatch.PlacementSettings;
 import org.sequoiahub.core.dispatch.RetryRule;
-import org.sequoiahub.core.dispatch.RetryRule.AttemptOutcome;
+import org.sequoiahub.core.dispatch.RetryRule.Ending;
 import org.sequoiahub.core.dispatch.ServicePlacement;
 import org.sequoiahub.core.dispatch.Shutdown;
 import org.sequoiahub.core.dispatch.StreamLimits;
@@ -598,7 +598,7 @@
       if (notSent.refused()) {
         quarantine.nobodyListens(running.runner, now);
       }
-      failed(call, running, AttemptOutcome.NOT_SENT, notSent.why(), null, now);
+      failed(call, running, Ending.NOT_SENT, notSent.why(), null, now);
     } else if (outcome instanceof Outcome.Lost lost) {
       call.runs++;
       fleet.health(running.runner).failed(now);
@@ -606,7 +606,7 @@
       if (lost.connectionBroke()) {
         quarantine.broken(call, running, now);
       }
-      failed(call, running, AttemptOutcome.LOST, lost.why(), null, now);
+      failed(call, running, Ending.LOST, lost.why(), null, now);
     }
   }
 
@@ -641,7 +641,7 @@
       return;
     }
     fleet.health(running.runner).failed(now);
-    failed(call, running, AttemptOutcome.FAILED, "status " + answered.status(), answered, now);
+    failed(call, running, Ending.FAILED, "status " + answered.status(), answered, now);
   }
 
   private void refused(Call call, Call.Running running, Outcome.Refused refused, long now) {
@@ -654,13 +654,13 @@
       call.tried.add(running.runner.id());
       fleet.health(running.runner).failed(now);
     }
-    failed(call, running, AttemptOutcome.REFUSED, "refused " + refused.status(), null, now);
+    failed(call, running, Ending.REFUSED, "refused " + refused.status(), null, now);
   }
 
   private void failed(
       Call call,
       Call.Running running,
-      AttemptOutcome ending,
+      Ending ending,
       String why,
       Outcome.@Nullable Answered answer,
       long now) {
@@ -681,7 +681,7 @@
         call.runs,
         "after_ms",
         now - call.arrivedMillis);
-    if (ending != AttemptOutcome.REFUSED) {
+    if (ending != Ending.REFUSED) {
       call.tried.add(running.runner.id());
     }
     if (!call.running.isEmpty()) {
