--- a/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/FleetLoad.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/FleetLoad.java
@@ -47,7 +47,8 @@
    * @param uses by runner
    * @param adapterUses requests by adapter, over all runners
    */
-  private record SourceLoad(Map<String, Use> uses, Map<String, Integer> adapterUses, long receivedMillis) {
+  private record SourceLoad(
+      Map<String, Use> uses, Map<String, Integer> adapterUses, long receivedMillis) {
 
     static SourceLoad of(Map<String, Use> uses, long toldMillis) {
       Map<String, Integer> adapterUses = new HashMap<>();
@@ -121,7 +122,8 @@
   /** Returns the sums over this host and those other sources that {@code included} accepts. */
   public Map<String, Use> sums(Predicate<String> included, long nowMillis) {
     Map<String, MutableUse> sums = new HashMap<>();
-    own.forEach((runner, mine) -> sums.computeIfAbsent(runner, id -> new MutableUse()).add(mine.use()));
+    own.forEach(
+        (runner, mine) -> sums.computeIfAbsent(runner, id -> new MutableUse()).add(mine.use()));
     others.forEach(
         (source, told) -> {
           if (included.test(source) && isRecent(told, nowMillis)) {
--- a/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/GenerationPlacement.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/GenerationPlacement.java
@@ -45,9 +45,9 @@
    * Returns the best of the candidates.
    *
    * <p>A request that waits for an adapter stays where it waits unless another runner gains it more
-   * than {@link PlacementSettings#moveThresholdMillis}: each move begins another wait at its end. Moved for
-   * any gain, two hundred requests of a day went to and fro for seconds, and their adapters were
-   * brought to both runners.
+   * than {@link PlacementSettings#moveThresholdMillis}: each move begins another wait at its end.
+   * Moved for any gain, two hundred requests of a day went to and fro for seconds, and their
+   * adapters were brought to both runners.
    *
    * @param waitingAt the runner where the request waits; empty if it waits nowhere
    */
@@ -113,7 +113,8 @@
   /** Returns whether reading so many tokens at a stretch pauses a runner's streams for too long. */
   private boolean pausesStreams(StreamLimits limits, long tokens) {
     double pieceMillis = settings.chunkTokens() / settings.chunkTokensPerMilli();
-    if (limits.maxPauseMillis() <= 0 || limits.tokensPerEvent() * pieceMillis < limits.maxPauseMillis()) {
+    if (limits.maxPauseMillis() <= 0
+        || limits.tokensPerEvent() * pieceMillis < limits.maxPauseMillis()) {
       return false;
     }
     long bearableMillis = limits.maxPauseMillis() - settings.pauseMarginMillis();
@@ -161,7 +162,8 @@
     if (candidate.heldOrLoading() || candidate.warm()) {
       return 0;
     }
-    double cost = settings.loadPenaltyMillis() + Math.min(rank, MAX_RANK) * settings.rankPenaltyMillis();
+    double cost =
+        settings.loadPenaltyMillis() + Math.min(rank, MAX_RANK) * settings.rankPenaltyMillis();
     // An adapter that many use at once pays for a second runner soon.
     return cost / (1 + candidate.adapterUses());
   }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/PlacementSettings.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/PlacementSettings.java
@@ -10,7 +10,8 @@
  * @param noHolderMillis wait for a host that may order the runner
  * @param failurePenaltyMillis cost of a request that certainly fails
  * @param vanishedPenaltyMillis cost of a runner that may be gone
- * @param otherDomainPenaltyMillis cost of leaving the failure domain; bytes between domains are dear
+ * @param otherDomainPenaltyMillis cost of leaving the failure domain; bytes between domains are
+ *     dear
  * @param loadPenaltyMillis cost, beyond the wait, of bringing an adapter to a runner
  * @param moveThresholdMillis what a request that waits must gain to wait elsewhere: one load
  * @param rankPenaltyMillis the same for each runner before it in the adapter's order
--- a/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/RunnerHealth.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/RunnerHealth.java
@@ -21,7 +21,9 @@
     failures = failureRate(nowMillis) * (1 - NEWEST_WEIGHT);
     updatedMillis = nowMillis;
     latencyMillis =
-        latencyMillis == 0 ? tookMillis : latencyMillis + NEWEST_WEIGHT * (tookMillis - latencyMillis);
+        latencyMillis == 0
+            ? tookMillis
+            : latencyMillis + NEWEST_WEIGHT * (tookMillis - latencyMillis);
   }
 
   /** Records a failure that the runner caused. */
--- a/sequoia-core/src/main/java/org/sequoiahub/core/runner/PolicySettings.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/runner/PolicySettings.java
@@ -9,7 +9,8 @@
  * @param orderLifetimeMillis how long an order or request of unknown outcome may still reach the
  *     engine after its connection was given up
  * @param requestLimitMillis no request outlives this
- * @param evictByPopularity whether the least popular adapter is evicted, else the least recently used
+ * @param evictByPopularity whether the least popular adapter is evicted, else the least recently
+ *     used
  */
 public record PolicySettings(
     int queueLimit,
--- a/sequoia-core/src/main/java/org/sequoiahub/core/runner/RequestQueue.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/runner/RequestQueue.java
@@ -64,7 +64,8 @@
   /** Returns the request to start next among the adapters that {@code startable} admits. */
   Optional<RunnerRequest> next(Predicate<AdapterVersion> startable, long nowMillis) {
     QueuedRequest best = null;
-    for (Map.Entry<AdapterVersion, LinkedHashMap<String, QueuedRequest>> group : byAdapter.entrySet()) {
+    for (Map.Entry<AdapterVersion, LinkedHashMap<String, QueuedRequest>> group :
+        byAdapter.entrySet()) {
       if (startable.test(group.getKey())) {
         for (QueuedRequest queued : group.getValue().values()) {
           best = moreUrgent(best, queued, nowMillis);
@@ -117,7 +118,8 @@
     return removed;
   }
 
-  private QueuedRequest moreUrgent(@Nullable QueuedRequest best, QueuedRequest queued, long nowMillis) {
+  private QueuedRequest moreUrgent(
+      @Nullable QueuedRequest best, QueuedRequest queued, long nowMillis) {
     if (best == null) {
       return queued;
     }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/runner/RunnerController.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/runner/RunnerController.java
@@ -397,7 +397,10 @@
 
   private boolean isEvictable(Slot slot, Rights rights) {
     boolean usable = slot.is(State.READY) || slot.is(State.DRAINING);
-    return usable && rights.held() && slot.isExclusiveIn(rights.term()) && !isPinned(slot.adapter());
+    return usable
+        && rights.held()
+        && slot.isExclusiveIn(rights.term())
+        && !isPinned(slot.adapter());
   }
 
   private boolean isPinned(AdapterVersion adapter) {
--- a/sequoia-core/src/test/java/org/sequoiahub/core/dispatch/GenerationPlacementTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/dispatch/GenerationPlacementTest.java
@@ -167,7 +167,8 @@
     @Test
     void isNeverHeldBackAtAnIdleRunner() {
       assertThat(
-              placement.mayStartReading(candidate("r", true, 0, 40_000), new StreamLimits(500, 5, 1_000)))
+              placement.mayStartReading(
+                  candidate("r", true, 0, 40_000), new StreamLimits(500, 5, 1_000)))
           .isTrue();
     }
 
