--- a/sequoia-core/src/main/java/org/sequoiahub/core/holding/Demand.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/holding/Demand.java
@@ -3,17 +3,17 @@
 import org.sequoiahub.core.call.Target;
 
 /**
- * Requests that wait for an adapter or a model at one runner.
+ * Demand for an adapter or a base model by the requests that wait for it at one runner.
  *
  * @param model the base model
  * @param adapter the adapter, empty for the model itself
- * @param waiting how many requests wait
- * @param inTime how many of them can still have their first event within their target latency
- * @param priority the most urgent one's priority, 0 first
+ * @param waiting the number of waiting requests
+ * @param inTime the number of them that can still get their first event within their target latency
+ * @param priority the priority of the most urgent request; 0 is the most urgent
  */
 public record Demand(String model, String adapter, int waiting, int inTime, int priority) {
 
-  /** Returns this demand together with one of other requests for the same adapter. */
+  /** Returns the sum of this demand and another one for the same adapter. */
   public Demand plus(Demand other) {
     return new Demand(
         model,
@@ -23,7 +23,7 @@
         Math.min(priority, other.priority));
   }
 
-  /** Returns model and adapter as one name. */
+  /** Returns the combined name of the model and the adapter. */
   public String target() {
     return Target.of(model, adapter);
   }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/holding/Holdings.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/holding/Holdings.java
@@ -8,35 +8,35 @@
 import java.util.Optional;
 import java.util.Set;
 
-/** What the runners hold, as told by the hosts that order them. */
+/** Stores what each runner holds, as reported by the host that orders it. */
 public final class Holdings {
 
   private static final LinkedHashSet<String> NO_ADAPTERS = new LinkedHashSet<>();
 
   private final Map<String, Holding> byRunner = new HashMap<>();
 
-  /** How often what each runner holds, or who orders it, was seen to change. */
+  /** The number of observed changes of what each runner holds or of its holder. */
   private final Map<String, Long> changeCount = new HashMap<>();
 
-  /** When the last adapter that is on its way to each runner is there (ms). */
+  /** When the last adapter in transit to each runner is expected to be ready (ms). */
   private final Map<String, Long> lastReadyMillis = new HashMap<>();
 
-  /** The adapters that each runner was seen to drop, the latest last. */
+  /** The adapters that each runner recently unloaded, in unload order. */
   private final Map<String, LinkedHashSet<String>> recentlyUnloaded = new HashMap<>();
 
   /**
-   * What one runner holds.
+   * What one runner holds, as reported by its holder.
    *
-   * @param host the host that orders it
-   * @param token larger for a later holder
-   * @param reportedMillis when the holder told it
-   * @param adapters its adapters by name, those on their way included
+   * @param host the holder, the host that orders the runner
+   * @param token the holder's token; a later holder has a larger one
+   * @param reportedMillis when the holder reported it (ms)
+   * @param adapters its adapters by name, including those in transit
    * @param models its base models
-   * @param freePlaces places for adapters that are empty or hold idle ones
-   * @param loadMillis how long an adapter takes from the weight store once it is ordered
-   * @param queueMillis how long adapters wait lately until they are ordered
-   * @param mayOrderFromMillis from when on the holder may order the runner
-   * @param warmCapacity how many dropped adapters the runner is believed to bring back quickly
+   * @param freePlaces the number of adapter places that are empty or hold an idle adapter
+   * @param loadMillis how long an adapter takes to load from the weight store once ordered (ms)
+   * @param queueMillis how long adapters currently wait until their load is ordered (ms)
+   * @param mayOrderFromMillis the time from which the holder may order the runner (ms)
+   * @param warmCapacity how many unloaded adapters the runner is believed to reload quickly
    */
   public record Holding(
       String host,
@@ -56,7 +56,7 @@
     }
   }
 
-  /** Takes in a holding; one of an earlier holder is ignored. */
+  /** Stores a runner's holding; a report of an earlier holder is ignored. */
   public void update(String runner, Holding holding) {
     Holding current = byRunner.get(runner);
     if (current == null || holding.token >= current.token) {
@@ -71,7 +71,7 @@
     }
   }
 
-  /** Returns whether two holdings serve the same requests, now or as soon as they are there. */
+  /** Returns whether two holdings can serve the same requests once all loads have finished. */
   private static boolean servesSameRequests(Holding before, Holding now) {
     return before.host.equals(now.host)
         && hasSameVersions(before.adapters, now.adapters)
@@ -79,58 +79,61 @@
         && (before.freePlaces > 0) == (now.freePlaces > 0);
   }
 
-  private static boolean hasSameVersions(Map<String, ResidentAdapter> before, Map<String, ResidentAdapter> now) {
+  private static boolean hasSameVersions(
+      Map<String, ResidentAdapter> before, Map<String, ResidentAdapter> now) {
     if (before.size() != now.size()) {
       return false;
     }
-    for (ResidentAdapter item : now.values()) {
-      ResidentAdapter earlier = before.get(item.target());
-      if (earlier == null || earlier.version() != item.version()) {
+    for (ResidentAdapter adapter : now.values()) {
+      ResidentAdapter earlier = before.get(adapter.target());
+      if (earlier == null || earlier.version() != adapter.version()) {
         return false;
       }
     }
     return true;
   }
 
-  /** Returns a number that differs whenever what a runner holds has changed. */
+  /** Returns a number that grows with every change of what a runner holds or of its holder. */
   public long changeCount(String runner) {
     return changeCount.getOrDefault(runner, 0L);
   }
 
   private static long lastReadyMillis(Holding holding) {
     long last = Long.MIN_VALUE;
-    for (ResidentAdapter item : holding.adapters.values()) {
-      last = Math.max(last, item.readyMillis());
+    for (ResidentAdapter adapter : holding.adapters.values()) {
+      last = Math.max(last, adapter.readyMillis());
     }
     return last;
   }
 
   private void recordUnloaded(String runner, Holding before, Holding now) {
-    LinkedHashSet<String> list = recentlyUnloaded.computeIfAbsent(runner, id -> new LinkedHashSet<>());
-    list.removeAll(now.adapters.keySet());
+    LinkedHashSet<String> unloaded =
+        recentlyUnloaded.computeIfAbsent(runner, id -> new LinkedHashSet<>());
+    unloaded.removeAll(now.adapters.keySet());
     for (String target : before.adapters.keySet()) {
       if (!now.adapters.containsKey(target)) {
-        list.remove(target);
-        list.add(target);
+        unloaded.remove(target);
+        unloaded.add(target);
       }
     }
-    Iterator<String> oldest = list.iterator();
-    while (list.size() > now.warmCapacity && oldest.hasNext()) {
+    Iterator<String> oldest = unloaded.iterator();
+    while (unloaded.size() > now.warmCapacity && oldest.hasNext()) {
       oldest.next();
       oldest.remove();
     }
   }
 
   /**
-   * Returns whether a runner dropped an adapter so lately that it brings it back quickly.
+   * Returns whether a runner unloaded an adapter so recently that it can reload it quickly.
    *
-   * <p>A host that does not know it sends the request to a runner that must fetch the adapter.
+   * <p>Without this a host would send the request to a runner that has to load the adapter from the
+   * weight store.
    */
   public boolean isWarm(String runner, String target) {
     return recentlyUnloaded.getOrDefault(runner, NO_ADAPTERS).contains(target);
   }
 
-  /** Forgets the runners that are not among {@code known}. */
+  /** Removes the runners that are not in {@code known}. */
   public void retain(Set<String> known) {
     byRunner.keySet().retainAll(known);
     lastReadyMillis.keySet().retainAll(known);
@@ -138,44 +141,44 @@
     recentlyUnloaded.keySet().retainAll(known);
   }
 
-  /** Returns what a runner holds, if its holder told. */
+  /** Returns what a runner holds; empty if no holder has reported it. */
   public Optional<Holding> find(String runner) {
     return Optional.ofNullable(byRunner.get(runner));
   }
 
-  /** Returns all holdings by runner; a view that changes with this object. */
+  /** Returns an unmodifiable live view of all holdings by runner. */
   public Map<String, Holding> all() {
     return Collections.unmodifiableMap(byRunner);
   }
 
-  /** Returns the largest token seen for a runner; 0 if none. */
+  /** Returns the largest holder token seen for a runner; 0 if none. */
   public long token(String runner) {
     Holding holding = byRunner.get(runner);
     return holding == null ? 0 : holding.token;
   }
 
   /**
-   * Returns how many adapters are on their way to runners other than {@code runner}.
+   * Returns how many adapters are in transit to runners other than {@code runner}.
    *
-   * <p>Asked before each order; most runners have none, which is known without a look at what they
-   * hold.
+   * <p>Called before each order. Most runners have no adapter in transit, which is known without
+   * iterating over their adapters.
    */
   public int inTransitElsewhere(String runner, long nowMillis) {
     int transit = 0;
     for (Map.Entry<String, Long> last : lastReadyMillis.entrySet()) {
       if (last.getValue() > nowMillis && !last.getKey().equals(runner)) {
-        transit += transit(last.getKey(), nowMillis);
+        transit += inTransit(last.getKey(), nowMillis);
       }
     }
     return transit;
   }
 
-  private int transit(String runner, long nowMillis) {
+  private int inTransit(String runner, long nowMillis) {
     Holding holding = byRunner.get(runner);
     int transit = 0;
     if (holding != null) {
-      for (ResidentAdapter item : holding.adapters.values()) {
-        transit += item.readyMillis() > nowMillis ? 1 : 0;
+      for (ResidentAdapter adapter : holding.adapters.values()) {
+        transit += adapter.readyMillis() > nowMillis ? 1 : 0;
       }
     }
     return transit;
--- a/sequoia-core/src/main/java/org/sequoiahub/core/holding/LoadEstimates.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/holding/LoadEstimates.java
@@ -1,15 +1,16 @@
 package org.sequoiahub.core.holding;
 
 /**
- * What a holder has learnt from the loads of all its runners.
+ * Estimates that a holder derives from the loads of all its runners.
  *
- * @param loadTime how long an adapter takes from the weight store
- * @param transitLimit how many may be on their way before each takes longer
- * @param warmCapacity how many dropped adapters a runner still brings back quickly
+ * @param loadTime how long an adapter takes to load from the weight store
+ * @param transitLimit how many adapters may be in transit before each load takes longer
+ * @param warmCapacity how many unloaded adapters a runner can still reload quickly
  */
-public record LoadEstimates(LoadTime loadTime, TransitLimit transitLimit, WarmCapacity warmCapacity) {
+public record LoadEstimates(
+    LoadTime loadTime, TransitLimit transitLimit, WarmCapacity warmCapacity) {
 
-  /** Returns the estimates of a fleet of which nothing was seen yet. */
+  /** Returns the initial estimates for a fleet in which no load was observed yet. */
   public static LoadEstimates of(ResidencySettings settings, int runners) {
     return new LoadEstimates(
         new LoadTime(settings.loadMillis()),
--- a/sequoia-core/src/main/java/org/sequoiahub/core/holding/LoadTime.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/holding/LoadTime.java
@@ -3,23 +3,30 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * How long an adapter takes from the weight store, learnt from the requests that came too early.
+ * Estimates how long an adapter takes to load from the weight store.
  *
- * <p>No record says it; the users' sheets have 250 and 288 ms. Requests are sent the moment that an
- * adapter is expected to be there: expected 38 ms too soon, a fifth of all requests was refused
- * once, each drawing on the retry budget. Expected too late, each first request waits in vain.
+ * <p>No record states the load time; known deployments specify 250 and 288 ms. Requests are sent at
+ * the moment the adapter is expected to be ready. An estimate that is 38 ms too short had a fifth
+ * of all requests rejected once, each spending retry budget; one that is too long delays every
+ * first request. The estimate is therefore corrected by the requests that arrived too early.
  */
 public final class LoadTime {
 
-  /** Longest time that is believed (ms): beyond it the store is slow, not the estimate short. */
+  /**
+   * Upper bound of the estimate (ms). Longer loads are due to a slow weight store, not to an
+   * estimate that is too short.
+   */
   private static final double MAX_MILLIS = 1_000;
 
-  /** Added for each request that came too early (ms): two of them cover the sheets' difference. */
+  /**
+   * Increase for each request that arrived too early (ms); two of them cover the difference between
+   * the specified load times.
+   */
   private static final double STEP_MILLIS = 20;
 
   /**
-   * Taken off for each load (ms), so that a fault that made loads slow for a while is forgotten;
-   * one load in twenty is then expected too soon.
+   * Decrease for each load (ms), so that the estimate recovers after a fault has slowed down loads
+   * temporarily. As a consequence, one load in twenty is expected too early.
    */
   private static final double DECAY_MILLIS = 1;
 
@@ -29,15 +36,15 @@
   /**
    * Creates an estimate.
    *
-   * @param leastMillis the shortest time that is ever expected
+   * @param minMillis the initial value and lower bound of the estimate (ms)
    */
-  public LoadTime(long leastMillis) {
-    checkArgument(leastMillis > 0, "leastMillis must be above 0, was %s", leastMillis);
-    this.minMillis = leastMillis;
-    this.millis = leastMillis;
+  public LoadTime(long minMillis) {
+    checkArgument(minMillis > 0, "minMillis must be above 0, was %s", minMillis);
+    this.minMillis = minMillis;
+    this.millis = minMillis;
   }
 
-  /** Returns the expected time (ms). */
+  /** Returns the expected load time (ms). */
   public long millis() {
     return Math.round(millis);
   }
@@ -47,7 +54,7 @@
     millis = Math.max(minMillis, millis - DECAY_MILLIS);
   }
 
-  /** Records that an adapter was not there when it was expected to be. */
+  /** Records that an adapter was not ready when it was expected to be. */
   public void recordLate() {
     millis = Math.min(MAX_MILLIS, millis + STEP_MILLIS);
   }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/holding/Order.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/holding/Order.java
@@ -3,7 +3,7 @@
 import org.sequoiahub.core.call.Target;
 
 /**
- * An order to a runner.
+ * An order to a runner to load or unload a base model or an adapter.
  *
  * @param operation what to do
  * @param model the base model
@@ -12,15 +12,15 @@
  */
 public record Order(Operation operation, String model, String adapter, int version) {
 
-  /** What an order does. */
+  /** The kind of an order. */
   public enum Operation {
     /** Loads a model or an adapter, or replaces the adapter's version. */
     LOAD,
-    /** Drops a model or an adapter once no request uses it. */
+    /** Unloads a model or an adapter once no request uses it. */
     UNLOAD
   }
 
-  /** Returns model and adapter as one name. */
+  /** Returns the combined name of the model and the adapter. */
   public String target() {
     return Target.of(model, adapter);
   }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/holding/OrderReply.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/holding/OrderReply.java
@@ -2,16 +2,16 @@
 
 /** A runner's reply to an order. */
 public enum OrderReply {
-  /** Accepted; it takes time. */
+  /** Accepted; the order takes time to complete. */
   ACCEPTED,
-  /** Done, or it held already. */
+  /** Completed, or the runner already held what it was ordered to load. */
   DONE,
-  /** Not accepted: another order is in progress, or somebody else gave an order in between. */
+  /** Rejected: another order is in progress, or another sender's order was accepted in between. */
   CONFLICT,
-  /** Not accepted: another runner has the address now. */
+  /** Rejected: the address now belongs to another runner. */
   WRONG_RUNNER,
-  /** Not accepted for another reason. */
+  /** Rejected for another reason. */
   REJECTED,
-  /** No reply: it may have been accepted. */
+  /** No reply: the order may have been accepted. */
   UNKNOWN
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/holding/ReportReply.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/holding/ReportReply.java
@@ -1,15 +1,15 @@
 package org.sequoiahub.core.holding;
 
-/** What came of asking a runner for its report. */
+/** The outcome of requesting a runner's report. */
 public sealed interface ReportReply {
 
   /** The runner's report. */
   record Received(RunnerReport report) implements ReportReply {}
 
   /**
-   * No report that may be believed.
+   * No report was received, or it is not valid for the runner.
    *
-   * @param reason what went wrong, for the log
+   * @param reason the cause, for the log
    */
   record Missing(String reason) implements ReportReply {}
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/holding/ResidencySettings.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/holding/ResidencySettings.java
@@ -1,17 +1,21 @@
 package org.sequoiahub.core.holding;
 
 /**
- * Times that a runner's adapters take.
+ * Timing and limits of loading adapters and base models at the runners.
  *
- * @param loadMillis an adapter from the weight store
- * @param reloadMillis an adapter that the runner held a short while ago
- * @param warmCapacity how many adapters a runner can have dropped and still reload fast
- * @param minTransitLimit adapters on their way over all runners before each takes longer
- * @param maxTransitPerRunner adapters on their way to one runner at most
- * @param minIdleMillis how long an adapter must have been unused before it makes way
- * @param modelRetryMillis how long after an order for a model the next one is given
- * @param delayMillis how much later an adapter is expected that was not there when it should be
- * @param maxReportAgeMillis how old a report may be; one read sooner after an order may not show it
+ * @param loadMillis how long an adapter takes to load from the weight store (ms)
+ * @param reloadMillis how long an adapter takes to load that the runner held recently (ms)
+ * @param warmCapacity how many unloaded adapters a runner can reload quickly
+ * @param minTransitLimit how many adapters may at least be in transit over all runners before each
+ *     load takes longer
+ * @param maxTransitPerRunner the maximum number of adapters in transit to one runner
+ * @param minIdleMillis how long an adapter must have been unused before it may be unloaded for
+ *     another one (ms)
+ * @param modelRetryMillis the minimum time between two orders for a base model (ms)
+ * @param delayMillis by how much the expected time of an adapter is moved that is not ready when
+ *     expected, and the pause after a rejected order (ms)
+ * @param maxReportAgeMillis the maximum age of a report (ms); a report fetched sooner after an
+ *     order may not reflect the order
  */
 public record ResidencySettings(
     long loadMillis,
@@ -24,31 +28,35 @@
     long delayMillis,
     long maxReportAgeMillis) {
 
-  /** Runners for each adapter that may be on its way at full speed; see {@link #forFleet}. */
+  /** Adapters per runner that the weight store loads at full speed; see {@link #forFleet}. */
   private static final double FULL_SPEED_LOADS_PER_RUNNER = 0.6;
 
   /**
-   * The figures that the users' sheets give: 250 ms a load, a tenth of it for one held recently, 8
-   * at full speed over all runners, 4 at a runner, reports up to 200 ms old. {@code idleMillis} is
-   * two and a half times the time in which other hosts tell what they have in flight (40 ms);
-   * {@code remembered} is a guess below what runners were seen to keep.
+   * The values that known deployments specify: 250 ms per load, a tenth of it for an adapter held
+   * recently, 8 loads at full speed over all runners, 4 at one runner, reports up to 200 ms old.
+   *
+   * <p>{@code minIdleMillis} is two and a half times the interval in which other hosts report what
+   * they have in flight (40 ms). {@code warmCapacity} is below what runners were observed to keep.
    */
   public static final ResidencySettings DEFAULT =
       new ResidencySettings(250, 25, 32, 8, 4, 100, 5_000, 40, 500);
 
   /**
-   * In a large fleet what a host has in flight reaches the holder through a delegate (ms): up to
-   * 100 for the host's word, 150 for the digest, and 150 more if one is lost. An adapter that is
-   * dropped sooner may have a request on its way, which is refused.
+   * The {@code minIdleMillis} of a large fleet, in which the holder learns through a delegate what
+   * another host has in flight: after up to 100 ms for the host's report, 150 ms for the digest,
+   * and another 150 ms if a digest is lost. An adapter that is unloaded sooner may have a request
+   * in flight, which the runner then rejects.
    */
   private static final long DELEGATED_MIN_IDLE_MILLIS = 400;
 
   /**
-   * Returns the settings of a fleet of {@code runners}: the store of a larger one brings more at
-   * once, though no record says how many; the users' sheets have 8 for 8 and 13 runners, 32 for 42
-   * and 40 for 63.
+   * Returns the settings for a fleet of the given size.
+   *
+   * <p>The weight store of a larger fleet loads more adapters at once, but no record states how
+   * many. Known deployments specify 8 for 8 and 13 runners, 32 for 42 and 40 for 63.
    *
-   * @param large whether hosts tell each other what they have in flight through delegates
+   * @param runners the number of runners
+   * @param large whether hosts report what they have in flight through delegates
    */
   public static ResidencySettings forFleet(int runners, boolean large) {
     int transit = Math.max(DEFAULT.minTransitLimit, (int) (runners * FULL_SPEED_LOADS_PER_RUNNER));
--- a/sequoia-core/src/main/java/org/sequoiahub/core/holding/ResidentAdapter.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/holding/ResidentAdapter.java
@@ -1,10 +1,10 @@
 package org.sequoiahub.core.holding;
 
 /**
- * An adapter at a runner.
+ * An adapter that a runner holds or is loading.
  *
- * @param target model and adapter as one name
- * @param version its version; 0 if the newest was asked for
- * @param readyMillis when it can serve, on the clock of whoever holds this record
+ * @param target the combined name of the model and the adapter
+ * @param version the adapter's version; 0 if the newest was requested
+ * @param readyMillis when it can serve requests, on this host's clock (ms)
  */
 public record ResidentAdapter(String target, int version, long readyMillis) {}
--- a/sequoia-core/src/main/java/org/sequoiahub/core/holding/RunnerOrders.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/holding/RunnerOrders.java
@@ -3,16 +3,16 @@
 import java.util.function.Consumer;
 import org.sequoiahub.core.upstream.RunnerEntry;
 
-/** Gives orders to runners and reads their reports; replies may come on any thread. */
+/** Sends orders to runners and fetches their reports. Listeners may be called on any thread. */
 public interface RunnerOrders {
 
   /**
-   * Gives an order.
+   * Sends an order to a runner.
    *
-   * @param expectedSequence how many orders the runner has accepted, as far as the sender knows
-   * @param holder the host that orders
-   * @param token grows with every change of the host that orders this runner
-   * @param timeoutMillis without a reply for this long the outcome is unknown
+   * @param expectedSequence the number of orders that the sender knows the runner to have accepted
+   * @param holder the host that sends the order
+   * @param token the holder's token, which grows with every change of the runner's holder
+   * @param timeoutMillis how long to wait for a reply before the outcome counts as unknown (ms)
    */
   void sendOrder(
       RunnerEntry runner,
@@ -23,6 +23,6 @@
       long timeoutMillis,
       Consumer<OrderReply> listener);
 
-  /** Reads a runner's report. */
+  /** Fetches a runner's report. */
   void fetchReport(RunnerEntry runner, long timeoutMillis, Consumer<ReportReply> listener);
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/holding/RunnerResidency.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/holding/RunnerResidency.java
@@ -20,21 +20,24 @@
 import org.sequoiahub.core.routing.ModelSpec;
 
 /**
- * What one runner holds, as known by the only host that orders it, and the next order to give.
+ * Tracks what one runner holds, on the only host that orders it, and decides on the next order.
  *
- * <p>A runner that is ordered to load more than it has places for crashes. So a place counts as
- * taken from the sending of a load until an unload is confirmed or a report, sampled after the last
- * uncertain order, shows it empty. Orders are given one at a time.
+ * <p>A runner crashes if it is ordered to load more adapters than it has places for. A place
+ * therefore counts as taken from the moment a load is sent until an unload is confirmed or until a
+ * report that was sampled after the last uncertain order shows it empty. Only one order is pending
+ * at a time.
  */
 public final class RunnerResidency {
 
-  /** Use halves in this time (ms): popularity moves within seconds. */
+  /** Half-life of an adapter's recent use (ms): popularity changes within seconds. */
   private static final double USE_HALF_LIFE_MILLIS = 4_000;
 
-  /** Weight of the newest wait for a load; about the last five decide, a fifth of a second's. */
+  /** Weight of the newest wait in the average; about the last five waits, 0.2 s, dominate it. */
   private static final double NEWEST_WAIT_WEIGHT = 0.2;
 
-  /** By how much less a demand counts for each rank below the most urgent; a mild preference. */
+  /**
+   * Reduces the weight of a demand per priority rank below the most urgent one; a mild preference.
+   */
   private static final double PRIORITY_DISCOUNT = 0.1;
 
   private final EngineSpec engine;
@@ -44,7 +47,7 @@
   private final Set<String> models = new HashSet<>();
   private final WarmAdapters warm;
 
-  /** Since when requests have waited here for each adapter that is not there. */
+  /** Since when requests have waited for each adapter that this runner does not hold (ms). */
   private final Map<String, Long> demandedSinceMillis = new HashMap<>();
 
   private long sequence = -1;
@@ -55,13 +58,13 @@
   private long nextOrderMillis = Long.MIN_VALUE / 2;
   private int consecutiveRejections;
 
-  /** How long adapters lately waited until their load was ordered. */
+  /** Moving average of how long adapters waited until their load was ordered (ms). */
   private double averageQueueMillis;
 
   /**
-   * Creates a residency of which nothing is known until {@link #applyReport}.
+   * Creates a residency whose state is unknown until {@link #applyReport} is called.
    *
-   * @param estimates what all residencies of a holder have learnt from their loads
+   * @param estimates the estimates that all residencies of a holder share
    */
   public RunnerResidency(EngineSpec engine, ResidencySettings settings, LoadEstimates estimates) {
     this.engine = requireNonNull(engine, "engine must not be null");
@@ -71,32 +74,35 @@
   }
 
   private enum State {
+    /** In transit: its load was ordered, and it is not expected to be ready yet. */
     COMING,
     READY,
+    /** Its unload was ordered. */
     LEAVING
   }
 
+  /** An adapter that takes up a place of the runner. */
   private static final class AdapterEntry {
     final String target;
     final int version;
     State state;
 
-    /** Whether the runner has not confirmed the order to drop it. */
+    /** Whether the runner has not confirmed the order to unload it. */
     boolean unloadUnconfirmed;
 
-    /** Whether the runner refused a request for it although it should be there. */
+    /** Whether the runner rejected a request for it although it should hold it. */
     boolean suspect;
 
-    /** Adapters on their way from the store when this one was ordered, itself included. */
+    /** Adapters in transit from the weight store when this one was ordered, including itself. */
     int transitAtOrder;
 
-    /** Drops since this one was dropped, if the runner was expected to have kept it; else -1. */
+    /** Unloads since this one was unloaded if a quick reload was expected; otherwise -1. */
     int warmDepth = -1;
 
-    /** Whether a newer version was published: what the runner keeps of this one is of no use. */
+    /** Whether a newer version was published, so that reloading this one is of no use. */
     boolean superseded;
 
-    /** Whether it is still open whether it came in time. */
+    /** Whether it is not known yet if its load finished on time. */
     boolean timingPending;
 
     long orderedMillis;
@@ -116,7 +122,8 @@
 
     void recordUse(int requests, long nowMillis) {
       double decay = Math.pow(0.5, (nowMillis - recentUseMillis) / USE_HALF_LIFE_MILLIS);
-      recentUse = recentUse * decay + requests * (nowMillis - recentUseMillis) / USE_HALF_LIFE_MILLIS;
+      recentUse =
+          recentUse * decay + requests * (nowMillis - recentUseMillis) / USE_HALF_LIFE_MILLIS;
       recentUseMillis = nowMillis;
       if (requests > 0) {
         lastUsedMillis = nowMillis;
@@ -124,14 +131,14 @@
     }
   }
 
-  /** Returns whether a report is needed before further orders, and would be new enough now. */
+  /** Returns whether a report is needed before the next order, and would be recent enough now. */
   public boolean isReportDue(long nowMillis) {
     return uncertain
         && pendingOrder == null
         && nowMillis - uncertainSinceMillis >= settings.maxReportAgeMillis();
   }
 
-  /** Takes in a report that was asked for when {@link #isReportDue} held. */
+  /** Applies a report that was requested while {@link #isReportDue} was true. */
   public void applyReport(RunnerReport report, long nowMillis) {
     final boolean noneAccepted = report.sequence() <= sequence;
     sequence = report.sequence();
@@ -141,46 +148,47 @@
     adapters.clear();
     report
         .adapters()
-        .forEach((target, version) -> applyReport(former, target, version, State.READY, nowMillis));
+        .forEach((target, version) -> addReported(former, target, version, State.READY, nowMillis));
     report
         .loading()
-        .forEach((target, version) -> applyReport(former, target, version, State.COMING, nowMillis));
-    boolean leaving = false;
-    for (AdapterEntry item : former.values()) {
-      AdapterEntry still = adapters.get(item.target);
-      if (still == null) {
-        warm.add(item.target);
-      } else if (item.state == State.LEAVING && !(item.unloadUnconfirmed && noneAccepted)) {
-        // Its order was accepted, or may have been: it waits for the last request that uses it.
-        still.state = State.LEAVING;
-        leaving = true;
+        .forEach(
+            (target, version) -> addReported(former, target, version, State.COMING, nowMillis));
+    boolean unloading = false;
+    for (AdapterEntry entry : former.values()) {
+      AdapterEntry current = adapters.get(entry.target);
+      if (current == null) {
+        warm.add(entry.target);
+      } else if (entry.state == State.LEAVING && !(entry.unloadUnconfirmed && noneAccepted)) {
+        // The unload was or may have been accepted, and waits for the last request to finish.
+        current.state = State.LEAVING;
+        unloading = true;
       }
     }
-    // While a drop waits for its requests, or a model loads, only reports tell when it is done.
-    uncertain = leaving || report.modelOrderPending();
+    // Only a report shows when a pending unload or the load of a model has finished.
+    uncertain = unloading || report.modelOrderPending();
     uncertainSinceMillis = nowMillis;
   }
 
-  private void applyReport(
+  private void addReported(
       Map<String, AdapterEntry> former, String target, int version, State state, long nowMillis) {
     AdapterEntry before = former.get(target);
     long ready = state == State.COMING ? nowMillis + estimates.loadTime().millis() : nowMillis;
-    AdapterEntry item = new AdapterEntry(target, version, state, ready, nowMillis);
+    AdapterEntry entry = new AdapterEntry(target, version, state, ready, nowMillis);
     if (before != null) {
-      item.lastUsedMillis = before.lastUsedMillis;
-      item.recentUse = before.recentUse;
-      item.recentUseMillis = before.recentUseMillis;
+      entry.lastUsedMillis = before.lastUsedMillis;
+      entry.recentUse = before.recentUse;
+      entry.recentUseMillis = before.recentUseMillis;
     }
-    adapters.put(target, item);
+    adapters.put(target, entry);
   }
 
   /**
-   * Returns the order to give now.
+   * Returns the order to send now; empty if there is none.
    *
-   * @param demands what requests wait for, at this runner
-   * @param uses how many requests of all hosts use an adapter here
-   * @param newest the newest published version of an adapter, 0 if none was published
-   * @param transitElsewhere adapters on their way to other runners
+   * @param demands what requests wait for at this runner
+   * @param uses returns how many requests of all hosts use an adapter at this runner
+   * @param newest returns the newest published version of an adapter; 0 if none was published
+   * @param transitElsewhere the number of adapters in transit to other runners
    */
   public Optional<Order> nextOrder(
       Collection<Demand> demands,
@@ -209,18 +217,19 @@
   }
 
   /**
-   * Returns the demands in the order in which they are met: those that can still be in time first,
-   * of these the one whose requests have waited longest together, urgent ones counting for more.
+   * Returns the demands in the order in which they are served: first those that can still meet
+   * their target latency, and among these the one with the longest total wait of its requests,
+   * weighted by priority.
    *
-   * <p>Strictly by urgency, the long prompts of a less urgent route waited behind each short one's
-   * adapter and were the worst served although they are worth most to their callers: 0.70 of their
-   * worth against 0.77 in this order, one day played with each.
+   * <p>Sorting strictly by priority would make the long prompts of a less urgent route, which are
+   * worth most to their callers, wait behind the adapter of each short prompt.
    *
-   * <p>After an outage more requests wait than adapters come in their time; oldest first, all of
-   * them would be late.
+   * <p>After an outage more requests wait than adapters can be loaded before the deadlines. Serving
+   * the oldest first would make all of them late.
    *
-   * <p>By number alone a single request for a rare adapter waited for seconds, as there was always
-   * another adapter that two wanted; by age alone one load for many came after many for one.
+   * <p>Sorting by the number of requests alone would let a single request for a rare adapter wait
+   * for seconds while there is always another adapter with two requests. Sorting by age alone would
+   * delay one load that serves many requests behind many loads that serve one each.
    */
   private List<Demand> prioritize(Collection<Demand> demands, long nowMillis) {
     Map<String, Demand> joined = new HashMap<>();
@@ -243,31 +252,31 @@
   }
 
   private void refreshEntries(ToIntFunction<String> uses, long nowMillis) {
-    for (AdapterEntry item : adapters.values()) {
-      item.recordUse(uses.applyAsInt(item.target), nowMillis);
-      if (item.state == State.COMING && nowMillis >= item.readyMillis) {
-        item.state = State.READY;
+    for (AdapterEntry entry : adapters.values()) {
+      entry.recordUse(uses.applyAsInt(entry.target), nowMillis);
+      if (entry.state == State.COMING && nowMillis >= entry.readyMillis) {
+        entry.state = State.READY;
       }
-      if (item.timingPending && nowMillis - item.readyMillis >= settings.delayMillis()) {
-        item.timingPending = false;
-        recordOnTime(item);
+      if (entry.timingPending && nowMillis - entry.readyMillis >= settings.delayMillis()) {
+        entry.timingPending = false;
+        recordOnTime(entry);
       }
     }
   }
 
-  private void recordOnTime(AdapterEntry item) {
-    if (item.warmDepth >= 0) {
-      estimates.warmCapacity().recordFastReload(item.warmDepth);
+  private void recordOnTime(AdapterEntry entry) {
+    if (entry.warmDepth >= 0) {
+      estimates.warmCapacity().recordFastReload(entry.warmDepth);
     } else {
-      estimates.transitLimit().recordOnTime(item.transitAtOrder);
+      estimates.transitLimit().recordOnTime(entry.transitAtOrder);
     }
   }
 
   private Optional<Order> unloadOutdated(ToIntFunction<String> newest) {
-    for (AdapterEntry item : adapters.values()) {
-      if (item.state == State.READY && item.version < newest.applyAsInt(item.target)) {
-        item.superseded = true;
-        return Optional.of(order(Operation.UNLOAD, item.target, 0));
+    for (AdapterEntry entry : adapters.values()) {
+      if (entry.state == State.READY && entry.version < newest.applyAsInt(entry.target)) {
+        entry.superseded = true;
+        return Optional.of(order(Operation.UNLOAD, entry.target, 0));
       }
     }
     return Optional.empty();
@@ -292,19 +301,24 @@
       return Optional.of(
           order(Operation.LOAD, demand.target(), newest.applyAsInt(demand.target())));
     }
-    return evictionCandidate(demands, nowMillis).map(item -> order(Operation.UNLOAD, item.target, 0));
+    return evictionCandidate(demands, nowMillis)
+        .map(entry -> order(Operation.UNLOAD, entry.target, 0));
   }
 
   /**
-   * Beyond a number of adapters on their way over all runners the store brings no more of them a
-   * second, and each only takes longer; so every runner may bring one, and more only below that
-   * number. One that the runner kept does not come from the store.
+   * Returns whether an adapter may be loaded now.
+   *
+   * <p>Beyond a certain number of adapters in transit over all runners, the weight store loads no
+   * more of them per second and each load only takes longer. Every runner may therefore load one
+   * adapter at any time, and more only below that number. Adapters that the runner can reload
+   * quickly do not use the weight store.
    */
   private boolean mayLoad(String target, int transitElsewhere) {
-    int coming = inTransit();
-    return coming == 0
-        || (coming < settings.maxTransitPerRunner()
-            && (coming + transitElsewhere < estimates.transitLimit().limit() || warm.contains(target)));
+    int transit = inTransit();
+    return transit == 0
+        || (transit < settings.maxTransitPerRunner()
+            && (transit + transitElsewhere < estimates.transitLimit().limit()
+                || warm.contains(target)));
   }
 
   private boolean hasRoom(String model) {
@@ -315,31 +329,33 @@
     for (String held : models) {
       used += spec(held).map(ModelSpec::weightsMb).orElse(0.0);
     }
-    for (AdapterEntry item : adapters.values()) {
-      used += spec(Target.model(item.target)).map(ModelSpec::adapterMb).orElse(0.0);
+    for (AdapterEntry entry : adapters.values()) {
+      used += spec(Target.model(entry.target)).map(ModelSpec::adapterMb).orElse(0.0);
     }
     return used + spec(model).map(ModelSpec::adapterMb).orElse(0.0) <= engine.weightsMb();
   }
 
   /**
-   * Returns the adapter to drop for another. One in use now counts as used at this moment (see
-   * {@link #refreshEntries}); one that was used a moment ago may have a request on its way from a host that
-   * has not told of it yet.
+   * Returns the adapter to unload for another one; empty if there is none.
+   *
+   * <p>An adapter in use counts as used now (see {@link #refreshEntries}). One that was used
+   * shortly before may have a request in flight from a host that has not reported it yet.
    */
   private Optional<AdapterEntry> evictionCandidate(List<Demand> demands, long nowMillis) {
     Set<String> demanded = new HashSet<>();
     demands.forEach(demand -> demanded.add(demand.target()));
     return adapters.values().stream()
-        .filter(item -> item.state == State.READY && !demanded.contains(item.target))
-        .filter(item -> nowMillis - item.lastUsedMillis >= settings.minIdleMillis())
+        .filter(entry -> entry.state == State.READY && !demanded.contains(entry.target))
+        .filter(entry -> nowMillis - entry.lastUsedMillis >= settings.minIdleMillis())
         .min(
-            Comparator.comparingDouble((AdapterEntry item) -> item.recentUse)
-                .thenComparingLong(item -> item.lastUsedMillis));
+            Comparator.comparingDouble((AdapterEntry entry) -> entry.recentUse)
+                .thenComparingLong(entry -> entry.lastUsedMillis));
   }
 
   /**
-   * Loads a model if its weights fit. Models are not swapped for each other: a swap costs seconds
-   * and a scarce load, and a runner that holds one serves it meanwhile.
+   * Returns the order to load a model if its weights fit. Models are not replaced by each other: a
+   * replacement costs seconds and a scarce load, and a runner that holds a model can serve it
+   * meanwhile.
    */
   private Optional<Order> loadModel(String model, long nowMillis) {
     double used = 0;
@@ -370,17 +386,18 @@
       }
       adapters.put(
           order.target(),
-          new AdapterEntry(order.target(), Math.max(1, order.version()), State.COMING, ready, nowMillis));
+          new AdapterEntry(
+              order.target(), Math.max(1, order.version()), State.COMING, ready, nowMillis));
     } else {
-      AdapterEntry item = adapters.get(order.target());
-      if (item != null) {
-        item.state = State.LEAVING;
-        item.unloadUnconfirmed = true;
+      AdapterEntry entry = adapters.get(order.target());
+      if (entry != null) {
+        entry.state = State.LEAVING;
+        entry.unloadUnconfirmed = true;
       }
     }
   }
 
-  /** Records the reply to the order that was sent last. */
+  /** Records the reply to the last order; replies to earlier orders are ignored. */
   public void replyReceived(Order order, OrderReply reply, int transitElsewhere, long nowMillis) {
     if (!order.equals(pendingOrder)) {
       return;
@@ -397,14 +414,15 @@
   }
 
   /**
-   * Takes back an order that the runner did not accept. It may only have too many adapters on their
-   * way; refused twice in a row, this account of it is wrong, and a report must mend it.
+   * Reverts an order that the runner rejected. A single rejection may only mean that too many
+   * adapters are in transit. After two rejections in a row the recorded state is considered wrong,
+   * and a report is needed to correct it.
    */
   private void revertOrder(Order order, long nowMillis) {
-    AdapterEntry item = adapters.get(order.target());
-    if (item != null && item.state == State.LEAVING) {
-      item.state = State.READY;
-    } else if (item != null && order.operation() == Operation.LOAD) {
+    AdapterEntry entry = adapters.get(order.target());
+    if (entry != null && entry.state == State.LEAVING) {
+      entry.state = State.READY;
+    } else if (entry != null && order.operation() == Operation.LOAD) {
       adapters.remove(order.target());
     }
     if (consecutiveRejections++ > 0) {
@@ -426,23 +444,23 @@
       markUncertain(nowMillis);
       return;
     }
-    AdapterEntry item = adapters.get(order.target());
-    if (item == null) {
+    AdapterEntry entry = adapters.get(order.target());
+    if (entry == null) {
       return;
     }
-    item.unloadUnconfirmed = false;
+    entry.unloadUnconfirmed = false;
     if (order.operation() == Operation.LOAD) {
-      item.orderedMillis = nowMillis;
-      item.transitAtOrder = transitElsewhere + inTransit();
-      item.warmDepth = warm.depth(order.target());
-      long load = item.warmDepth >= 0 ? settings.reloadMillis() : loadMillis(transitElsewhere);
-      item.readyMillis = nowMillis + (changed ? load : 0);
-      item.timingPending = changed;
+      entry.orderedMillis = nowMillis;
+      entry.transitAtOrder = transitElsewhere + inTransit();
+      entry.warmDepth = warm.depth(order.target());
+      long load = entry.warmDepth >= 0 ? settings.reloadMillis() : loadMillis(transitElsewhere);
+      entry.readyMillis = nowMillis + (changed ? load : 0);
+      entry.timingPending = changed;
       estimates.loadTime().recordOrdered();
       warm.remove(order.target());
     } else if (reply == OrderReply.DONE) {
       adapters.remove(order.target());
-      if (!item.superseded) {
+      if (!entry.superseded) {
         warm.add(order.target());
       }
     } else {
@@ -450,7 +468,7 @@
     }
   }
 
-  /** Returns how long an adapter takes from the weight store once its load is ordered (ms). */
+  /** Returns how long an adapter takes to load from the weight store once it is ordered (ms). */
   public long loadMillis(int transitElsewhere) {
     int transit = transitElsewhere + inTransit();
     int limit = estimates.transitLimit().limit();
@@ -458,52 +476,56 @@
   }
 
   /**
-   * Records that the runner refused a request for an adapter that should be there: it comes later
-   * than expected, or, if it was there for a while, this account of the runner is wrong and a
-   * report must mend it. Until then it is not told as held: the hosts would send the same request
-   * there again and again, each time to be refused.
+   * Records that the runner rejected a request for an adapter that it should hold.
+   *
+   * <p>Either the load takes longer than expected or, if the adapter was ready for a while, the
+   * recorded state is wrong and a report is needed to correct it. Until then the adapter is not
+   * reported as held, because the hosts would send the same request to the runner repeatedly and
+   * have it rejected each time.
    */
   public void adapterMissing(String target, long nowMillis) {
-    AdapterEntry item = adapters.get(target);
-    if (item == null || item.state == State.LEAVING) {
+    AdapterEntry entry = adapters.get(target);
+    if (entry == null || entry.state == State.LEAVING) {
       return;
     }
-    if (nowMillis - item.readyMillis >= settings.maxReportAgeMillis()) {
-      item.suspect = true;
+    if (nowMillis - entry.readyMillis >= settings.maxReportAgeMillis()) {
+      entry.suspect = true;
       uncertain = true;
       uncertainSinceMillis = nowMillis - settings.maxReportAgeMillis();
     } else {
-      recordLate(item, nowMillis);
-      item.state = State.COMING;
-      item.readyMillis = Math.max(item.readyMillis, nowMillis + settings.delayMillis());
+      recordLate(entry, nowMillis);
+      entry.state = State.COMING;
+      entry.readyMillis = Math.max(entry.readyMillis, nowMillis + settings.delayMillis());
     }
   }
 
-  private void recordLate(AdapterEntry item, long nowMillis) {
-    if (!item.timingPending) {
+  private void recordLate(AdapterEntry entry, long nowMillis) {
+    if (!entry.timingPending) {
       return;
     }
-    item.timingPending = false;
-    if (item.warmDepth >= 0) {
-      // The runner no longer had it: it comes from the store.
-      estimates.warmCapacity().recordSlowReload(item.warmDepth);
-      item.readyMillis = item.orderedMillis + estimates.loadTime().millis();
-    } else if (!estimates.transitLimit().recordLate(item.transitAtOrder, item.orderedMillis, nowMillis)) {
+    entry.timingPending = false;
+    if (entry.warmDepth >= 0) {
+      // The runner no longer had it in memory and loads it from the weight store.
+      estimates.warmCapacity().recordSlowReload(entry.warmDepth);
+      entry.readyMillis = entry.orderedMillis + estimates.loadTime().millis();
+    } else if (!estimates
+        .transitLimit()
+        .recordLate(entry.transitAtOrder, entry.orderedMillis, nowMillis)) {
       estimates.loadTime().recordLate();
     }
   }
 
-  /** Returns how many adapters are on their way. */
+  /** Returns how many adapters are in transit to this runner. */
   public int inTransit() {
-    return (int) adapters.values().stream().filter(item -> item.state == State.COMING).count();
+    return (int) adapters.values().stream().filter(entry -> entry.state == State.COMING).count();
   }
 
-  /** Returns the adapters that serve requests or soon will. */
+  /** Returns the adapters that can serve requests now or once they are loaded. */
   public List<ResidentAdapter> heldAdapters() {
     List<ResidentAdapter> held = new ArrayList<>();
-    for (AdapterEntry item : adapters.values()) {
-      if (item.state != State.LEAVING && !item.suspect) {
-        held.add(new ResidentAdapter(item.target, item.version, item.readyMillis));
+    for (AdapterEntry entry : adapters.values()) {
+      if (entry.state != State.LEAVING && !entry.suspect) {
+        held.add(new ResidentAdapter(entry.target, entry.version, entry.readyMillis));
       }
     }
     return held;
@@ -514,19 +536,23 @@
     return Set.copyOf(models);
   }
 
-  /** Returns how many places are empty or could be emptied at once. */
+  /**
+   * Returns how many adapter places are empty or hold an idle adapter.
+   *
+   * @param uses returns how many requests of all hosts use an adapter at this runner
+   */
   public int freePlaces(ToIntFunction<String> uses) {
     int taken = 0;
-    for (AdapterEntry item : adapters.values()) {
-      boolean idle = item.state == State.READY && uses.applyAsInt(item.target) == 0;
+    for (AdapterEntry entry : adapters.values()) {
+      boolean idle = entry.state == State.READY && uses.applyAsInt(entry.target) == 0;
       taken += idle ? 0 : 1;
     }
     return Math.max(0, engine.adapterPlaces() - taken);
   }
 
   /**
-   * Returns how long adapters wait here lately until their load is ordered (ms): for a place, for
-   * the store, or for the loads before them.
+   * Returns how long adapters currently wait until their load is ordered (ms): for a place, for the
+   * weight store, or for the loads ahead of them.
    */
   public long queueMillis(long nowMillis) {
     long oldest = 0;
@@ -543,7 +569,7 @@
     return sequence;
   }
 
-  /** Returns whether the runner's state is known and no order is under way. */
+  /** Returns whether the runner's state is known and no order is pending. */
   public boolean isSettled() {
     return !uncertain && pendingOrder == null;
   }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/holding/TransitLimit.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/holding/TransitLimit.java
@@ -3,26 +3,25 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * How many adapters may be on their way from the weight store before each takes longer, learnt from
- * the loads themselves.
+ * Estimates how many adapters may be in transit from the weight store before each load takes
+ * longer.
  *
- * <p>No record says it: the users' sheets have 8 for 8 and 13 runners, 16 for 6, 32 for 42 and 40
- * for 63. Set too low, requests queue before a store that is half idle: of 55 rare adapters a
- * second and a store that brings 16 at once, half wait over 1,000 ms with a limit of 8 and under
- * 400 ms with the learnt one (played in virtual time). Set too high, the store shares its speed
- * among all and every load is late.
+ * <p>No record states this limit; known deployments specify 8 for 8 and 13 runners, 16 for 6, 32
+ * for 42 and 40 for 63. If it is too low, requests queue in front of a half-idle store. If it is
+ * too high, the store shares its bandwidth among all loads and every one of them is late.
  *
- * <p>So the limit grows while loads that were started at the limit come in time, quickly until the
- * first one is late and slowly from then on, and falls back when one is late.
+ * <p>The limit therefore grows while loads that were started at the limit finish on time, quickly
+ * until the first one is late and slowly from then on, and shrinks when one is late.
  */
 public final class TransitLimit {
 
-  /** Growth for each load in time before the first late one: doubles 8 in 8 loads. */
+  /** Growth per load on time before the first late load; doubles a limit of 8 in 8 loads. */
   private static final double FAST_STEP = 1;
 
   /**
-   * Growth after it. One more than the store brings at full speed makes all that are on their way
-   * late, 17 of them where 16 fit; tried once in 500 loads these are three in a hundred.
+   * Growth per load on time after the first late load. Exceeding by one what the store loads at
+   * full speed makes all loads in transit late, 17 of them where 16 fit; probing once in 500 loads
+   * makes three loads in a hundred late.
    */
   private static final double SLOW_STEP = 0.002;
 
@@ -33,24 +32,28 @@
   private long loweredMillis = Long.MIN_VALUE;
 
   /**
-   * Creates a limit.
+   * Creates an estimate.
    *
-   * @param least where it starts, and the least that is ever believed
-   * @param most the most that can be on their way at all
+   * @param minLimit the initial value and lower bound of the limit
+   * @param maxLimit the maximum number of adapters that can be in transit
    */
-  public TransitLimit(int least, int most) {
-    checkArgument(least > 0, "least must be above 0, was %s", least);
-    this.minLimit = least;
-    this.maxLimit = Math.max(least, most);
-    this.limit = least;
+  public TransitLimit(int minLimit, int maxLimit) {
+    checkArgument(minLimit > 0, "minLimit must be above 0, was %s", minLimit);
+    this.minLimit = minLimit;
+    this.maxLimit = Math.max(minLimit, maxLimit);
+    this.limit = minLimit;
   }
 
-  /** Returns the limit. */
+  /** Returns the current estimate of the limit. */
   public int limit() {
     return (int) limit;
   }
 
-  /** Records that a load was there when it was expected. */
+  /**
+   * Records that a load finished on time.
+   *
+   * @param transit how many adapters were in transit when it was ordered, including itself
+   */
   public void recordOnTime(int transit) {
     if (transit >= limit - 1) {
       limit = Math.min(maxLimit, limit + (lateSeen ? SLOW_STEP : FAST_STEP));
@@ -58,13 +61,14 @@
   }
 
   /**
-   * Records that a load was not there when it was expected; returns whether the limit explains it.
+   * Records that a load did not finish on time.
    *
-   * <p>All loads on their way are late together, so only one ordered since the limit was lowered
-   * lowers it again.
+   * <p>All loads in transit are late together, so only a load that was ordered after the limit was
+   * last lowered lowers it again.
    *
-   * @param transit how many were on their way when it was ordered, itself included
-   * @param orderedMillis when it was ordered
+   * @param transit how many adapters were in transit when it was ordered, including itself
+   * @param orderedMillis when it was ordered (ms)
+   * @return whether too many adapters in transit explain the delay
    */
   public boolean recordLate(int transit, long orderedMillis, long nowMillis) {
     if (transit <= minLimit) {
--- a/sequoia-core/src/main/java/org/sequoiahub/core/holding/WarmAdapters.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/holding/WarmAdapters.java
@@ -3,27 +3,27 @@
 import java.util.LinkedHashMap;
 
 /**
- * The adapters that one runner dropped, the latest last: it brings these back quickly and without
- * the weight store, as long as it has not dropped too many others since.
+ * Tracks the adapters that one runner unloaded, in unload order. The runner reloads them quickly
+ * and without the weight store as long as it has not unloaded too many others since.
  */
 final class WarmAdapters {
 
-  /** Dropped adapters that are remembered at most: a hundred bytes each, a few runners a host. */
+  /** Maximum number of tracked adapters: about 100 bytes each, for a few runners per host. */
   private static final int MAX_REMEMBERED = 1_024;
 
   private final WarmCapacity capacity;
   private final LinkedHashMap<String, Boolean> unloaded = new LinkedHashMap<>();
 
   /**
-   * Creates an empty memory.
+   * Creates an empty list.
    *
-   * @param capacity what was learnt of how many such adapters a runner keeps
+   * @param capacity the estimate of how many unloaded adapters a runner can reload quickly
    */
   WarmAdapters(WarmCapacity capacity) {
     this.capacity = capacity;
   }
 
-  /** Records that the runner dropped an adapter. */
+  /** Records that the runner unloaded an adapter. */
   void add(String target) {
     unloaded.remove(target);
     unloaded.put(target, true);
@@ -36,14 +36,14 @@
     unloaded.remove(target);
   }
 
-  /** Returns whether the runner is expected to bring an adapter back quickly. */
+  /** Returns whether the runner is expected to reload an adapter quickly. */
   boolean contains(String target) {
     return depth(target) >= 0;
   }
 
   /**
-   * Returns how many adapters were dropped since this one; negative if it was not dropped, or if
-   * too many were for the runner to bring it back quickly.
+   * Returns how many adapters were unloaded after this one; negative if it was not unloaded, or if
+   * too many others were for the runner to reload it quickly.
    */
   int depth(String target) {
     if (!unloaded.containsKey(target)) {
--- a/sequoia-core/src/main/java/org/sequoiahub/core/holding/WarmCapacity.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/holding/WarmCapacity.java
@@ -3,14 +3,15 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * How many dropped adapters a runner still brings back quickly, learnt from those it brought back.
+ * Estimates how many unloaded adapters a runner can still reload quickly, from observed reloads.
  *
- * <p>No record says it. Taken as too few, a request waits ten times as long as it needs to for an
- * adapter that its runner has in memory; as too many, it is sent too early and refused once.
+ * <p>No record states this number. If the estimate is too low, a request waits ten times as long as
+ * necessary for an adapter that its runner still has in memory. If it is too high, the request is
+ * sent too early and rejected once.
  */
 public final class WarmCapacity {
 
-  /** An adapter this much deeper than any that came back quickly is tried as one that does. */
+  /** How far beyond the deepest observed fast reload another fast reload is expected. */
   private static final double PROBE_FACTOR = 1.5;
 
   private double known;
@@ -19,30 +20,34 @@
   /**
    * Creates an estimate.
    *
-   * @param prior how many are believed before any was brought back
+   * @param initial the number assumed before any reload was observed
    */
-  public WarmCapacity(int prior) {
-    checkArgument(prior > 0, "prior must be above 0, was %s", prior);
-    this.known = prior;
+  public WarmCapacity(int initial) {
+    checkArgument(initial > 0, "initial must be above 0, was %s", initial);
+    this.known = initial;
   }
 
-  /** Returns whether an adapter is expected to come quickly that was dropped so many drops ago. */
+  /**
+   * Returns whether an adapter is expected to be reloaded quickly.
+   *
+   * @param depth how many adapters were unloaded after it
+   */
   boolean expectsFastReload(int depth) {
     return depth < Math.min(known * PROBE_FACTOR, ceiling);
   }
 
-  /** Returns how many are believed. */
+  /** Returns the current estimate. */
   public int size() {
     return (int) Math.min(known, ceiling);
   }
 
-  /** Records that an adapter came quickly. */
+  /** Records that an adapter at this depth was reloaded quickly. */
   void recordFastReload(int depth) {
     known = Math.max(known, depth + 1);
     ceiling = Math.max(ceiling, known);
   }
 
-  /** Records that one came from the store after all. */
+  /** Records that an adapter at this depth was loaded from the weight store instead. */
   void recordSlowReload(int depth) {
     ceiling = Math.max(1, Math.min(ceiling, depth));
     known = Math.min(known, ceiling);
--- a/sequoia-core/src/main/java/org/sequoiahub/core/holding/package-info.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/holding/package-info.java
@@ -1,4 +1,4 @@
-/** What one runner holds, and which order changes it next. */
+/** The adapters and base models that each runner holds, and the orders that change them. */
 @NullMarked
 package org.sequoiahub.core.holding;
 
--- a/sequoia-core/src/test/java/org/sequoiahub/core/holding/HoldingsTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/holding/HoldingsTest.java
@@ -8,21 +8,20 @@
 
 class HoldingsTest {
 
-  private static Holdings.Holding holding(String host, int free, ResidentAdapter... items) {
+  private static Holdings.Holding holding(String host, int free, ResidentAdapter... adapters) {
     Map<String, ResidentAdapter> byName = new java.util.HashMap<>();
-    for (ResidentAdapter item : items) {
-      byName.put(item.target(), item);
+    for (ResidentAdapter adapter : adapters) {
+      byName.put(adapter.target(), adapter);
     }
     return new Holdings.Holding(host, 1, 0, byName, Set.of("m"), free, 250, 0, 0, 4);
   }
 
   /**
-   * Symptom: a request waits on although its adapter has come, or its runner changed hands.
-   *
-   * <p>Cause looked for: it is placed again only when what its runner holds is seen to change.
+   * Guards against a request that keeps waiting although its adapter was loaded or its runner has a
+   * new holder: requests are only placed again when the change count of their runner differs.
    */
   @Test
-  void changesAreSeen() {
+  void changeCountGrowsWithEachRelevantChange() {
     Holdings holdings = new Holdings();
     long none = holdings.changeCount("r");
     holdings.update("r", holding("a", 1));
@@ -31,13 +30,13 @@
     holdings.update("r", holding("a", 1));
     assertThat(holdings.changeCount("r")).isEqualTo(first);
     holdings.update("r", holding("a", 1, new ResidentAdapter("m/a1", 1, 500)));
-    long coming = holdings.changeCount("r");
-    assertThat(coming).isNotEqualTo(first);
+    long loading = holdings.changeCount("r");
+    assertThat(loading).isNotEqualTo(first);
     holdings.update("r", holding("a", 1, new ResidentAdapter("m/a1", 2, 500)));
-    assertThat(holdings.changeCount("r")).isNotEqualTo(coming);
+    assertThat(holdings.changeCount("r")).isNotEqualTo(loading);
     holdings.update("r", holding("a", 0, new ResidentAdapter("m/a1", 1, 500)));
     long full = holdings.changeCount("r");
-    assertThat(full).isNotEqualTo(coming);
+    assertThat(full).isNotEqualTo(loading);
     holdings.update("r", holding("b", 0, new ResidentAdapter("m/a1", 1, 500)));
     assertThat(holdings.changeCount("r")).isNotEqualTo(full);
   }
--- a/sequoia-core/src/test/java/org/sequoiahub/core/holding/LoadQueueTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/holding/LoadQueueTest.java
@@ -17,7 +17,7 @@
 import org.sequoiahub.core.routing.EngineSpec;
 import org.sequoiahub.core.routing.ModelSpec;
 
-/** Plays requests for rare adapters at six runners in virtual time; checks how long they wait. */
+/** Simulates requests for rare adapters at six runners and checks how long they wait. */
 class LoadQueueTest {
 
   private static final int RUNNERS = 6;
@@ -25,13 +25,16 @@
   private static final EngineSpec ENGINE =
       new EngineSpec(64, 250_000, 66_600, 16, 3, 5, List.of(new ModelSpec("m", 65_100, 12, 1_900)));
 
-  /** Requests a second, each for an adapter of its own that is used for half a second. */
+  /** Requests per second, each for an adapter of its own that is used for about half a second. */
   private static final int PER_SECOND = 55;
 
   private static final long USE_MILLIS = 450;
 
-  /** A store that shares its speed beyond {@code fullSpeed} loads, and the runners it feeds. */
-  private static final class World {
+  /**
+   * A weight store that loads up to {@code fullSpeed} adapters at full speed and shares its
+   * bandwidth beyond that, and the runners that load from it.
+   */
+  private static final class Simulation {
     final Random random = new Random(11);
     final int fullSpeed;
     final List<RunnerResidency> residencies = new ArrayList<>();
@@ -42,7 +45,7 @@
     long now = 100_000;
     int number;
 
-    World(int fullSpeed, LoadEstimates estimates) {
+    Simulation(int fullSpeed, LoadEstimates estimates) {
       this.fullSpeed = fullSpeed;
       for (int i = 0; i < RUNNERS; i++) {
         RunnerResidency residency =
@@ -55,17 +58,17 @@
       }
     }
 
-    List<Long> play(long millis) {
+    List<Long> run(long millis) {
       double due = now;
       for (long end = now + millis; now < end; now += 5) {
         while (due <= now) {
           waiting.get(random.nextInt(RUNNERS)).put("a" + number++, now);
           due += -Math.log(1 - random.nextDouble()) * 1_000 / PER_SECOND;
         }
-        bring();
+        advanceLoads();
         for (int i = 0; i < RUNNERS; i++) {
-          order(i);
-          serve(i);
+          sendOrders(i);
+          serveRequests(i);
         }
       }
       Collections.sort(waits);
@@ -76,12 +79,12 @@
       return loading.stream().mapToInt(Map::size).sum();
     }
 
-    private void bring() {
+    private void advanceLoads() {
       double part = 5.0 / LOAD_MILLIS * Math.min(1, (double) fullSpeed / Math.max(1, inTransit()));
       loading.forEach(map -> map.replaceAll((target, left) -> left - part));
     }
 
-    private void order(int i) {
+    private void sendOrders(int i) {
       List<Demand> demands = new ArrayList<>();
       waiting.get(i).keySet().forEach(adapter -> demands.add(new Demand("m", adapter, 1, 1, 0)));
       for (int round = 0; round < 2; round++) {
@@ -89,7 +92,8 @@
         Optional<Order> next =
             residencies
                 .get(i)
-                .nextOrder(demands, t -> used.get(i).containsKey(t) ? 1 : 0, t -> 0, elsewhere, now);
+                .nextOrder(
+                    demands, t -> used.get(i).containsKey(t) ? 1 : 0, t -> 0, elsewhere, now);
         if (next.isEmpty()) {
           return;
         }
@@ -104,7 +108,7 @@
       }
     }
 
-    private void serve(int i) {
+    private void serveRequests(int i) {
       used.get(i).values().removeIf(until -> now >= until);
       for (ResidentAdapter item : residencies.get(i).heldAdapters()) {
         String adapter = item.target().substring(2);
@@ -133,34 +137,31 @@
   }
 
   @Nested
-  class StoreThatBringsMoreAtOnceThanElsewhere {
+  class StoreFasterThanInitialLimit {
     /**
-     * Symptom: one request in ten waits over a second for its adapter, and the store is half idle.
-     *
-     * <p>Events: 55 rare adapters a second at six runners; the store brings 16 at once at full
-     * speed, which stands on no record.
-     *
-     * <p>Cause: the limit was taken from another fleet, where it is 8.
+     * Guards against requests that wait over a second for their adapter in front of a half-idle
+     * store: six runners demand 55 rare adapters per second, and the store loads 16 at full speed,
+     * but a fixed limit of 8, the value of another fleet, allows only half of that.
      */
     @Test
-    void isUsedInFull() {
-      List<Long> fixed = new World(16, estimates(new TransitLimit(8, 8))).play(30_000);
+    void isFullyUsed() {
+      List<Long> fixed = new Simulation(16, estimates(new TransitLimit(8, 8))).run(30_000);
 
-      List<Long> learnt = new World(16, estimates(new TransitLimit(8, 24))).play(30_000);
+      List<Long> estimated = new Simulation(16, estimates(new TransitLimit(8, 24))).run(30_000);
 
       assertThat(percentile(fixed, 50)).isGreaterThan(1_000);
-      assertThat(percentile(learnt, 50)).isLessThan(400);
-      assertThat(percentile(learnt, 90)).isLessThan(1_000);
+      assertThat(percentile(estimated, 50)).isLessThan(400);
+      assertThat(percentile(estimated, 90)).isLessThan(1_000);
     }
   }
 
   @Nested
-  class StoreThatIsAsElsewhere {
-    /** Learning must not overrun a store whose speed is what was assumed. */
+  class StoreAtInitialLimit {
+    /** The limit must stay low for a store that loads no more than the initial limit. */
     @Test
-    void isNotOverrun() {
+    void isNotOverloaded() {
       TransitLimit limit = new TransitLimit(8, 24);
-      new World(8, estimates(limit)).play(8_000);
+      new Simulation(8, estimates(limit)).run(8_000);
       assertThat(limit.limit()).isLessThan(14);
     }
   }
@@ -176,14 +177,12 @@
     }
 
     /**
-     * Symptom: a request for a rare adapter waits for 3.3 s and is refused; nothing was ordered.
-     *
-     * <p>Events: there is always another adapter for which two requests wait.
-     *
-     * <p>Cause: loads were ordered by the number of waiting requests alone.
+     * Guards against a request for a rare adapter that is rejected after 3.3 s without its load
+     * having been ordered, because loads are sorted by the number of waiting requests alone and
+     * there is always another adapter with two of them.
      */
     @Test
-    void singleRequestIsNotPassedForEver() {
+    void singleRequestIsNotStarved() {
       residency.applyReport(new RunnerReport(0, 0, false, Set.of("m"), Map.of(), Map.of()), 1_000);
       Demand rare = new Demand("m", "rare", 1, 1, 0);
       assertThat(first(10_000, rare, new Demand("m", "b1", 2, 2, 0))).isEqualTo("m/b1");
@@ -191,7 +190,7 @@
     }
 
     @Test
-    void thoseThatCanBeInTimeComeBeforeThoseThatCannot() {
+    void requestsThatCanMeetTheirTargetComeFirst() {
       residency.applyReport(new RunnerReport(0, 0, false, Set.of("m"), Map.of(), Map.of()), 1_000);
       Demand late = new Demand("m", "late", 5, 0, 0);
       first(10_000, late);
@@ -200,9 +199,9 @@
   }
 
   @Nested
-  class KeptAdapters {
+  class FastReloads {
     @Test
-    void capacityIsLearntFromThoseThatCameQuickly() {
+    void determineTheWarmCapacity() {
       WarmCapacity capacity = new WarmCapacity(32);
       int kept = 80;
       Random random = new Random(3);
--- a/sequoia-core/src/test/java/org/sequoiahub/core/holding/ResidencyWorld.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/holding/ResidencyWorld.java
@@ -14,7 +14,7 @@
 import org.sequoiahub.core.routing.EngineSpec;
 import org.sequoiahub.core.routing.ModelSpec;
 
-/** A runner as the platform's pages describe it, beside the residency that orders it. */
+/** Simulates a runner as the platform documents it, together with the residency that orders it. */
 final class ResidencyWorld {
 
   private static final int PLACES = 4;
@@ -29,14 +29,14 @@
   private final Map<String, Integer> versions = new HashMap<>();
   private final Map<String, Integer> published = new HashMap<>();
   private final Map<String, Integer> running = new HashMap<>();
-  private final Set<String> leaving = new LinkedHashSet<>();
+  private final Set<String> unloading = new LinkedHashSet<>();
   private final Set<String> demanded = new LinkedHashSet<>();
   private long sequence;
   private long now = 1_000_000;
 
-  void pass(long millis) {
+  void advance(long millis) {
     now += millis;
-    dropLeaving();
+    completeUnloads();
   }
 
   void demand(String target) {
@@ -44,7 +44,7 @@
   }
 
   void start(String target) {
-    if (readyAt.getOrDefault(target, Long.MAX_VALUE) <= now && !leaving.contains(target)) {
+    if (readyAt.getOrDefault(target, Long.MAX_VALUE) <= now && !unloading.contains(target)) {
       running.merge(target, 1, Integer::sum);
     }
   }
@@ -52,19 +52,19 @@
   void finish(String target) {
     running.computeIfPresent(target, (t, count) -> count > 1 ? count - 1 : null);
     demanded.remove(target);
-    dropLeaving();
+    completeUnloads();
   }
 
   void publish(String target) {
     published.merge(target, 2, (old, two) -> old + 1);
   }
 
-  void pump() {
-    next().ifPresent(order -> residency.replyReceived(order, execute(order), 0, now));
+  void sendNextOrder() {
+    nextOrder().ifPresent(order -> residency.replyReceived(order, execute(order), 0, now));
   }
 
-  void pumpAndLoseReply() {
-    next()
+  void sendNextOrderAndLoseReply() {
+    nextOrder()
         .ifPresent(
             order -> {
               execute(order);
@@ -72,8 +72,8 @@
             });
   }
 
-  void pumpAndRefuse() {
-    next().ifPresent(order -> residency.replyReceived(order, OrderReply.CONFLICT, 0, now));
+  void rejectNextOrder() {
+    nextOrder().ifPresent(order -> residency.replyReceived(order, OrderReply.CONFLICT, 0, now));
   }
 
   void report() {
@@ -83,19 +83,19 @@
     }
   }
 
-  /** With nothing running, every demand is met in the end. */
-  void settle() {
+  /** Ends all requests and asserts that every demand is eventually met. */
+  void awaitAllDemands() {
     running.clear();
     for (int round = 0; round < 200; round++) {
-      pass(300);
+      advance(300);
       report();
-      pump();
+      sendNextOrder();
       demanded.removeIf(target -> readyAt.getOrDefault(target, Long.MAX_VALUE) <= now);
     }
     assertWithMessage("demands that were never met").that(demanded).isEmpty();
   }
 
-  private Optional<Order> next() {
+  private Optional<Order> nextOrder() {
     List<Demand> demands = new ArrayList<>();
     demanded.forEach(target -> demands.add(new Demand("m", target.substring(2), 1, 1, 0)));
     Optional<Order> next =
@@ -116,39 +116,41 @@
     }
     sequence++;
     if (order.operation() == Order.Operation.LOAD) {
-      assertWithMessage("a load of what is there").that(readyAt).doesNotContainKey(target);
+      assertWithMessage("ordered to load an adapter that is already held")
+          .that(readyAt)
+          .doesNotContainKey(target);
       readyAt.put(target, now + LOAD_MILLIS);
       versions.put(target, Math.max(1, order.version()));
-      assertWithMessage("adapters at once").that(readyAt.size()).isAtMost(PLACES);
+      assertWithMessage("adapters held or loading").that(readyAt.size()).isAtMost(PLACES);
       return OrderReply.ACCEPTED;
     }
     boolean outdated = versions.getOrDefault(target, 0) < published.getOrDefault(target, 0);
     int users = running.getOrDefault(target, 0);
-    assertWithMessage("dropped under a request, though its version is the newest")
+    assertWithMessage("unloaded under a running request although its version is the newest")
         .that(users > 0 && !outdated)
         .isFalse();
     if (users > 0) {
-      leaving.add(target);
+      unloading.add(target);
       return OrderReply.ACCEPTED;
     }
     readyAt.remove(target);
     return OrderReply.DONE;
   }
 
-  private void dropLeaving() {
-    for (String target : List.copyOf(leaving)) {
+  private void completeUnloads() {
+    for (String target : List.copyOf(unloading)) {
       if (!running.containsKey(target)) {
-        leaving.remove(target);
+        unloading.remove(target);
         readyAt.remove(target);
       }
     }
   }
 
   private RunnerReport currentReport() {
-    Map<String, Integer> there = new HashMap<>();
-    Map<String, Integer> coming = new HashMap<>();
+    Map<String, Integer> resident = new HashMap<>();
+    Map<String, Integer> loading = new HashMap<>();
     readyAt.forEach(
-        (target, ready) -> (ready <= now ? there : coming).put(target, versions.get(target)));
-    return new RunnerReport(0, sequence, false, Set.of("m"), there, coming);
+        (target, ready) -> (ready <= now ? resident : loading).put(target, versions.get(target)));
+    return new RunnerReport(0, sequence, false, Set.of("m"), resident, loading);
   }
 }
--- a/sequoia-core/src/test/java/org/sequoiahub/core/holding/RunnerResidencyPropertiesTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/holding/RunnerResidencyPropertiesTest.java
@@ -12,13 +12,12 @@
 import net.jqwik.api.state.Transformer;
 
 /**
- * Symptom: a runner crashes because it was ordered to load more adapters than it has places, or an
- * adapter is dropped under a running request.
+ * Guards against a runner that crashes because it is ordered to load more adapters than it has
+ * places, and against unloading an adapter under a running request, for example because a place is
+ * considered empty although the outcome of its order is unknown.
  *
- * <p>Events: replies are lost, also those of accepted orders; drops wait for running requests;
- * reports are late; requests come and go; versions are published; the runner refuses.
- *
- * <p>Cause looked for: a place believed empty whose order had an unknown outcome.
+ * <p>Replies are lost, including those of accepted orders; unloads wait for running requests;
+ * reports are late; requests start and finish; versions are published; the runner rejects orders.
  */
 class RunnerResidencyPropertiesTest {
 
@@ -26,7 +25,7 @@
 
   @Property(tries = 3_000, seed = "20261210")
   void neverOrdersMoreThanPlaces(@ForAll("chains") ActionChain<ResidencyWorld> chain) {
-    chain.run().settle();
+    chain.run().awaitAllDemands();
   }
 
   @Provide
@@ -36,9 +35,9 @@
         .withAction(3, onTarget("start", ResidencyWorld::start))
         .withAction(4, onTarget("finish", ResidencyWorld::finish))
         .withAction(1, onTarget("publish", ResidencyWorld::publish))
-        .withAction(10, just("pump", ResidencyWorld::pump))
-        .withAction(2, just("loseReply", ResidencyWorld::pumpAndLoseReply))
-        .withAction(2, just("refuse", ResidencyWorld::pumpAndRefuse))
+        .withAction(10, just("pump", ResidencyWorld::sendNextOrder))
+        .withAction(2, just("loseReply", ResidencyWorld::sendNextOrderAndLoseReply))
+        .withAction(2, just("refuse", ResidencyWorld::rejectNextOrder))
         .withAction(4, just("report", ResidencyWorld::report))
         .withAction(8, pass())
         .withMaxTransformations(80);
@@ -62,7 +61,7 @@
     return new Event(
         Arbitraries.longs()
             .between(1, 900)
-            .map(millis -> Transformer.mutate("pass " + millis, world -> world.pass(millis))));
+            .map(millis -> Transformer.mutate("pass " + millis, world -> world.advance(millis))));
   }
 
   private record Event(Arbitrary<Transformer<ResidencyWorld>> events)
--- a/sequoia-core/src/test/java/org/sequoiahub/core/holding/RunnerResidencyTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/holding/RunnerResidencyTest.java
@@ -23,27 +23,25 @@
   class LoadsThatTakeLongerThanExpected {
 
     /**
-     * Symptom: a fifth of all requests is refused once by a runner that lacks their adapter.
-     *
-     * <p>Events: adapters take 288 ms and are expected after 250; for each of 200 loads one request
-     * comes at the moment expected.
-     *
-     * <p>Cause: the time that a load takes stands on no record and was taken from another fleet.
-     *
-     * <p>Refused before: 200 of 200 requests.
+     * Guards against a load time estimate that stays too short, so that a fifth of all requests is
+     * rejected once by a runner that does not have their adapter yet. Adapters take 288 ms to load
+     * and are initially expected after 250 ms, the value of another fleet; one request per load
+     * arrives at the expected moment. With a fixed estimate all 200 requests are rejected.
      */
     @Test
-    void areExpectedLaterNextTime() {
+    void raiseTheEstimate() {
       residency.applyReport(report(Map.of()), 1_000);
       int refused = 0;
       long now = 10_000;
       for (int load = 0; load < 200; load++) {
         final long start = now;
-        Order order = residency.nextOrder(List.of(demand(load)), target -> 0, target -> 0, 0, now).get();
+        Order order =
+            residency.nextOrder(List.of(demand(load)), target -> 0, target -> 0, 0, now).get();
         while (order.operation() == Order.Operation.UNLOAD) {
           residency.orderSent(order, now);
           residency.replyReceived(order, OrderReply.DONE, 0, now);
-          order = residency.nextOrder(List.of(demand(load)), target -> 0, target -> 0, 0, now).get();
+          order =
+              residency.nextOrder(List.of(demand(load)), target -> 0, target -> 0, 0, now).get();
         }
         residency.orderSent(order, now);
         residency.replyReceived(order, OrderReply.ACCEPTED, 0, now);
@@ -70,17 +68,15 @@
   }
 
   @Nested
-  class RefusedForAnAdapterThatShouldBeThere {
+  class RejectedForHeldAdapter {
 
     /**
-     * Symptom: one request is refused four times within 0.2 s by the same runner.
-     *
-     * <p>Events: the runner has lost an adapter that it held for long; a request for it is refused.
-     *
-     * <p>Cause: the holder goes on telling that the adapter is there until the next report.
+     * Guards against one request that is rejected four times within 0.2 s by the same runner: the
+     * runner has lost an adapter that it held for long, and the holder keeps reporting the adapter
+     * as held until the next runner report.
      */
     @Test
-    void isNotToldAsHeldUntilTheNextReport() {
+    void isNotReportedAsHeldUntilNextReport() {
       residency.applyReport(report(Map.of("m/a1", 1)), 1_000);
       residency.adapterMissing("m/a1", 5_000);
       assertThat(residency.heldAdapters()).isEmpty();
@@ -90,7 +86,7 @@
     }
 
     @Test
-    void isToldAsComingWhileItMayBeLate() {
+    void isReportedAsInTransitWhileLoadMayBeLate() {
       residency.applyReport(report(Map.of("m/a1", 1)), 1_000);
       residency.adapterMissing("m/a1", 1_100);
       assertThat(residency.heldAdapters()).hasSize(1);
