--- a/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/Candidate.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/Candidate.java
@@ -3,23 +3,24 @@
 import org.sequoiahub.core.upstream.RunnerEntry;
 
 /**
- * A runner that may get a request, with all that the choice depends on.
+ * A runner that a request may be sent to, with everything that the choice depends on.
  *
  * @param runner the runner
- * @param inFlight requests there now, from all hosts
- * @param unreadAheadTokens prompt tokens of these that are still to be read
- * @param queuedAheadTokens prompt tokens of requests that wait to be sent there
- * @param unreadTokens prompt tokens of the request that are still to be read there
- * @param adapterWaitMillis until the adapter can serve there; 0 if it does or none is needed
- * @param warm whether it dropped the adapter so lately that it brings it back quickly
- * @param adapterUses requests that use the adapter or wait for it, at all runners
- * @param heldOrLoading whether the model and the adapter are there or on their way
- * @param hasRoom whether the adapter could be loaded at once
+ * @param inFlight the number of requests of all hosts at the runner
+ * @param unreadAheadTokens the prompt tokens of these requests that are not read yet
+ * @param queuedAheadTokens the prompt tokens of requests that wait to be sent to the runner
+ * @param unreadTokens the prompt tokens of this request that the runner would have to read
+ * @param adapterWaitMillis the time until the adapter can serve requests (ms); 0 if it can now or
+ *     if none is needed
+ * @param warm whether the runner unloaded the adapter so recently that it can reload it quickly
+ * @param adapterUses the number of requests that use the adapter or wait for it, at all runners
+ * @param heldOrLoading whether the runner holds or is loading the model and the adapter
+ * @param hasRoom whether the adapter could be loaded without waiting for a place
  * @param hasHolder whether some host may order the runner now
- * @param failureRate part of recent requests that failed there
- * @param latencyMillis how long requests took there lately; 0 if unknown
- * @param vanished whether its entry disappeared just now
- * @param sameFailureDomain whether it is in this host's failure domain
+ * @param failureRate the fraction of recent requests that failed, from 0 to 1
+ * @param latencyMillis how long recent requests took (ms); 0 if unknown
+ * @param vanished whether the runner's entry has just disappeared
+ * @param sameFailureDomain whether the runner is in this host's failure domain
  */
 public record Candidate(
     RunnerEntry runner,
--- a/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/FleetLoad.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/FleetLoad.java
@@ -5,18 +5,18 @@
 import java.util.function.Predicate;
 
 /**
- * What all hosts have in flight at the runners: this host's own to the last request, the others' as
- * they told it last.
+ * Tracks what all hosts have in flight at the runners: exactly for this host, and as last reported
+ * for the other hosts.
  *
- * <p>Runners' own figures are some hundred milliseconds old and don't know what was sent since;
- * hosts that relied on them would all choose the same runner at the same moment.
+ * <p>The runners' own reports are some hundred milliseconds old and do not include requests sent
+ * since then. Hosts that relied on them would all choose the same runner at the same moment.
  */
 public final class FleetLoad {
 
-  /** What another host told is forgotten after this (ms): it is dead or cut off. */
+  /** Maximum age of another host's report (ms); an older one is from a dead or unreachable host. */
   private static final long MAX_AGE_MILLIS = 2_500;
 
-  /** The source of sums over the whole fleet; no host has an empty name. */
+  /** The source name of the totals over the whole fleet; no host has an empty name. */
   private static final String TOTALS = "";
 
   /** Nothing in flight. */
@@ -26,12 +26,12 @@
   private final Map<String, MutableUse> own = new HashMap<>();
 
   /**
-   * What one host has in flight at one runner.
+   * What one source has in flight at one runner.
    *
-   * @param requests requests sent, and those that wait to be sent there
-   * @param unreadTokens prompt tokens of those sent that the runner has still to read
-   * @param queuedTokens prompt tokens of those that wait to be sent
-   * @param adapters how many of the requests use each adapter
+   * @param requests the number of requests sent to the runner or waiting to be sent there
+   * @param unreadTokens the prompt tokens of sent requests that the runner has not read yet
+   * @param queuedTokens the prompt tokens of requests waiting to be sent
+   * @param adapters the number of requests that use each adapter
    */
   public record Use(
       int requests, long unreadTokens, long queuedTokens, Map<String, Integer> adapters) {
@@ -42,24 +42,25 @@
   }
 
   /**
-   * What one source told.
+   * The last report of one source.
    *
-   * @param uses by runner
-   * @param adapterUses requests by adapter, over all runners
+   * @param uses the requests in flight by runner
+   * @param adapterUses the number of requests by adapter, over all runners
+   * @param receivedMillis when the report was received (ms)
    */
   private record SourceLoad(
       Map<String, Use> uses, Map<String, Integer> adapterUses, long receivedMillis) {
 
-    static SourceLoad of(Map<String, Use> uses, long toldMillis) {
+    static SourceLoad of(Map<String, Use> uses, long receivedMillis) {
       Map<String, Integer> adapterUses = new HashMap<>();
       for (Use use : uses.values()) {
         use.adapters.forEach((adapter, count) -> adapterUses.merge(adapter, count, Integer::sum));
       }
-      return new SourceLoad(uses, adapterUses, toldMillis);
+      return new SourceLoad(uses, adapterUses, receivedMillis);
     }
   }
 
-  /** What is in flight at one runner, while it is counted. */
+  /** Mutable counters of what is in flight at one runner. */
   private static final class MutableUse {
     int requests;
     long unreadTokens;
@@ -79,9 +80,11 @@
   }
 
   /**
-   * Takes in what another host told.
+   * Applies another source's report.
    *
-   * @param complete whether it told all; otherwise only what has changed since
+   * @param uses the requests in flight by runner
+   * @param complete whether the report is complete; otherwise it contains only the runners that
+   *     changed since the previous report
    */
   public void update(String host, Map<String, Use> uses, boolean complete, long nowMillis) {
     Map<String, Use> now = new HashMap<>();
@@ -95,8 +98,7 @@
   }
 
   /**
-   * Takes in the sums over the whole fleet, this host's own part included, in place of all that was
-   * told before.
+   * Replaces all reports with totals over the whole fleet, which include this host's own requests.
    */
   public void replaceWithTotals(Map<String, Use> sums, long nowMillis) {
     Map<String, Use> rest = new HashMap<>();
@@ -105,12 +107,14 @@
     update(TOTALS, rest, true, nowMillis);
   }
 
-  /** Forgets sums over the whole fleet: its parts are told from now on. */
+  /** Removes the totals over the whole fleet, because its parts are reported from now on. */
   public void removeTotals() {
     others.remove(TOTALS);
   }
 
-  /** The sums may be some 100 ms older than this host's own part, so they can be below it. */
+  /**
+   * Subtracts a part from totals, which may be lower than the part if they are some 100 ms older.
+   */
   private static Use subtract(Use sum, Use part) {
     return new Use(
         Math.max(0, sum.requests - part.requests),
@@ -119,15 +123,15 @@
         sum.adapters);
   }
 
-  /** Returns the sums over this host and those other sources that {@code included} accepts. */
+  /** Returns the sums by runner over this host and the sources that {@code included} accepts. */
   public Map<String, Use> sums(Predicate<String> included, long nowMillis) {
     Map<String, MutableUse> sums = new HashMap<>();
     own.forEach(
-        (runner, mine) -> sums.computeIfAbsent(runner, id -> new MutableUse()).add(mine.use()));
+        (runner, ownUse) -> sums.computeIfAbsent(runner, id -> new MutableUse()).add(ownUse.use()));
     others.forEach(
-        (source, told) -> {
-          if (included.test(source) && isRecent(told, nowMillis)) {
-            told.uses.forEach(
+        (source, load) -> {
+          if (included.test(source) && isRecent(load, nowMillis)) {
+            load.uses.forEach(
                 (runner, use) -> sums.computeIfAbsent(runner, id -> new MutableUse()).add(use));
           }
         });
@@ -137,18 +141,18 @@
   }
 
   /**
-   * Adds to this host's own part.
+   * Adds to what this host has in flight.
    *
-   * @param requests 1 for a request that starts or waits there, -1 for one that ends, else 0
-   * @param unread prompt tokens sent and to be read, negative once they were
-   * @param held prompt tokens that wait to be sent, negative once they were
-   * @param target the adapter that the request uses; empty for none
+   * @param requests 1 for a request that starts or waits, -1 for one that ends, otherwise 0
+   * @param unread the prompt tokens sent; negative once they were read
+   * @param queued the prompt tokens waiting to be sent; negative once they were sent
+   * @param target the adapter that the request uses; empty if none
    */
-  public void add(String runner, int requests, long unread, long held, String target) {
+  public void add(String runner, int requests, long unread, long queued, String target) {
     MutableUse use = own.computeIfAbsent(runner, id -> new MutableUse());
     use.requests += requests;
     use.unreadTokens += unread;
-    use.queuedTokens += held;
+    use.queuedTokens += queued;
     if (!target.isEmpty() && requests != 0) {
       int left = use.adapters.merge(target, requests, Integer::sum);
       if (left <= 0) {
@@ -160,71 +164,71 @@
     }
   }
 
-  /** Returns how many requests are at a runner. */
+  /** Returns how many requests of all hosts are in flight at a runner or wait to be sent there. */
   public int requests(String runner, long nowMillis) {
-    MutableUse mine = own.get(runner);
-    int sum = mine == null ? 0 : mine.requests;
-    for (SourceLoad told : others.values()) {
-      sum += isRecent(told, nowMillis) ? use(told, runner).requests : 0;
+    MutableUse ownUse = own.get(runner);
+    int sum = ownUse == null ? 0 : ownUse.requests;
+    for (SourceLoad load : others.values()) {
+      sum += isRecent(load, nowMillis) ? use(load, runner).requests : 0;
     }
     return sum;
   }
 
-  /** Returns how many prompt tokens a runner has still to read. */
+  /** Returns how many prompt tokens were sent to a runner that it has not read yet. */
   public long unreadTokens(String runner, long nowMillis) {
-    MutableUse mine = own.get(runner);
-    long sum = mine == null ? 0 : Math.max(0, mine.unreadTokens);
-    for (SourceLoad told : others.values()) {
-      sum += isRecent(told, nowMillis) ? use(told, runner).unreadTokens : 0;
+    MutableUse ownUse = own.get(runner);
+    long sum = ownUse == null ? 0 : Math.max(0, ownUse.unreadTokens);
+    for (SourceLoad load : others.values()) {
+      sum += isRecent(load, nowMillis) ? use(load, runner).unreadTokens : 0;
     }
     return Math.max(0, sum);
   }
 
   /** Returns how many prompt tokens wait to be sent to a runner. */
   public long queuedTokens(String runner, long nowMillis) {
-    MutableUse mine = own.get(runner);
-    long sum = mine == null ? 0 : Math.max(0, mine.queuedTokens);
-    for (SourceLoad told : others.values()) {
-      sum += isRecent(told, nowMillis) ? use(told, runner).queuedTokens : 0;
+    MutableUse ownUse = own.get(runner);
+    long sum = ownUse == null ? 0 : Math.max(0, ownUse.queuedTokens);
+    for (SourceLoad load : others.values()) {
+      sum += isRecent(load, nowMillis) ? use(load, runner).queuedTokens : 0;
     }
     return Math.max(0, sum);
   }
 
   /** Returns how many requests use an adapter at a runner or wait for it there. */
   public int uses(String runner, String target, long nowMillis) {
-    MutableUse mine = own.get(runner);
-    int sum = mine == null ? 0 : mine.adapters.getOrDefault(target, 0);
-    for (SourceLoad told : others.values()) {
-      if (isRecent(told, nowMillis)) {
-        sum += use(told, runner).adapters.getOrDefault(target, 0);
+    MutableUse ownUse = own.get(runner);
+    int sum = ownUse == null ? 0 : ownUse.adapters.getOrDefault(target, 0);
+    for (SourceLoad load : others.values()) {
+      if (isRecent(load, nowMillis)) {
+        sum += use(load, runner).adapters.getOrDefault(target, 0);
       }
     }
     return sum;
   }
 
-  /** Returns how many requests use an adapter or wait for it, at all runners. */
+  /** Returns how many requests use an adapter or wait for it at any runner. */
   public int totalUses(String target, long nowMillis) {
     int sum = 0;
-    for (MutableUse mine : own.values()) {
-      sum += mine.adapters.getOrDefault(target, 0);
+    for (MutableUse ownUse : own.values()) {
+      sum += ownUse.adapters.getOrDefault(target, 0);
     }
-    for (SourceLoad told : others.values()) {
-      sum += isRecent(told, nowMillis) ? told.adapterUses.getOrDefault(target, 0) : 0;
+    for (SourceLoad load : others.values()) {
+      sum += isRecent(load, nowMillis) ? load.adapterUses.getOrDefault(target, 0) : 0;
     }
     return sum;
   }
 
-  private static boolean isRecent(SourceLoad told, long nowMillis) {
-    return nowMillis - told.receivedMillis < MAX_AGE_MILLIS;
+  private static boolean isRecent(SourceLoad load, long nowMillis) {
+    return nowMillis - load.receivedMillis < MAX_AGE_MILLIS;
   }
 
-  /** Returns how many requests this host itself has at a runner. */
+  /** Returns how many requests of this host are in flight or wait to be sent to a runner. */
   public int ownRequests(String runner) {
-    MutableUse mine = own.get(runner);
-    return mine == null ? 0 : mine.requests;
+    MutableUse ownUse = own.get(runner);
+    return ownUse == null ? 0 : ownUse.requests;
   }
 
-  /** Returns this host's own part, for the others. */
+  /** Returns what this host has in flight by runner, to be reported to the other hosts. */
   public Map<String, Use> own() {
     Map<String, Use> copy = new HashMap<>();
     own.keySet().forEach(runner -> copy.put(runner, own(runner)));
@@ -236,7 +240,7 @@
     return use == null ? NONE : use.use();
   }
 
-  private static Use use(SourceLoad told, String runner) {
-    return told.uses.getOrDefault(runner, NONE);
+  private static Use use(SourceLoad load, String runner) {
+    return load.uses.getOrDefault(runner, NONE);
   }
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/GenerationPlacement.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/GenerationPlacement.java
@@ -9,45 +9,45 @@
 import org.sequoiahub.core.placement.Rendezvous;
 
 /**
- * Chooses the runner at which a model request gets its first token soonest.
+ * Chooses the runner at which a generation request gets its first token soonest.
  *
- * <p>Prompt parts are reused only where the same adapter read them before, so the expected time
- * draws an adapter's requests together by itself, until their queue costs more than a load and a
- * cold prompt elsewhere.
+ * <p>A runner reuses prompt parts only if the same adapter read them there before. The expected
+ * time therefore groups an adapter's requests at one runner until queueing there costs more than a
+ * load and an uncached prompt elsewhere.
  */
 public final class GenerationPlacement {
 
-  /** Runners beyond this rank for an adapter are alike. */
+  /** Rank in an adapter's ranking from which on all runners have the same penalty. */
   private static final int MAX_RANK = 4;
 
-  /** A first event that is expected within this part of the time left is in time. */
+  /** A first event expected within this fraction of the time left is certainly on time. */
   private static final double SAFE_FRACTION = 0.6;
 
-  /** One that is expected after this part of it is late. */
+  /** A first event expected after this fraction of the time left is certainly late. */
   private static final double LATE_FRACTION = 1.1;
 
   private final PlacementSettings settings;
 
-  /** Creates a policy. */
+  /** Creates a placement with the given weights. */
   public GenerationPlacement(PlacementSettings settings) {
     this.settings = requireNonNull(settings, "settings must not be null");
   }
 
   /**
-   * A choice.
+   * The chosen runner.
    *
    * @param candidate the runner
-   * @param firstTokenMillis expected time to the first token
+   * @param firstTokenMillis the expected time to the first token (ms)
    */
   public record Choice(Candidate candidate, double firstTokenMillis) {}
 
   /**
-   * Returns the best of the candidates.
+   * Returns the best of the candidates; empty if there are none.
    *
-   * <p>A request that waits for an adapter stays where it waits unless another runner gains it more
-   * than {@link PlacementSettings#moveThresholdMillis}: each move begins another wait at its end.
-   * Moved for any gain, two hundred requests of a day went to and fro for seconds, and their
-   * adapters were brought to both runners.
+   * <p>A request that waits for an adapter stays at its runner unless another one is faster by more
+   * than {@link PlacementSettings#moveThresholdMillis}, because it has to wait anew after each
+   * move. If requests moved for any gain, they would alternate between two runners for seconds, and
+   * their adapters would be loaded at both.
    *
    * @param waitingAt the runner where the request waits; empty if it waits nowhere
    */
@@ -78,7 +78,7 @@
   /**
    * Returns the expected time to the first token at one runner (ms).
    *
-   * <p>While an adapter is on its way the prompts ahead are read and slots become free.
+   * <p>While an adapter is in transit, the prompts ahead are read and slots become free.
    */
   public double expectedMillis(Candidate candidate) {
     long ahead = candidate.unreadAheadTokens() + candidate.queuedAheadTokens();
@@ -99,32 +99,32 @@
   /**
    * Returns whether a runner may start reading a request's prompt now.
    *
-   * <p>A runner reads prompts in pieces between the steps in which its streams grow, and a step
-   * with a piece takes twenty times as long. While several long prompts are read one after the
-   * other, every stream there pauses for as many such steps as one event takes tokens; callers that
-   * accept a shorter pause get their whole stream too late. So no more is sent than the streams can
-   * bear, and the next prompt waits here until the ones ahead are read.
+   * <p>A runner reads prompts in chunks between the steps in which its streams grow, and a step
+   * with a chunk takes twenty times as long. While several long prompts are read in succession,
+   * every stream of the runner pauses for as many such steps as one event has tokens, and the
+   * stream is too late for callers that accept only a shorter pause. Therefore no more is sent than
+   * the streams tolerate, and the next prompt waits at this host until the ones ahead are read.
    */
   public boolean mayStartReading(Candidate candidate, StreamLimits limits) {
     return candidate.unreadAheadTokens() == 0
         || !pausesStreams(limits, candidate.unreadAheadTokens() + candidate.unreadTokens());
   }
 
-  /** Returns whether reading so many tokens at a stretch pauses a runner's streams for too long. */
+  /** Returns whether reading this many tokens in succession pauses streams for too long. */
   private boolean pausesStreams(StreamLimits limits, long tokens) {
-    double pieceMillis = settings.chunkTokens() / settings.chunkTokensPerMilli();
+    double chunkMillis = settings.chunkTokens() / settings.chunkTokensPerMilli();
     if (limits.maxPauseMillis() <= 0
-        || limits.tokensPerEvent() * pieceMillis < limits.maxPauseMillis()) {
+        || limits.tokensPerEvent() * chunkMillis < limits.maxPauseMillis()) {
       return false;
     }
-    long bearableMillis = limits.maxPauseMillis() - settings.pauseMarginMillis();
-    return tokens > bearableMillis * settings.chunkTokensPerMilli();
+    long acceptedMillis = limits.maxPauseMillis() - settings.pauseMarginMillis();
+    return tokens > acceptedMillis * settings.chunkTokensPerMilli();
   }
 
   /**
-   * What a prompt that is too long for the streams of a runner costs the callers of these. Sent to
-   * the runner with the fewest streams, such prompts come together on a few runners, and the short
-   * answers on the others.
+   * Returns the cost of a prompt that pauses the streams of a runner for too long. Because of this
+   * penalty such prompts go to the runner with the fewest streams, and so gather on a few runners
+   * while short responses gather on the others.
    */
   private double pausePenalty(Candidate candidate, StreamLimits limits) {
     return pausesStreams(limits, candidate.unreadTokens())
@@ -139,8 +139,9 @@
   }
 
   /**
-   * What it costs the caller to get the first event after its target latency: the answer is worth
-   * less than a third then. The expected time is not exact, so the cost begins before the target.
+   * Returns the cost of a first event after its target latency, when the response is worth less
+   * than a third to its caller. The expected time is not exact, so the cost starts to rise before
+   * the target.
    */
   private double latePenalty(double expectedMillis, StreamLimits limits) {
     if (limits.timeToTargetMillis() <= 0) {
@@ -152,11 +153,12 @@
   }
 
   /**
-   * What it costs to bring an adapter to a runner that does not hold it.
+   * Returns the cost of loading an adapter at a runner that does not hold it.
    *
-   * <p>A runner brings back quickly and without the weight store what it dropped not long ago. So
-   * an adapter has a first runner, and others only in their order: what a runner dropped then lies
-   * where the adapter is asked for again, and hosts that decide at the same moment agree.
+   * <p>A runner reloads quickly and without the weight store what it unloaded recently. Each
+   * adapter therefore has a fixed ranking of runners: an unloaded adapter is then still in the
+   * memory of the runner at which it is requested again, and hosts that decide at the same moment
+   * choose the same runner.
    */
   private double loadPenalty(Candidate candidate, int rank) {
     if (candidate.heldOrLoading() || candidate.warm()) {
@@ -164,7 +166,7 @@
     }
     double cost =
         settings.loadPenaltyMillis() + Math.min(rank, MAX_RANK) * settings.rankPenaltyMillis();
-    // An adapter that many use at once pays for a second runner soon.
+    // A second runner soon pays off for an adapter that many requests use at once.
     return cost / (1 + candidate.adapterUses());
   }
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/PlacementSettings.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/PlacementSettings.java
@@ -1,25 +1,28 @@
 package org.sequoiahub.core.dispatch;
 
 /**
- * What a choice of a runner weighs, all in milliseconds of expected delay.
+ * The weights of the choice of a runner. All costs are expressed in milliseconds of expected delay.
  *
- * @param readTokensPerMilli prompt tokens that a runner reads in a millisecond
- * @param slotWaitMillis wait for each request that is ahead beyond the runner's slots
- * @param perRequestMillis how much each request that runs there slows the others
- * @param noRoomMillis wait for a place when all adapters of a runner are in use
- * @param noHolderMillis wait for a host that may order the runner
- * @param failurePenaltyMillis cost of a request that certainly fails
- * @param vanishedPenaltyMillis cost of a runner that may be gone
- * @param otherDomainPenaltyMillis cost of leaving the failure domain; bytes between domains are
- *     dear
- * @param loadPenaltyMillis cost, beyond the wait, of bringing an adapter to a runner
- * @param moveThresholdMillis what a request that waits must gain to wait elsewhere: one load
- * @param rankPenaltyMillis the same for each runner before it in the adapter's order
- * @param chunkTokens prompt tokens that a runner reads in one step
- * @param chunkTokensPerMilli how fast it reads them, with what long contexts cost
- * @param latePenaltyMillis cost of a first event after its target latency
- * @param pausePenaltyMillis cost of pausing one stream for too long
- * @param pauseMarginMillis part of a bearable pause that is left for steps and the network
+ * @param readTokensPerMilli the number of prompt tokens that a runner reads per millisecond
+ * @param slotWaitMillis the wait per request ahead that exceeds the runner's slots
+ * @param perRequestMillis by how much each request in flight at a runner slows down the others
+ * @param noRoomMillis the wait for an adapter place if all adapters of a runner are in use
+ * @param noHolderMillis the wait for a holder if no host may order the runner yet
+ * @param failurePenaltyMillis the cost of a failed request, multiplied by the failure rate
+ * @param vanishedPenaltyMillis the cost of a runner that may have terminated
+ * @param otherDomainPenaltyMillis the cost of leaving the failure domain; traffic between domains
+ *     is expensive
+ * @param loadPenaltyMillis the cost of loading an adapter, in addition to the wait for it
+ * @param moveThresholdMillis the minimum gain for a waiting request to move to another runner; the
+ *     time of one load
+ * @param rankPenaltyMillis the addition to {@code loadPenaltyMillis} for each runner that precedes
+ *     this one in the adapter's ranking
+ * @param chunkTokens the number of prompt tokens that a runner reads in one step
+ * @param chunkTokensPerMilli the number of these tokens read per millisecond, including the cost of
+ *     long contexts
+ * @param latePenaltyMillis the cost of a first event after its target latency
+ * @param pausePenaltyMillis the cost of pausing one stream for too long
+ * @param pauseMarginMillis the part of the accepted pause reserved for steps and the network
  */
 public record PlacementSettings(
     double readTokensPerMilli,
@@ -40,12 +43,18 @@
     long pauseMarginMillis) {
 
   /**
-   * Reading speed from the users' sheets (38.7 and 38.4 tokens a millisecond, less a tenth for the
-   * steps between); the rest are the delays seen when the case occurs: a lease and a half for a new
-   * holder. A request in flight weighs 12 ms: with 4 ms, 51 requests ran at one runner while 5 ran
-   * at one that had just come, and streams at the first paused. A fetch weighs 700 ms and a late
-   * first event 1,000, about what each costs the callers of a deployment. Pieces of 4,096 tokens
-   * take 107 ms and, in contexts of 8,000 tokens, 25 to 38 ms more.
+   * The default weights.
+   *
+   * <p>The reading speed is the specified one of known deployments (38.7 and 38.4 tokens per
+   * millisecond) less a tenth for the steps in between. The other waits are the delays that occur
+   * in the respective case, such as one and a half leases until there is a new holder.
+   *
+   * <p>A request in flight costs 12 ms. With a much lower cost requests accumulate at one runner,
+   * whose streams then pause, while a new runner stays nearly idle.
+   *
+   * <p>A load costs 700 ms and a late first event 1,000 ms, which is about what each costs the
+   * callers of a deployment. Chunks of 4,096 tokens take 107 ms and, in contexts of 8,000 tokens,
+   * 25 to 38 ms more.
    */
   public static final PlacementSettings DEFAULT =
       new PlacementSettings(
--- a/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/PrefixCacheEstimate.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/PrefixCacheEstimate.java
@@ -9,10 +9,11 @@
 import org.sequoiahub.core.call.PromptPart;
 
 /**
- * What this host believes one runner keeps of prompts that it sent there.
+ * Estimates which prompt prefixes one runner has cached of the prompts that this host sent there.
  *
- * <p>A part is reused only for the same model and adapter and if all parts before it are kept too,
- * so a part is known by everything up to its end. The least recently used parts yield.
+ * <p>A part is reused only for the same model and adapter and if all preceding parts are cached
+ * too, so a part is identified by everything up to its end. The least recently used parts are
+ * evicted.
  */
 public final class PrefixCacheEstimate {
 
@@ -21,16 +22,16 @@
   private long tokens;
 
   /**
-   * Creates an empty memory.
+   * Creates an estimate without cached parts.
    *
-   * @param capacityTokens how many tokens to believe in
+   * @param capacityTokens the number of tokens that the runner is assumed to cache
    */
   public PrefixCacheEstimate(long capacityTokens) {
     checkArgument(capacityTokens > 0, "capacityTokens must be above 0, was %s", capacityTokens);
     this.capacityTokens = capacityTokens;
   }
 
-  /** Returns how many of the prompt's tokens the runner has probably still to read. */
+  /** Returns how many of the prompt's tokens the runner would probably have to read. */
   public int unreadTokens(Generation generation) {
     int known = 0;
     StringBuilder key = new StringBuilder(generation.target());
@@ -60,7 +61,7 @@
     }
   }
 
-  /** Forgets what was kept for a model or adapter that the runner dropped. */
+  /** Removes the parts of a model or adapter that the runner unloaded. */
   public void forget(String target) {
     Iterator<Map.Entry<String, Integer>> each = parts.entrySet().iterator();
     while (each.hasNext()) {
--- a/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/RetryRule.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/RetryRule.java
@@ -2,35 +2,38 @@
 
 import org.sequoiahub.core.routing.Repetition;
 
-/** What follows an attempt that did not bring a good answer. */
+/** Decides whether a request is sent to a runner again after an unsuccessful attempt. */
 public final class RetryRule {
 
-  /** Most times that one request is offered to runners, refusals included. */
+  /** Maximum number of times that one request is sent to runners, including rejected attempts. */
   public static final int MAX_SENDS = 4;
 
-  /** A request with less time than this left is not offered again (ms). */
+  /** Minimum time that a caller must still wait for a request to be sent again (ms). */
   public static final long MIN_LEFT_MILLIS = 15;
 
   private RetryRule() {}
 
-  /** What is known of an attempt that ended. */
+  /** How an attempt ended. */
   public enum Ending {
     /** Nothing reached the runner. */
     NOT_SENT,
-    /** The runner said that it did not run the request. */
+    /** The runner reported that it did not run the request. */
     REFUSED,
-    /** The runner answered with a failure of its own. */
+    /** The runner responded with an error of its own. */
     FAILED,
-    /** The answer was lost or broken off: the request may have run. */
+    /** The response was lost or interrupted: the request may have run. */
     LOST
   }
 
   /**
-   * Returns whether the request may be offered to a runner again.
+   * Returns whether the request may be sent to a runner again.
    *
-   * @param sends how often it was offered
-   * @param runs how many of these may have run
-   * @param leftMillis how long the caller still waits
+   * @param ending how the last attempt ended
+   * @param repetition how the request may be repeated
+   * @param sends how often the request was sent
+   * @param runs how many of these attempts may have run
+   * @param maxAttempts the maximum number of runs that the route allows
+   * @param leftMillis how long the caller still waits (ms)
    */
   public static boolean mayRetry(
       Ending ending, Repetition repetition, int sends, int runs, int maxAttempts, long leftMillis) {
@@ -47,7 +50,7 @@
     };
   }
 
-  /** Returns whether offering it again draws on the retry budget: it reached a runner before. */
+  /** Returns whether sending the request again uses the retry budget: it has reached a runner. */
   public static boolean usesRetryBudget(Ending ending) {
     return ending != Ending.NOT_SENT;
   }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/ServicePlacement.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/ServicePlacement.java
@@ -5,23 +5,23 @@
 import java.util.Collection;
 import java.util.Optional;
 
-/** Chooses the runner of a plain service with the least expected wait. */
+/** Chooses the runner of a plain service with the shortest expected time to the response. */
 public final class ServicePlacement {
 
-  /** Work time of a request before any was measured (ms); the users' sheets say 21 to 86. */
+  /** Assumed work time of a request before any was observed (ms); deployments specify 21 to 86. */
   private static final double UNKNOWN_LATENCY_MILLIS = 40;
 
   private final PlacementSettings settings;
 
-  /** Creates a policy. */
+  /** Creates a placement with the given weights. */
   public ServicePlacement(PlacementSettings settings) {
     this.settings = requireNonNull(settings, "settings must not be null");
   }
 
   /**
-   * Returns the best of the candidates.
+   * Returns the best of the candidates; empty if there are none.
    *
-   * @param draw a number drawn evenly from 0 to 1, which decides between equals
+   * @param draw a uniformly distributed random number from 0 to 1 that decides between equal ones
    */
   public Optional<Candidate> choose(Collection<Candidate> candidates, double draw) {
     Candidate best = null;
@@ -29,9 +29,9 @@
     int index = (int) (draw * candidates.size());
     int position = 0;
     for (Candidate candidate : candidates) {
-      // Rotated so that equals are taken in turn.
-      int turn = Math.floorMod(position++ - index, candidates.size());
-      double score = expectedMillis(candidate) + turn * 0.001;
+      // Rotates the order so that equal candidates are chosen evenly.
+      int rotated = Math.floorMod(position++ - index, candidates.size());
+      double score = expectedMillis(candidate) + rotated * 0.001;
       if (score < bestScore) {
         bestScore = score;
         best = candidate;
@@ -40,13 +40,13 @@
     return Optional.ofNullable(best);
   }
 
-  /** Returns the expected time to the answer at one runner, with what its failures cost (ms). */
+  /** Returns the expected time to the response at one runner, including its penalties (ms). */
   public double expectedMillis(Candidate candidate) {
     double work =
         candidate.latencyMillis() > 0 ? candidate.latencyMillis() : UNKNOWN_LATENCY_MILLIS;
     int slots = Math.max(1, candidate.runner().slots());
     double waiting = Math.max(0, candidate.inFlight() + 1 - slots) * work / slots;
-    // A runner that is nearly full works slower.
+    // A runner works slower the more of its slots are in use.
     double crowding = work * 0.3 * Math.min(1.0, (double) candidate.inFlight() / slots);
     return work
         + waiting
--- a/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/Shutdown.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/Shutdown.java
@@ -3,31 +3,32 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * What a host that was asked to stop still takes, and until when it finishes what it took.
+ * Decides which requests a stopping host still accepts, and when it has to finish them.
  *
- * <p>Callers go on using its address for some seconds. A request that is taken too late is cut with
- * the process, and its caller cannot tell whether it ran; refused at once, it is served by another
- * host.
+ * <p>Callers keep using its address for some seconds. A request that is accepted too late is cut
+ * off when the process ends, and its caller cannot tell whether it ran. A request that is rejected
+ * immediately can be served by another host.
  *
- * @param requestedMillis when the host was asked to stop
- * @param graceMillis how long after that the platform kills the process
+ * @param requestedMillis when the host was asked to stop (ms)
+ * @param graceMillis the time after which the platform kills the process (ms)
  */
 public record Shutdown(long requestedMillis, long graceMillis) {
 
   /**
-   * The process ends after this part of the grace time, whatever is in progress: what is left over
-   * of 8 s covers a slow host's exit (0.6 s were too few).
+   * Fraction of the grace time after which the process ends, whatever is in progress. The rest of a
+   * grace time of 8 s covers the exit of a slow host, for which 0.6 s were not enough.
    */
   private static final double END_FRACTION = 0.86;
 
   /**
-   * Until this part of the grace time all requests are taken: most callers have not asked for new
-   * addresses yet, and answers take a tenth of what is left then (0.4 of 4.1 s). Later ones are
-   * only taken if their whole time fits: one sent 3.3 s after the signal was cut unanswered.
+   * Fraction of the grace time during which all requests are accepted: most callers have not
+   * requested new addresses yet, and responses take a tenth of the remaining time (0.4 of 4.1 s).
+   * Later requests are only accepted if their timeout fits into the remaining time; otherwise one
+   * that is sent 3.3 s after the signal is cut off without a response.
    */
   private static final double ACCEPT_ALL_FRACTION = 0.35;
 
-  /** Requests that have no answer this long before the end get their final status (ms). */
+  /** How long before the process ends requests without a response get a final status (ms). */
   private static final long FINAL_STATUS_MARGIN_MILLIS = 150;
 
   /** Checks the arguments. */
@@ -35,28 +36,29 @@
     checkArgument(graceMillis > 0, "graceMillis must be above 0, was %s", graceMillis);
   }
 
-  /** Returns when the process ends. */
+  /** Returns when the process ends (ms). */
   public long endMillis() {
     return requestedMillis + (long) (graceMillis * END_FRACTION);
   }
 
   /**
-   * Returns when requests that are still without an answer get a status, whatever they wait for.
+   * Returns when requests that still have no response get a final status, whatever they wait for
+   * (ms).
    */
   public long finalStatusMillis() {
     return endMillis() - FINAL_STATUS_MARGIN_MILLIS;
   }
 
   /**
-   * Returns whether a new request is taken.
+   * Returns whether a new request is accepted.
    *
-   * @param wantedMillis the longest time that its caller and its route allow it
+   * @param timeoutMillis the longest time that the caller and the route allow for the request (ms)
    */
-  public boolean accepts(long wantedMillis, long nowMillis) {
-    return acceptsAll(nowMillis) || nowMillis + wantedMillis <= finalStatusMillis();
+  public boolean accepts(long timeoutMillis, long nowMillis) {
+    return acceptsAll(nowMillis) || nowMillis + timeoutMillis <= finalStatusMillis();
   }
 
-  /** Returns whether requests are still taken that the first part of the grace time allows. */
+  /** Returns whether all requests are accepted, whatever their timeout. */
   public boolean acceptsAll(long nowMillis) {
     return nowMillis < requestedMillis + (long) (graceMillis * ACCEPT_ALL_FRACTION);
   }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/package-info.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/package-info.java
@@ -1,4 +1,4 @@
-/** Which runner gets a request, when a request is refused, and what follows a failed attempt. */
+/** The choice of a runner for each request, retries, and what a stopping host still accepts. */
 @NullMarked
 package org.sequoiahub.core.dispatch;
 
--- a/sequoia-core/src/test/java/org/sequoiahub/core/dispatch/FleetLoadTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/dispatch/FleetLoadTest.java
@@ -25,7 +25,7 @@
   @Nested
   class Sums {
     @Test
-    void coverThisHostAndTheSourcesAskedFor() {
+    void includeThisHostAndTheRequestedSources() {
       loads.add(RUNNER, 1, 10, 0, "m/a1");
       loads.update("near", use(2), true, 1_000);
       loads.update("far", use(4), true, 1_000);
@@ -34,28 +34,25 @@
     }
 
     @Test
-    void leaveOutWhatIsOld() {
+    void excludeOldReports() {
       loads.update("dead", use(2), true, 1_000);
       assertThat(loads.sums(source -> true, 10_000)).isEmpty();
     }
   }
 
   @Nested
-  class UsesEverywhere {
+  class TotalUses {
     /**
-     * Symptom: an adapter that many use gets no second runner, or one that nobody uses gets one.
-     *
-     * <p>Events: hosts tell changes only, take them back, fall silent.
-     *
-     * <p>Cause: the sums by adapter, which are kept because a choice asks for them each time,
-     * differ from the sums over the runners.
+     * Guards against an adapter in high demand that gets no second runner, or an unused one that
+     * gets one, because the cached sums by adapter differ from the sums over the runners. Hosts
+     * report only changes, revert them, and stop reporting.
      */
     @Property(tries = 500)
-    void equalTheSumOverTheRunners(
-        @ForAll @Size(max = 30) List<@IntRange(max = 999) Integer> told) {
+    void equalTheSumOverAllRunners(
+        @ForAll @Size(max = 30) List<@IntRange(max = 999) Integer> codes) {
       FleetLoad some = new FleetLoad();
       long now = 0;
-      for (int code : told) {
+      for (int code : codes) {
         now += 200;
         String runner = "i-" + code % 3;
         String adapter = "m/a" + code / 3 % 2;
@@ -79,16 +76,13 @@
   }
 
   @Nested
-  class WholeFleet {
+  class FleetTotals {
     /**
-     * Symptom: a host avoids the runners that it has requests at.
-     *
-     * <p>Events: the sums over the fleet hold this host's own part.
-     *
-     * <p>Cause: the own part is counted twice.
+     * Guards against a host that avoids the runners at which it has requests, because it counts
+     * them twice: the totals over the fleet include this host's own requests.
      */
     @Test
-    void doesNotCountTheOwnPartTwice() {
+    void doNotCountOwnRequestsTwice() {
       loads.add(RUNNER, 3, 300, 0, "m/a1");
       loads.replaceWithTotals(use(5), 1_000);
       assertThat(loads.requests(RUNNER, 1_000)).isEqualTo(5);
@@ -96,14 +90,14 @@
     }
 
     @Test
-    void mayBeOlderThanTheOwnPart() {
+    void mayBeOlderThanOwnRequests() {
       loads.add(RUNNER, 3, 300, 0, "m/a1");
       loads.replaceWithTotals(use(1), 1_000);
       assertThat(loads.requests(RUNNER, 1_000)).isEqualTo(3);
     }
 
     @Test
-    void givesWayToItsParts() {
+    void areReplacedByReportsOfTheParts() {
       loads.replaceWithTotals(use(5), 1_000);
       loads.removeTotals();
       loads.update("group a", use(2), true, 1_000);
--- a/sequoia-core/src/test/java/org/sequoiahub/core/dispatch/GenerationPlacementTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/dispatch/GenerationPlacementTest.java
@@ -63,15 +63,13 @@
   @Nested
   class AbsentAdapters {
     /**
-     * Symptom: adapters are brought from the store again and again.
-     *
-     * <p>Events: requests for rare adapters come to different hosts while all runners are idle.
-     *
-     * <p>Cause: each host chose by load alone, so an adapter was brought to another runner each
-     * time than to the one that had dropped it lately and could have had it back at once.
+     * Guards against adapters that are loaded from the weight store repeatedly. Requests for rare
+     * adapters arrive at different hosts while all runners are idle. If each host chooses by load
+     * alone, an adapter is loaded at a different runner each time instead of at the one that
+     * recently unloaded it and could reload it quickly.
      */
     @Test
-    void goToTheSameRunnerWhicheverHostDecides() {
+    void areLoadedAtTheSameRunnerByAllHosts() {
       Map<String, Integer> chosen = new HashMap<>();
       for (int number = 0; number < 400; number++) {
         List<Candidate> candidates = new ArrayList<>();
@@ -89,14 +87,14 @@
     }
 
     @Test
-    void areNotBroughtWhileRunnerThatHasThemIsOnlyBusy() {
+    void areNotLoadedElsewhereIfTheirRunnerIsOnlyBusy() {
       List<Candidate> candidates =
           List.of(candidate("has", true, 9_000, 3_000), candidate("idle", false, 0, 9_000));
       assertThat(choose(generation("a1"), candidates)).isEqualTo("has");
     }
 
     @Test
-    void areBroughtElsewhereWhenTheQueueCostsMore() {
+    void areLoadedElsewhereIfTheQueueCostsMore() {
       List<Candidate> candidates =
           List.of(candidate("has", true, 60_000, 3_000), candidate("idle", false, 0, 9_000));
       assertThat(choose(generation("a1"), candidates)).isEqualTo("idle");
@@ -126,22 +124,20 @@
     }
 
     /**
-     * Symptom: half of the short answers pause too long somewhere on their way.
-     *
-     * <p>Events: one prompt in six is longer than streams can bear, and each runner gets one every
-     * few seconds, while its short answers take two.
-     *
-     * <p>Cause: such a prompt went where its adapter was, whoever streamed there.
+     * Guards against half of the short responses pausing for too long. One prompt in six is longer
+     * than streams tolerate. If such a prompt goes to the runner that holds its adapter regardless
+     * of the streams there, each runner gets one every few seconds, while its short responses take
+     * two seconds.
      */
     @Test
-    void goWhereFewStreamsRunEvenIfTheAdapterMustBeBrought() {
+    void goToRunnerWithFewStreamsEvenIfTheAdapterMustBeLoaded() {
       List<Candidate> candidates =
           List.of(withStreams("busy", true, 14), withStreams("calm", false, 1));
       assertThat(choose(generation("a1"), candidates)).isEqualTo("calm");
     }
 
     @Test
-    void stayWithTheirAdapterWhereLittleIsDisturbed() {
+    void stayWithTheirAdapterIfFewStreamsPause() {
       List<Candidate> candidates =
           List.of(withStreams("has", true, 4), withStreams("calm", false, 1));
       assertThat(choose(generation("a1"), candidates)).isEqualTo("has");
@@ -153,19 +149,19 @@
     private static final double READ_TOKENS_PER_MILLI = 38.4;
     private static final double LONG_CONTEXT_MILLIS = 35;
     private static final double STEP_MILLIS = 5;
-    private static final int PIECE = 4_096;
-    private static final int PROMPT = 9_190;
+    private static final int CHUNK_TOKENS = 4_096;
+    private static final int PROMPT_TOKENS = 9_190;
 
     @Test
-    void isNotHeldBackWhereStreamsBearIt() {
+    void isNotDelayedIfStreamsTolerateIt() {
       assertThat(
               placement.mayStartReading(
-                  candidate("r", true, 30_000, PROMPT), new StreamLimits(600, 4, 1_000)))
+                  candidate("r", true, 30_000, PROMPT_TOKENS), new StreamLimits(600, 4, 1_000)))
           .isTrue();
     }
 
     @Test
-    void isNeverHeldBackAtAnIdleRunner() {
+    void isNeverDelayedAtAnIdleRunner() {
       assertThat(
               placement.mayStartReading(
                   candidate("r", true, 0, 40_000), new StreamLimits(500, 5, 1_000)))
@@ -173,14 +169,10 @@
     }
 
     /**
-     * Symptom: short answers whose first token comes in 0.3 s are worth little: somewhere on their
-     * way they pause for more than the 0.5 s that their callers accept.
-     *
-     * <p>Events: long prompts come at 1.4 a second to a runner with streams of 58 events of 5
-     * tokens, each prompt sent on as it comes.
-     *
-     * <p>Cause: prompts that follow each other without a break leave no step in between, and an
-     * event takes five steps of 0.14 s.
+     * Guards against short responses that get their first token in 0.3 s but later pause for longer
+     * than the 0.5 s that their callers accept. Long prompts arrive 1.4 times a second at a runner
+     * with streams of 58 events of 5 tokens. If each prompt is sent on arrival, prompts in
+     * succession leave no step without a chunk in between, and an event takes five steps of 0.14 s.
      */
     @Test
     void isPacedSoThatStreamsDoNotPause() {
@@ -190,42 +182,45 @@
       assertThat(paced).isAtMost(together / 3);
     }
 
-    /** Plays ten minutes at one runner; returns how many streams in a hundred paused too long. */
+    /**
+     * Simulates ten minutes at one runner; returns the percentage of streams that paused too long.
+     */
     private int latePercent(boolean pace) {
       Random random = new Random(7);
       double now = 0;
       double nextPrompt = 0;
       double nextStream = 0;
-      int held = 0;
+      int queued = 0;
       int unread = 0;
-      int believed = 0;
+      int estimatedUnread = 0;
       int stepsSinceRead = 0;
       int finished = 0;
       int late = 0;
       List<double[]> streams = new ArrayList<>(); // tokens left, last event, late
       while (now < 600_000) {
         while (nextPrompt <= now) {
-          held++;
+          queued++;
           nextPrompt += -Math.log(1 - random.nextDouble()) * 1_000 / 1.4;
         }
         while (nextStream <= now) {
           streams.add(new double[] {290, now, 0});
           nextStream += -Math.log(1 - random.nextDouble()) * 1_000 / 2.2;
         }
-        while (held > 0
+        while (queued > 0
             && (!pace
                 || placement.mayStartReading(
-                    candidate("r", true, believed, PROMPT), new StreamLimits(500, 5, 1_000)))) {
-          held--;
-          unread += PROMPT;
-          believed += PROMPT;
+                    candidate("r", true, estimatedUnread, PROMPT_TOKENS),
+                    new StreamLimits(500, 5, 1_000)))) {
+          queued--;
+          unread += PROMPT_TOKENS;
+          estimatedUnread += PROMPT_TOKENS;
         }
-        int piece = Math.min(PIECE, unread);
-        unread -= piece;
-        // That a prompt was read is known from its first event, which takes five steps.
+        int chunk = Math.min(CHUNK_TOKENS, unread);
+        unread -= chunk;
+        // The host knows from a prompt's first event, which takes five steps, that it was read.
         stepsSinceRead = unread > 0 ? 0 : stepsSinceRead + 1;
-        believed = stepsSinceRead >= 5 ? 0 : believed;
-        now += STEP_MILLIS + piece / READ_TOKENS_PER_MILLI + (piece > 0 ? LONG_CONTEXT_MILLIS : 0);
+        estimatedUnread = stepsSinceRead >= 5 ? 0 : estimatedUnread;
+        now += STEP_MILLIS + chunk / READ_TOKENS_PER_MILLI + (chunk > 0 ? LONG_CONTEXT_MILLIS : 0);
         for (double[] stream : List.copyOf(streams)) {
           stream[0]--;
           if (stream[0] % 5 == 0) {
--- a/sequoia-core/src/test/java/org/sequoiahub/core/dispatch/RetryRuleTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/dispatch/RetryRuleTest.java
@@ -9,16 +9,14 @@
 import org.sequoiahub.core.routing.Repetition;
 
 /**
- * Symptom: a booking made twice; a request run on more runners than its route allows.
- *
- * <p>Events: attempts end in every way, in any order, for every kind of request.
- *
- * <p>Cause looked for: a second run allowed after a first one that may have happened.
+ * Guards against a booking that is made twice and a request that runs on more runners than its
+ * route allows, because a second run is allowed after a first one that may have happened. Attempts
+ * end in every way, in any order, for every kind of request.
  */
 class RetryRuleTest {
 
   @Property(tries = 5_000, seed = "20261214")
-  void neverAllowsSecondRunOfWhatRunsOnce(
+  void neverAllowsSecondRunOfNonRepeatableRequests(
       @ForAll Ending ending,
       @ForAll Repetition repetition,
       @ForAll @IntRange(min = 1, max = 5) int sends,
@@ -35,8 +33,8 @@
     if (again) {
       assertThat(sends).isLessThan(RetryRule.MAX_SENDS);
     }
-    boolean refusedWithRoomLeft = ending == Ending.REFUSED && runs == 0 && sends < 4 && left > 100;
-    if (refusedWithRoomLeft) {
+    boolean refusedWithAttemptsLeft = ending == Ending.REFUSED && runs == 0 && sends < 4 && left > 100;
+    if (refusedWithAttemptsLeft) {
       assertThat(again).isTrue();
     }
   }
