--- a/sequoia-core/src/test/java/org/sequoiahub/core/dispatch/RetryRuleTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/dispatch/RetryRuleTest.java
@@ -33,7 +33,8 @@
     if (again) {
       assertThat(sends).isLessThan(RetryRule.MAX_SENDS);
     }
-    boolean refusedWithAttemptsLeft = ending == Ending.REFUSED && runs == 0 && sends < 4 && left > 100;
+    boolean refusedWithAttemptsLeft =
+        ending == Ending.REFUSED && runs == 0 && sends < 4 && left > 100;
     if (refusedWithAttemptsLeft) {
       assertThat(again).isTrue();
     }
--- a/sequoia-core/src/test/java/org/sequoiahub/core/holding/RunnerResidencyPropertiesTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/holding/RunnerResidencyPropertiesTest.java
@@ -35,11 +35,11 @@
         .withAction(3, onTarget("start", ResidencyWorld::start))
         .withAction(4, onTarget("finish", ResidencyWorld::finish))
         .withAction(1, onTarget("publish", ResidencyWorld::publish))
-        .withAction(10, just("pump", ResidencyWorld::sendNextOrder))
-        .withAction(2, just("loseReply", ResidencyWorld::sendNextOrderAndLoseReply))
-        .withAction(2, just("refuse", ResidencyWorld::rejectNextOrder))
+        .withAction(10, just("sendNextOrder", ResidencyWorld::sendNextOrder))
+        .withAction(2, just("sendNextOrderAndLoseReply", ResidencyWorld::sendNextOrderAndLoseReply))
+        .withAction(2, just("rejectNextOrder", ResidencyWorld::rejectNextOrder))
         .withAction(4, just("report", ResidencyWorld::report))
-        .withAction(8, pass())
+        .withAction(8, advance())
         .withMaxTransformations(80);
   }
 
@@ -57,11 +57,12 @@
                     Transformer.mutate(label + " a" + n, world -> event.accept(world, "m/a" + n))));
   }
 
-  private static Action<ResidencyWorld> pass() {
+  private static Action<ResidencyWorld> advance() {
     return new Event(
         Arbitraries.longs()
             .between(1, 900)
-            .map(millis -> Transformer.mutate("pass " + millis, world -> world.advance(millis))));
+            .map(
+                millis -> Transformer.mutate("advance " + millis, world -> world.advance(millis))));
   }
 
   private record Event(Arbitrary<Transformer<ResidencyWorld>> events)
