--- a/sequoia-core/src/main/java/org/sequoiahub/core/runner/Admission.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/runner/Admission.java
@@ -2,17 +2,17 @@
 
 import org.sequoiahub.core.verdict.Verdict.NotRun;
 
-/** Whether an offered request was taken into the queue. */
+/** The result of offering a request to a runner. */
 public sealed interface Admission {
 
   /**
-   * It waits or starts.
+   * The request was queued.
    *
-   * @param expectedWaitMillis the estimated time until it starts
+   * @param expectedWaitMillis the estimated time until it starts (ms)
    * @param resident whether its adapter version is loaded
    */
   record Admitted(long expectedWaitMillis, boolean resident) implements Admission {}
 
-  /** It was refused and has not run. */
+  /** The request was rejected and has not run. */
   record Rejected(NotRun verdict) implements Admission {}
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/runner/EngineReport.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/runner/EngineReport.java
@@ -5,13 +5,13 @@
 import org.sequoiahub.core.record.AdapterVersion;
 
 /**
- * What an engine said of itself.
+ * An engine's report of its state.
  *
- * @param sampledNotBeforeMillis a moment, on the reader's clock, that surely lies before the
- *     sample: the sending of the question less the age that the engine gives for its sample
- * @param resident adapter versions that are loaded
- * @param loading adapter versions that are being loaded
- * @param active requests that run or wait inside the engine, by id, with their adapter version
+ * @param sampledNotBeforeMillis a time on the reader's clock that certainly precedes the sample:
+ *     the time at which the query was sent less the sample age that the engine reports
+ * @param resident the adapter versions that are loaded
+ * @param loading the adapter versions that are being loaded
+ * @param active the adapter versions of the requests that run or wait in the engine, by request id
  */
 public record EngineReport(
     long sampledNotBeforeMillis,
--- a/sequoia-core/src/main/java/org/sequoiahub/core/runner/OrderResult.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/runner/OrderResult.java
@@ -1,11 +1,11 @@
 package org.sequoiahub.core.runner;
 
-/** What became of a load or unload order. */
+/** The result of a load or unload order. */
 public enum OrderResult {
-  /** The engine says it is done. */
+  /** The engine confirmed that it executed the order. */
   DONE,
-  /** The engine says that it did not do it. */
+  /** The engine reported that it did not execute the order. */
   FAILED,
-  /** No answer: the order may have been done, or may yet be. */
+  /** No response: the order may have been executed, or may still be. */
   UNKNOWN
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/runner/Popularity.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/runner/Popularity.java
@@ -5,26 +5,33 @@
 import org.sequoiahub.core.record.AdapterVersion;
 
 /**
- * Requests per adapter version, decayed with a half-life, so that yesterday's hot adapter does not
- * outweigh today's. Entries that have decayed to nothing are dropped: memory follows the active
- * adapters, not all that exist.
+ * Counts the requests per adapter version with exponential decay, so that formerly popular adapters
+ * do not outweigh currently popular ones. Entries that have decayed to almost nothing are removed,
+ * so that memory usage depends on the active adapters and not on all that exist.
  *
- * <p>The half-life is long, so that adapters that are asked for every minute or so can be told
- * apart. By itself it would keep an adapter whose requests have ceased for minutes, and popularity
- * shifts without warning. So the value also falls with the time since the last request, measured in
- * the adapter's own usual gaps between requests.
+ * <p>The half-life is long enough to distinguish adapters that are requested about once a minute.
+ * By itself it would keep an adapter for minutes after its requests have ceased, and popularity
+ * changes without warning. The value therefore also decays with the time since the last request,
+ * measured in the adapter's usual gaps between requests.
  */
 final class Popularity {
 
   private static final double HALF_LIFE_MILLIS = 300_000;
   private static final double MEAN_LIFETIME_MILLIS = HALF_LIFE_MILLIS / Math.log(2);
+
+  /** Half-life of the value of an idle adapter, in usual gaps between its requests. */
   private static final double HALF_LIFE_GAPS = 2;
+
+  /** Counts below this are removed. */
   private static final double NEGLIGIBLE_COUNT = 0.01;
+
+  /** Minimum number of entries from which on negligible ones are removed. */
   private static final int MIN_SWEEP_SIZE = 256;
 
   private final Map<AdapterVersion, Count> counts = new HashMap<>();
   private int sweepSize = MIN_SWEEP_SIZE;
 
+  /** Records a request for an adapter. */
   void recordRequest(AdapterVersion adapter, long nowMillis) {
     Count earlier = counts.get(adapter);
     double before = earlier == null ? 0 : earlier.at(nowMillis);
@@ -35,6 +42,7 @@
     }
   }
 
+  /** Returns the current popularity of an adapter; 0 if it was not requested recently. */
   double value(AdapterVersion adapter, long nowMillis) {
     Count count = counts.get(adapter);
     if (count == null) {
--- a/sequoia-core/src/main/java/org/sequoiahub/core/runner/RequestQueue.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/runner/RequestQueue.java
@@ -12,7 +12,7 @@
 import org.sequoiahub.core.record.AdapterVersion;
 import org.sequoiahub.core.record.Priority;
 
-/** The requests that wait for one runner, grouped by adapter version, oldest first. */
+/** The requests that wait for one runner, grouped by adapter version and ordered by age. */
 final class RequestQueue {
 
   private final long briefAgeMillis;
@@ -61,7 +61,7 @@
     return byAdapter.keySet();
   }
 
-  /** Returns the request to start next among the adapters that {@code startable} admits. */
+  /** Returns the request to start next among the adapters that {@code startable} accepts. */
   Optional<RunnerRequest> next(Predicate<AdapterVersion> startable, long nowMillis) {
     QueuedRequest best = null;
     for (Map.Entry<AdapterVersion, LinkedHashMap<String, QueuedRequest>> group :
@@ -75,7 +75,7 @@
     return Optional.ofNullable(best).map(q -> q.request);
   }
 
-  /** Returns how long the oldest request for {@code adapter} has waited; 0 if none waits. */
+  /** Returns how long the oldest request for {@code adapter} has waited (ms); 0 if none waits. */
   long oldestWait(AdapterVersion adapter, long nowMillis) {
     Map<String, QueuedRequest> group = byAdapter.get(adapter);
     return group == null ? 0 : nowMillis - group.values().iterator().next().sinceMillis;
@@ -130,7 +130,10 @@
     return queued.sinceMillis < best.sinceMillis ? queued : best;
   }
 
-  /** A brief that has aged counts as interactive, so that interactive calls never starve it. */
+  /**
+   * Returns whether a request is interactive, or is a brief that has waited long enough to be
+   * treated as interactive, so that interactive requests never starve it.
+   */
   private boolean isUrgent(QueuedRequest queued, long nowMillis) {
     return queued.request.priority() == Priority.INTERACTIVE
         || nowMillis - queued.sinceMillis >= briefAgeMillis;
--- a/sequoia-core/src/main/java/org/sequoiahub/core/runner/RunnerAction.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/runner/RunnerAction.java
@@ -3,23 +3,29 @@
 import org.sequoiahub.core.record.AdapterVersion;
 import org.sequoiahub.core.verdict.Verdict.NotRun;
 
-/** Something that a decision wants done. */
+/** An action that results from a decision of a {@link RunnerController}. */
 public sealed interface RunnerAction {
 
-  /** Hand the request to the engine. */
+  /** Send the request to the engine. */
   record Start(RunnerRequest request) implements RunnerAction {}
 
-  /** Give the request its final answer now: it was not handed to the engine. */
+  /** Reject the request, which was not sent to the engine. */
   record Reject(RunnerRequest request, NotRun verdict) implements RunnerAction {}
 
-  /** Ask the engine to stop a running request. */
+  /** Request that the engine cancels a running request. */
   record CancelRunning(RunnerRequest request) implements RunnerAction {}
 
-  /** Ask the load-turn keeper for a turn. */
+  /**
+   * Request a turn from the load turn keeper.
+   *
+   * @param adapter the adapter version to load
+   * @param waiting the number of requests that wait for it
+   * @param interactive whether one of them is interactive or treated as such
+   */
   record RequestLoadTurn(AdapterVersion adapter, int waiting, boolean interactive)
       implements RunnerAction {}
 
-  /** Give a turn, asked for or granted, back. */
+  /** Release a requested or granted load turn. */
   record ReleaseLoadTurn(AdapterVersion adapter) implements RunnerAction {}
 
   /** Order the engine to load an adapter version. */
--- a/sequoia-core/src/main/java/org/sequoiahub/core/runner/RunnerController.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/runner/RunnerController.java
@@ -19,25 +19,31 @@
 import org.sequoiahub.core.verdict.Verdict.NotRun;
 
 /**
- * Decides what one runner does: which request starts, which adapter is loaded, which is evicted.
+ * Decides which requests one runner starts and which adapters it loads and evicts.
  *
- * <p>Events come in through the methods; {@link #decide} returns what is to be done about them. A
- * running request pins its adapter from before the first byte goes to the engine until the engine's
- * end marker, a confirmed cancel, or a report that was surely sampled after the last doubt and does
- * not show it. Only unpinned adapters are evicted, only under authority, and an adapter that a
- * former owner may have used only after a report sampled in this term of sole authority showed it
- * idle.
+ * <p>Events are recorded by the other methods; {@link #decide} returns the resulting actions. A
+ * running request pins its adapter from before its first byte is sent to the engine until the
+ * engine sends the end marker, confirms a cancellation, or a report that was certainly sampled
+ * after the request's state became uncertain does not contain it. Only unpinned adapters are
+ * evicted, and only under authority. An adapter that a former owner may have used is evicted only
+ * after a report sampled in this term of sole authority has shown it idle.
  *
- * <p>Not thread-safe: one duty owns it.
+ * <p>Not thread-safe: must be used by a single duty.
  */
 public final class RunnerController {
 
-  /** A term that is never held: whose requests may run on the adapter is not known. */
+  /** A term that is never held, for adapters that requests of other owners may be running on. */
   private static final long NO_TERM = 0;
 
+  /** Weight of the newest value in the averages of service and load times. */
   private static final double NEWEST_WEIGHT = 0.2;
+
+  /** Assumed service time of a request before any was observed (ms). */
   private static final long INITIAL_SERVICE_MILLIS = 1_000;
+
+  /** Assumed load time of an adapter before any was observed (ms). */
   private static final long INITIAL_LOAD_MILLIS = 1_000;
+
   private static final long MIN_RETRY_AFTER_MILLIS = 100;
 
   private final int slotCount;
@@ -56,11 +62,11 @@
   private double loadMillis = INITIAL_LOAD_MILLIS;
 
   /**
-   * Creates the controller of a runner about which nothing is known yet.
+   * Creates the controller of a runner whose state is unknown.
    *
-   * @param slotCount how many adapter versions the engine holds at once
-   * @param batch how many requests the engine runs at once
-   * @param policy the weights and limits
+   * @param slotCount the maximum number of adapter versions that the engine holds at once
+   * @param batch the maximum number of requests that the engine runs at once
+   * @param policy the weights and limits of the decisions
    */
   public RunnerController(int slotCount, int batch, PolicySettings policy) {
     checkArgument(slotCount > 0, "slotCount must be above 0, was %s", slotCount);
@@ -71,20 +77,21 @@
     this.queue = new RequestQueue(policy.briefAgeMillis());
   }
 
-  /** Offers a request; it is queued or refused at once. */
+  /** Queues a request, or rejects it immediately. */
   public Admission offer(RunnerRequest request, long nowMillis) {
     if (queue.contains(request.id()) || running.containsKey(request.id())) {
-      return rejected("duplicate-request", "a request with this id is already here", 0);
+      return rejected(
+          "duplicate-request", "a request with this id is already queued or running", 0);
     }
     if (request.deadlineMillis() <= nowMillis) {
       return rejected("deadline-passed", "the deadline passed before the request was queued", 0);
     }
     long wait = expectedWaitMillis(request.adapter(), nowMillis);
     if (queue.size() >= policy.queueLimit()) {
-      return rejected("queue-full", "the runner's queue is full; repeat later", wait);
+      return rejected("queue-full", "the runner's queue is full; retry later", wait);
     }
     if (nowMillis + wait >= request.deadlineMillis()) {
-      return rejected("too-late", "the queue is longer than the deadline; repeat later", wait);
+      return rejected("too-late", "the expected wait exceeds the deadline; retry later", wait);
     }
     popularity.recordRequest(request.adapter(), nowMillis);
     queue.add(request, nowMillis);
@@ -94,7 +101,7 @@
   /**
    * Cancels a request.
    *
-   * @return true if it was still queued and so has not run and will not
+   * @return true if it was still queued, so that it has not run and never will
    */
   public boolean cancel(String requestId) {
     if (queue.remove(requestId).isPresent()) {
@@ -108,7 +115,7 @@
     return false;
   }
 
-  /** Records that the engine's end marker, or its confirmation of a cancel, was seen. */
+  /** Records that the engine sent a request's end marker or confirmed its cancellation. */
   public void requestEnded(String requestId, long nowMillis) {
     RunningRequest ended = running.remove(requestId);
     if (ended != null) {
@@ -117,15 +124,15 @@
     }
   }
 
-  /** Records that nobody can tell whether the request still runs: its pin stays. */
+  /** Records that it is unknown whether a request still runs. It keeps pinning its adapter. */
   public void requestUncertain(String requestId, long nowMillis) {
-    RunningRequest doubtful = running.get(requestId);
-    if (doubtful != null) {
-      doubtful.uncertainSinceMillis = nowMillis;
+    RunningRequest found = running.get(requestId);
+    if (found != null) {
+      found.uncertainSinceMillis = nowMillis;
     }
   }
 
-  /** Records that a running request is being resumed: it is no longer in doubt. */
+  /** Records that a running request is being resumed, so that its state is known again. */
   public void requestResumed(String requestId) {
     RunningRequest found = running.get(requestId);
     if (found != null) {
@@ -134,7 +141,7 @@
   }
 
   /**
-   * Adopts a request that a former owner started and that is resumed here, so that it pins its
+   * Adopts a request that a former owner started and that this owner resumes, so that it pins its
    * adapter from now on.
    */
   public void adoptRequest(RunnerRequest request, long nowMillis) {
@@ -155,7 +162,7 @@
     }
   }
 
-  /** Records what became of a load order. */
+  /** Records the result of a load order. */
   public void loadAnswered(AdapterVersion adapter, OrderResult result, long nowMillis) {
     Slot slot = slots.get(adapter);
     if (slot == null || !slot.is(State.LOADING)) {
@@ -167,18 +174,19 @@
         slot.transitionTo(State.READY, nowMillis);
       }
       case FAILED -> {
-        // Only the next load waits. The engine may have refused because it holds the adapter,
-        // loaded by a former owner; the next report then shows it, and it must be taken into use.
+        // Only the next load of this adapter is delayed. The engine may have rejected the order
+        // because it holds the adapter already, loaded by a former owner. The next report then
+        // shows the adapter, and it must become usable.
         slots.remove(adapter);
         retryLoadFromMillis.put(adapter, nowMillis + (long) loadMillis);
       }
       case UNKNOWN -> slot.transitionTo(State.LOAD_UNKNOWN, nowMillis);
-      default -> throw new IllegalArgumentException("result must be known, was " + result);
+      default -> throw new IllegalArgumentException("unsupported order result: " + result);
     }
     endPendingLoad(adapter);
   }
 
-  /** Records what became of an eviction order. */
+  /** Records the result of an eviction order. */
   public void unloadAnswered(AdapterVersion adapter, OrderResult result, long nowMillis) {
     Slot slot = slots.get(adapter);
     if (slot == null || !slot.is(State.UNLOADING)) {
@@ -187,22 +195,22 @@
     switch (result) {
       case DONE -> slots.remove(adapter);
       case FAILED -> {
-        // Tried again at once, a refusal would come back as fast as the network goes, for ever.
+        // An immediate retry would be rejected again and loop at the speed of the network.
         slot.transitionTo(State.READY, nowMillis);
         slot.deferEvictionUntil(nowMillis + (long) loadMillis);
       }
       case UNKNOWN -> {
-        // The order may still be on its way. Were the adapter used or loaded again now, the late
-        // order would evict it under the new request; the symptom is a stream that ends with an
-        // unknown-model error. Nothing uses it here until the order can no longer arrive.
+        // The order may still be in transit. If the adapter were used or loaded again now, the late
+        // order would evict it under the new request, whose stream would end with an unknown-model
+        // error. The adapter is therefore not used until the order can no longer arrive.
         slot.transitionTo(State.UNLOAD_UNKNOWN, nowMillis);
         quarantinedUntilMillis.put(adapter, nowMillis + policy.orderLifetimeMillis());
       }
-      default -> throw new IllegalArgumentException("result must be known, was " + result);
+      default -> throw new IllegalArgumentException("unsupported order result: " + result);
     }
   }
 
-  /** Takes in what the engine said of itself; a report sampled before the last one is dropped. */
+  /** Applies an engine's report; one that was sampled before the last one is ignored. */
   public void applyReport(EngineReport report, Rights rights, long nowMillis) {
     long sampled = report.sampledNotBeforeMillis();
     if (sampled <= lastSampleMillis) {
@@ -217,7 +225,7 @@
     }
   }
 
-  /** Refuses every queued request as not run, for example because the runner has a new owner. */
+  /** Rejects every queued request as not run, for example because the runner has a new owner. */
   public void rejectQueued(String reason, String message, long retryAfterMillis) {
     for (RunnerRequest request : queue.removeAll()) {
       NotRun verdict = new NotRun(reason, message, retryAfterMillis);
@@ -225,7 +233,7 @@
     }
   }
 
-  /** Returns, and forgets, everything that is to be done now. */
+  /** Returns the actions to take now and removes them from this controller. */
   public List<RunnerAction> decide(Rights rights, long nowMillis) {
     rejectExpired(nowMillis);
     quarantinedUntilMillis.values().removeIf(until -> until <= nowMillis);
@@ -240,7 +248,7 @@
     return result;
   }
 
-  /** Estimates how long a request for {@code adapter} that arrives now would wait. */
+  /** Returns the estimated wait of a request for {@code adapter} that arrives now (ms). */
   public long expectedWaitMillis(AdapterVersion adapter, long nowMillis) {
     int free = batch - running.size();
     double perStart = serviceMillis / batch;
@@ -264,17 +272,17 @@
     return ready;
   }
 
-  /** Returns how many requests wait. */
+  /** Returns how many requests are queued. */
   public int queued() {
     return queue.size();
   }
 
-  /** Returns how many requests run or may run. */
+  /** Returns how many requests run or may still run. */
   public int running() {
     return running.size();
   }
 
-  /** Returns whether no slot and no running request is in doubt. */
+  /** Returns whether the states of all slots and running requests are known. */
   public boolean isSettled() {
     return slots.values().stream()
             .noneMatch(s -> s.is(State.LOAD_UNKNOWN) || s.is(State.UNLOAD_UNKNOWN))
@@ -347,10 +355,10 @@
     }
     if (slots.size() < slotCount) {
       pendingLoad.loadOrdered = true;
-      // A former owner that does not know of this term yet may start requests on this adapter.
-      boolean sole = nowMillis >= exclusiveSinceMillis(rights);
-      long provenTerm = sole ? rights.term() : NO_TERM;
-      slots.put(adapter, new Slot(adapter, State.LOADING, provenTerm, nowMillis));
+      // A former owner that has not learned of this term yet may start requests on this adapter.
+      boolean exclusive = nowMillis >= exclusiveSinceMillis(rights);
+      long exclusiveTerm = exclusive ? rights.term() : NO_TERM;
+      slots.put(adapter, new Slot(adapter, State.LOADING, exclusiveTerm, nowMillis));
       actions.add(new RunnerAction.Load(adapter));
     } else if (slots.values().stream().noneMatch(s -> s.is(State.UNLOADING))) {
       evictionCandidate(rights, nowMillis)
@@ -378,7 +386,10 @@
     }
   }
 
-  /** The waiting adapter that gains most by a load: urgent first, then most and oldest requests. */
+  /**
+   * Returns the adapter to load next: one with urgent requests first, then the one with the most
+   * and oldest requests.
+   */
   private Optional<AdapterVersion> nextAdapterToLoad(long nowMillis) {
     return queue.adapters().stream()
         .filter(a -> !slots.containsKey(a) && !quarantinedUntilMillis.containsKey(a))
@@ -418,8 +429,8 @@
   }
 
   /**
-   * Lets a busy slot run dry for an adapter that has waited too long. Without this an adapter could
-   * wait for ever behind slots that always have a request running.
+   * Drains a busy slot for an adapter that has waited too long, which could otherwise starve behind
+   * slots that always have a running request.
    */
   private void drainOne(Rights rights, AdapterVersion wanted, long nowMillis) {
     if (slots.values().stream().anyMatch(s -> s.is(State.DRAINING) || s.is(State.UNLOADING))) {
@@ -433,8 +444,8 @@
   }
 
   /**
-   * Takes draining slots back into use once nobody waits for them; requests that queue for a
-   * draining adapter would otherwise never start.
+   * Makes draining slots usable again once no adapter waits for them. Otherwise requests queued for
+   * a draining adapter would never start.
    */
   private void stopDraining(long nowMillis) {
     slots.values().stream()
@@ -455,7 +466,7 @@
   }
 
   private void endUnreportedRequests(EngineReport report) {
-    // A request whose start is in doubt may still reach the engine for the order lifetime.
+    // A request whose start is uncertain may still reach the engine within the order lifetime.
     running
         .values()
         .removeIf(
@@ -496,7 +507,7 @@
           }
         }
         default -> {
-          // LOADING and UNLOADING end with their order's own answer.
+          // LOADING and UNLOADING end with the result of their order.
         }
       }
     }
@@ -514,8 +525,8 @@
 
   private void markExclusiveSlots(EngineReport report, Rights rights, long nowMillis) {
     long since = exclusiveSinceMillis(rights);
-    boolean nothingOutlives = nowMillis >= since + policy.requestLimitMillis();
-    if (report.sampledNotBeforeMillis() < since && !nothingOutlives) {
+    boolean allOthersEnded = nowMillis >= since + policy.requestLimitMillis();
+    if (report.sampledNotBeforeMillis() < since && !allOthersEnded) {
       return;
     }
     Set<AdapterVersion> foreign = new HashSet<>();
@@ -535,8 +546,8 @@
   }
 
   /**
-   * Returns since when nothing that another dispatcher sent can reach the engine: what a former
-   * owner sent just before its authority ended may be on its way for the order lifetime.
+   * Returns since when nothing sent by another dispatcher can reach the engine (ms). What a former
+   * owner sent just before its authority ended may be in transit for the order lifetime.
    */
   private long exclusiveSinceMillis(Rights rights) {
     return rights.soleSinceMillis() + policy.orderLifetimeMillis();
--- a/sequoia-core/src/main/java/org/sequoiahub/core/runner/RunnerRequest.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/runner/RunnerRequest.java
@@ -6,12 +6,12 @@
 import org.sequoiahub.core.record.Priority;
 
 /**
- * A request that waits for, or runs on, a runner.
+ * A request that waits for a runner or runs on it.
  *
- * @param id unique in the fleet
- * @param adapter the exact adapter version that it was resolved to
- * @param priority its priority
- * @param deadlineMillis when its caller stops waiting, on the dispatcher's clock
+ * @param id the request id, unique in the fleet
+ * @param adapter the exact adapter version that the request was resolved to
+ * @param priority the request's priority
+ * @param deadlineMillis when the caller stops waiting, on the dispatcher's clock (ms)
  */
 public record RunnerRequest(
     String id, AdapterVersion adapter, Priority priority, long deadlineMillis) {
--- a/sequoia-core/src/main/java/org/sequoiahub/core/runner/Slot.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/runner/Slot.java
@@ -2,19 +2,19 @@
 
 import org.sequoiahub.core.record.AdapterVersion;
 
-/** One adapter slot of an engine, as far as its owner knows. */
+/** The state of one adapter slot of an engine, as known by the runner's owner. */
 final class Slot {
 
-  /** What the slot's adapter may be used for. */
+  /** The state of the slot's adapter. */
   enum State {
     LOADING,
     READY,
-    /** Takes no new requests and is evicted once idle. */
+    /** Accepts no new requests and is evicted once idle. */
     DRAINING,
     UNLOADING,
-    /** A load's outcome is not known: not to be used, not to be evicted. */
+    /** The result of its load is unknown: it must be neither used nor evicted. */
     LOAD_UNKNOWN,
-    /** An eviction's outcome is not known: not to be used while the order may still arrive. */
+    /** The result of its eviction is unknown: it must not be used while the order may arrive. */
     UNLOAD_UNKNOWN
   }
 
@@ -25,10 +25,10 @@
   private long exclusiveTerm;
   private long evictableFromMillis = Long.MIN_VALUE;
 
-  Slot(AdapterVersion adapter, State state, long provenTerm, long nowMillis) {
+  Slot(AdapterVersion adapter, State state, long exclusiveTerm, long nowMillis) {
     this.adapter = adapter;
     this.state = state;
-    this.exclusiveTerm = provenTerm;
+    this.exclusiveTerm = exclusiveTerm;
     this.changedMillis = nowMillis;
     this.lastUsedMillis = nowMillis;
   }
@@ -62,7 +62,7 @@
     lastUsedMillis = nowMillis;
   }
 
-  /** Returns whether an eviction may be tried, as far as earlier tries are concerned. */
+  /** Returns whether an eviction may be attempted after earlier failed attempts. */
   boolean isEvictionAllowed(long nowMillis) {
     return nowMillis >= evictableFromMillis;
   }
@@ -72,8 +72,8 @@
   }
 
   /**
-   * Returns whether everything that may run on this adapter in {@code term} was started in that
-   * term by its holder. Until that is proven a request of a former owner may be running on it.
+   * Returns whether all requests that may run on this adapter in {@code term} were started by the
+   * holder of that term. Until this is proven, a request of a former owner may be running on it.
    */
   boolean isExclusiveIn(long term) {
     return exclusiveTerm == term;
--- a/sequoia-core/src/main/java/org/sequoiahub/core/runner/package-info.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/runner/package-info.java
@@ -1,4 +1,4 @@
-/** One runner's slots, queue and running requests, and the decisions about them. */
+/** The slots, queue and running requests of one runner, and the decisions about them. */
 @NullMarked
 package org.sequoiahub.core.runner;
 
--- a/sequoia-core/src/test/java/org/sequoiahub/core/runner/EngineOracle.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/runner/EngineOracle.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import org.sequoiahub.core.record.AdapterVersion;
 
-/** The simplest engine, and the judge of what it was made to do. */
+/** A minimal engine that asserts that the orders and requests it receives are allowed. */
 final class EngineOracle {
 
   private final int slots;
@@ -18,7 +18,7 @@
   private final Map<String, AdapterVersion> active = new HashMap<>();
   private final Set<AdapterVersion> resident = new HashSet<>();
   private final Set<String> everStarted = new HashSet<>();
-  private final Set<String> recordNotRun = new HashSet<>();
+  private final Set<String> reportedNotRun = new HashSet<>();
   private long highestFencing;
 
   EngineOracle(int slots, boolean checksFencing) {
@@ -26,13 +26,13 @@
     this.checksFencing = checksFencing;
   }
 
-  /** Returns whether the engine took the request. */
+  /** Starts a request; returns whether the engine accepted it. */
   boolean start(RunnerRequest request) {
     if (!resident.contains(request.adapter()) || everStarted.contains(request.id())) {
       return false;
     }
-    assertWithMessage("started although told not-run: %s", request.id())
-        .that(recordNotRun)
+    assertWithMessage("started although reported as not-run: %s", request.id())
+        .that(reportedNotRun)
         .doesNotContain(request.id());
     everStarted.add(request.id());
     active.put(request.id(), request.adapter());
@@ -40,8 +40,8 @@
   }
 
   void recordNotRun(String id) {
-    assertWithMessage("told not-run although started").that(everStarted).doesNotContain(id);
-    recordNotRun.add(id);
+    assertWithMessage("reported as not-run although started").that(everStarted).doesNotContain(id);
+    reportedNotRun.add(id);
   }
 
   boolean passesFencing(long number) {
@@ -81,13 +81,13 @@
     return List.of(id);
   }
 
-  /** Returns whether the engine knew the request; one that it does not know may yet arrive. */
+  /** Cancels a request; returns false if the engine does not know it, and it may still arrive. */
   boolean cancel(String id) {
     active.remove(id);
     return everStarted.contains(id);
   }
 
-  /** Forgets everything and returns the ids of the requests that this ended. */
+  /** Clears the engine's state and returns the ids of the requests that this ended. */
   List<String> coldRestart() {
     List<String> ids = List.copyOf(active.keySet());
     active.clear();
--- a/sequoia-core/src/test/java/org/sequoiahub/core/runner/RunnerActions.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/runner/RunnerActions.java
@@ -10,25 +10,29 @@
 import net.jqwik.api.state.ActionChainArbitrary;
 import net.jqwik.api.state.Transformer;
 
-/** The events that the runner's properties interleave. */
+/** Generates the event sequences of the runner's property tests. */
 public final class RunnerActions {
 
   private RunnerActions() {}
 
-  /** Returns chains of events over a world whose engine does or does not check fencing numbers. */
+  /**
+   * Returns sequences of events.
+   *
+   * @param fenced whether the engine checks fencing numbers
+   */
   public static ActionChainArbitrary<?> chains(boolean fenced) {
     return ActionChain.startWith(() -> new RunnerWorld(fenced))
         .withAction(6, two("offer", 1, 2, (w, h, a) -> w.offer(h, a, a == 2)))
         .withAction(8, one("tick", 1, RunnerWorld::tick))
         .withAction(16, one("deliver", 6, RunnerWorld::deliver))
-        .withAction(1, one("lose", 6, RunnerWorld::lose))
+        .withAction(1, one("loseMessage", 6, RunnerWorld::loseMessage))
         .withAction(2, one("breakConnection", 6, RunnerWorld::breakConnection))
-        .withAction(6, one("pass", 400, RunnerWorld::pass))
+        .withAction(6, one("advance", 400, RunnerWorld::advance))
         .withAction(3, one("finish", 5, RunnerWorld::finish))
         .withAction(1, two("cancel", 1, 20, RunnerWorld::cancel))
         .withAction(1, one("pause", 1, RunnerWorld::pause))
         .withAction(2, one("wake", 1, RunnerWorld::wake))
-        .withAction(1, one("calm", 1, RunnerWorld::runWithoutFaults))
+        .withAction(1, one("runWithoutFaults", 1, RunnerWorld::runWithoutFaults))
         .withAction(1, one("unloadsFail", 1, (w, n) -> w.unloadsFail(n == 1)))
         .withAction(1, one("kill", 1, RunnerWorld::kill))
         .withAction(2, one("restartGranter", 2, RunnerWorld::restartGranter))
@@ -37,9 +41,9 @@
         .withMaxTransformations(120);
   }
 
-  /** Ends the faults and checks what must hold then. */
+  /** Ends all faults and checks the invariants that must hold afterwards. */
   public static void finish(Object world) {
-    ((RunnerWorld) world).settleDown();
+    ((RunnerWorld) world).settle();
   }
 
   private static Action<RunnerWorld> just(String label, Consumer<RunnerWorld> event) {
--- a/sequoia-core/src/test/java/org/sequoiahub/core/runner/RunnerPropertiesTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/runner/RunnerPropertiesTest.java
@@ -7,25 +7,24 @@
 import net.jqwik.api.state.ActionChain;
 
 /**
- * Symptom: a stream that breaks because its adapter was evicted under it; a request told "not run"
- * that ran; a request that waits for ever.
+ * Guards against decisions that are based on outdated state: a stream that breaks because its
+ * adapter is evicted under it, a request that runs although it was reported as not run, and a
+ * request that waits forever.
  *
- * <p>Events: two dispatchers believe they own a runner; any of them is paused, killed or cut off;
- * messages are lost, late and reordered; the engine restarts cold; loads fail; leases are
- * forgotten.
- *
- * <p>Cause looked for: a decision taken on what was true before.
+ * <p>Two dispatchers consider themselves the owner of one runner. Either of them is paused, killed
+ * or disconnected; messages are lost, delayed and reordered; the engine restarts without state;
+ * loads fail; granters lose their leases.
  */
 class RunnerPropertiesTest {
 
   @Property(tries = 3_000, seed = "20261202")
   void engineThatChecksFencing(@ForAll("fencedChains") ActionChain<RunnerWorld> chain) {
-    chain.run().settleDown();
+    chain.run().settle();
   }
 
   @Property(tries = 3_000, seed = "20261203")
   void engineThatDoesNotCheckFencing(@ForAll("unfencedChains") ActionChain<RunnerWorld> chain) {
-    chain.run().settleDown();
+    chain.run().settle();
   }
 
   @Provide
--- a/sequoia-core/src/test/java/org/sequoiahub/core/runner/RunnerWorld.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/runner/RunnerWorld.java
@@ -17,8 +17,9 @@
 import org.sequoiahub.core.record.Priority;
 
 /**
- * Two dispatchers that both believe they own one runner, the engine, and a network that delays,
- * reorders, loses and duplicates. Time is virtual; the decisions are the real ones.
+ * Simulates two dispatchers that both consider themselves the owner of one runner, the engine, and
+ * a network that delays, reorders and loses messages. Time is virtual; the decisions are made by
+ * the production code.
  */
 final class RunnerWorld {
 
@@ -59,7 +60,7 @@
     runWithoutFaults(0);
   }
 
-  void pass(int millis) {
+  void advance(int millis) {
     now += millis;
     dropExpiredMessages();
   }
@@ -79,7 +80,7 @@
     if (at.controller.offer(request, now) instanceof Admission.Rejected) {
       engine.recordNotRun(id);
     } else {
-      at.settle();
+      at.performActions();
     }
   }
 
@@ -89,7 +90,7 @@
     if (!at.paused && at.controller.cancel(id)) {
       engine.recordNotRun(id);
     }
-    at.settle();
+    at.performActions();
   }
 
   void tick(int holder) {
@@ -98,24 +99,24 @@
 
   void deliver(int index) {
     if (!network.isEmpty()) {
-      network.remove(index % network.size()).arrive.run();
+      network.remove(index % network.size()).onArrival.run();
     }
   }
 
-  /** Loses a message: its sender learns only that the connection is gone. */
-  void lose(int index) {
+  /** Loses a message. Its sender only learns that the connection was lost. */
+  void loseMessage(int index) {
     if (!network.isEmpty()) {
-      network.remove(index % network.size()).lost.run();
+      network.remove(index % network.size()).onLoss.run();
     }
   }
 
-  /** The sender gives the connection up, but the message is still on its way. */
+  /** Breaks the sender's connection while the message stays in transit. */
   void breakConnection(int index) {
     if (!network.isEmpty()) {
       Message message = network.get(index % network.size());
-      message.lost.run();
-      message.lost = () -> {};
-      message.answer = () -> {};
+      message.onLoss.run();
+      message.onLoss = () -> {};
+      message.onAnswer = () -> {};
     }
   }
 
@@ -157,7 +158,7 @@
     granters.set(n % GRANTERS, new LeaseGranter(now, AUTHORITY_MILLIS));
   }
 
-  /** A while without faults: time passes, one dispatcher works, every message arrives in order. */
+  /** Runs one dispatcher for a while without faults, so that every message arrives in order. */
   void runWithoutFaults(int holder) {
     holders.forEach(other -> other.paused = false);
     for (int round = 0; round < FAULT_FREE_ROUNDS; round++) {
@@ -165,94 +166,97 @@
     }
   }
 
-  /** Ends all faults and lets time pass: everything must end, and nothing stay in doubt. */
-  void settleDown() {
+  /** Ends all faults and asserts that every request ends and no state remains uncertain. */
+  void settle() {
     loadsFail = false;
     unloadsFail = false;
     holders.forEach(holder -> holder.paused = false);
     checkDeadlines = true;
     for (int round = 0; round < SETTLE_ROUNDS; round++) {
-      // The host list settles: the second dispatcher learns that it is not the owner.
+      // The host lists converge: the second dispatcher learns that it is not the owner.
       holders.get(1).handOver();
       runRoundWithoutFaults(0);
       finish(round);
     }
     for (Holder holder : holders) {
       assertWithMessage(
-              "queued for ever at %s: %s, %s",
+              "requests are still queued at %s: %s, %s",
               holder.name, holder.controller.slotStates(), holder.authority.rights(now))
           .that(holder.controller.queued())
           .isEqualTo(0);
-      assertWithMessage("in doubt for ever at %s: %s", holder.name, holder.controller.slotStates())
+      assertWithMessage(
+              "state is still uncertain at %s: %s", holder.name, holder.controller.slotStates())
           .that(holder.controller.isSettled())
           .isTrue();
-      assertWithMessage("pins leaked at %s", holder.name)
+      assertWithMessage("requests still pin adapters at %s", holder.name)
           .that(holder.controller.running())
           .isEqualTo(0);
     }
-    assertWithMessage("engine still runs").that(engine.activeCount()).isEqualTo(0);
+    assertWithMessage("requests are still active in the engine")
+        .that(engine.activeCount())
+        .isEqualTo(0);
   }
 
   private void runRoundWithoutFaults(int holder) {
-    pass((int) STEP_MILLIS);
+    advance((int) STEP_MILLIS);
     holders.get(holder).tick();
     for (int i = 0; i < MAX_MESSAGES_PER_ROUND && !network.isEmpty(); i++) {
       deliver(0);
     }
-    assertWithMessage("a message storm").that(network).isEmpty();
+    assertWithMessage("messages are still in transit after a round").that(network).isEmpty();
   }
 
-  /** A stream's end travels to whoever reads it; without its marker the reader is in doubt. */
+  /** Sends a stream's end to both dispatchers; without its end marker the outcome is uncertain. */
   private void sendStreamEnd(String id, boolean marker) {
     for (Holder holder : holders) {
-      Runnable doubt = holder.receiving(() -> holder.controller.requestUncertain(id, now));
+      Runnable uncertain = holder.receiving(() -> holder.controller.requestUncertain(id, now));
       Runnable end = holder.receiving(() -> holder.controller.requestEnded(id, now));
-      send(() -> {}, doubt, marker ? end : doubt);
+      send(() -> {}, uncertain, marker ? end : uncertain);
     }
   }
 
-  private void send(Runnable arrive, Runnable lost, Runnable answer) {
+  private void send(Runnable onArrival, Runnable onLoss, Runnable onAnswer) {
     Message message = new Message(now);
-    message.lost = lost;
-    message.answer = answer;
-    message.arrive =
+    message.onLoss = onLoss;
+    message.onAnswer = onAnswer;
+    message.onArrival =
         () -> {
-          arrive.run();
+          onArrival.run();
           network.add(message.reply());
         };
     network.add(message);
   }
 
-  /** Nothing of a connection that was given up arrives after the order lifetime. */
+  /** Drops messages that are older than the order lifetime. */
   private void dropExpiredMessages() {
     for (Message message : List.copyOf(network)) {
       if (now - message.sentMillis >= ORDER_LIFETIME_MILLIS) {
         network.remove(message);
-        message.lost.run();
+        message.onLoss.run();
       }
     }
   }
 
   private final class Message {
     private final long sentMillis;
-    private Runnable arrive = () -> {};
-    private Runnable lost = () -> {};
-    private Runnable answer = () -> {};
+    private Runnable onArrival = () -> {};
+    private Runnable onLoss = () -> {};
+    private Runnable onAnswer = () -> {};
 
     Message(long sentMillis) {
       this.sentMillis = sentMillis;
     }
 
-    /** The answer travels back on the same connection; if that breaks, the sender is in doubt. */
+    /** Returns the answer, which is sent on the same connection and may be lost with it. */
     Message reply() {
       Message reply = new Message(now);
-      reply.arrive = () -> answer.run();
-      reply.lost = lost;
+      reply.onArrival = () -> onAnswer.run();
+      reply.onLoss = onLoss;
       return reply;
     }
   }
 
-  /** One dispatcher, as far as this runner is concerned. */
+  /** A dispatcher that owns or claims the runner. */
   private final class Holder {
     private final String name;
     private final RunnerController controller = new RunnerController(SLOTS, BATCH, POLICY);
@@ -263,7 +267,7 @@
     private final Map<String, Boolean> starting = new HashMap<>();
     private boolean paused;
     private boolean dead;
-    private @Nullable Long reportSent;
+    private @Nullable Long reportRequestedMillis;
 
     Holder(String name) {
       this.name = name;
@@ -276,22 +280,22 @@
       if (authority.claimDue(now)) {
         claim();
       }
-      readReport();
-      settle();
+      requestReport();
+      performActions();
     }
 
-    private void readReport() {
-      if (reportSent == null) {
+    private void requestReport() {
+      if (reportRequestedMillis == null) {
         long sent = now;
-        reportSent = sent;
+        reportRequestedMillis = sent;
         EngineReport[] report = new EngineReport[1];
         send(
             () -> report[0] = engine.report(now),
-            () -> reportSent = null,
+            () -> reportRequestedMillis = null,
             receiving(
                 () -> {
-                  reportSent = null;
-                  // Dated by the question: the sample is surely not older.
+                  reportRequestedMillis = null;
+                  // Uses the time of the query, as the sample is certainly not older.
                   EngineReport dated =
                       new EngineReport(sent, report[0].resident(), Set.of(), report[0].active());
                   controller.applyReport(dated, authority.rights(now), now);
@@ -301,12 +305,12 @@
 
     void handOver() {
       authority.giveUp();
-      readReport();
+      requestReport();
       controller.rejectQueued("moved", "another dispatcher owns the runner", 1);
-      settle();
+      performActions();
     }
 
-    void settle() {
+    void performActions() {
       if (paused || dead) {
         return;
       }
@@ -322,7 +326,7 @@
       } else if (action instanceof RunnerAction.Reject refuse) {
         engine.recordNotRun(refuse.request().id());
         boolean late = refuse.verdict().reason().equals("deadline-passed");
-        assertWithMessage("waited in vain: %s", refuse.request())
+        assertWithMessage("queued until the deadline passed: %s", refuse.request())
             .that(late && checkDeadlines)
             .isFalse();
       } else if (action instanceof RunnerAction.CancelRunning cancel) {
@@ -341,7 +345,7 @@
                 }));
       } else if (action instanceof RunnerAction.RequestLoadTurn ask) {
         controller.loadTurnGranted(ask.adapter());
-        settle();
+        performActions();
       } else if (action instanceof RunnerAction.Load load) {
         order(load.adapter(), true);
       } else if (action instanceof RunnerAction.Unload unload) {
@@ -351,13 +355,13 @@
 
     private void start(RunnerRequest request) {
       starting.put(request.id(), false);
-      boolean[] taken = new boolean[1];
+      boolean[] accepted = new boolean[1];
       send(
-          () -> taken[0] = engine.start(request),
+          () -> accepted[0] = engine.start(request),
           receiving(() -> controller.requestUncertain(request.id(), now)),
           receiving(
               () -> {
-                if (!taken[0]) {
+                if (!accepted[0]) {
                   engine.recordNotRun(request.id());
                   controller.requestEnded(request.id(), now);
                 } else if (!engine.isActive(request.id())) {
@@ -444,7 +448,8 @@
     }
 
     /**
-     * What arrives while the process is paused is handled after it wakes; a dead one hears none.
+     * Returns the handler of a received message. A paused process handles the message after it
+     * resumes; a dead one ignores it.
      */
     private Runnable receiving(Runnable work) {
       return new Runnable() {
@@ -455,13 +460,13 @@
           }
           if (paused) {
             Message later = new Message(now + ORDER_LIFETIME_MILLIS);
-            later.arrive = this;
-            later.lost = this;
+            later.onArrival = this;
+            later.onLoss = this;
             network.add(later);
             return;
           }
           work.run();
-          settle();
+          performActions();
         }
       };
     }
