--- a/sequoia-core/src/main/java/org/sequoiahub/core/load/LoadTurns.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/load/LoadTurns.java
@@ -11,18 +11,20 @@
 import java.util.function.Predicate;
 
 /**
- * Grants turns to load from the weight store, one at a time and no faster than its rate.
+ * Grants permits ("turns") to load from the weight store, limiting their number and their rate.
  *
- * <p>Turns only save the store's speed; no promise depends on them. Two keepers at once, or a turn
- * that is lost, cost time and nothing else. A turn that is not given back expires.
+ * <p>Turns only preserve the speed of the weight store; no guarantee depends on them. Two keepers
+ * at once or a lost turn only cost time. A turn that is not released expires.
  *
- * <p>Not thread-safe: one duty owns it.
+ * <p>Not thread-safe: must be used by a single duty.
  *
- * @param <T> identifies who asks
+ * @param <T> identifies the requester of a turn
  */
 public final class LoadTurns<T> {
 
   private static final double MILLIS_PER_SECOND = 1_000;
+
+  /** Added to the score of an urgent request, so that it precedes all others. */
   private static final double URGENT_BONUS = 1e6;
 
   private final double spacingMillis;
@@ -33,22 +35,28 @@
   private double nextGrantMillis = Double.NEGATIVE_INFINITY;
 
   /**
-   * Creates a keeper with no turn granted.
+   * Creates a keeper that has granted no turn.
    *
-   * @param loadsPerSecond the most turns granted a second, above 0
-   * @param atOnce the most turns held at once
-   * @param turnLimitMillis when a turn that was not given back expires
+   * @param loadsPerSecond the maximum number of turns granted per second, above 0
+   * @param maxGranted the maximum number of turns granted at once, above 0
+   * @param turnLimitMillis the time after which a turn that was not released expires (ms), above 0
    */
-  public LoadTurns(double loadsPerSecond, int atOnce, long turnLimitMillis) {
+  public LoadTurns(double loadsPerSecond, int maxGranted, long turnLimitMillis) {
     checkArgument(loadsPerSecond > 0, "loadsPerSecond must be above 0");
-    checkArgument(atOnce > 0, "atOnce must be above 0");
+    checkArgument(maxGranted > 0, "maxGranted must be above 0");
     checkArgument(turnLimitMillis > 0, "turnLimitMillis must be above 0");
     this.spacingMillis = MILLIS_PER_SECOND / loadsPerSecond;
-    this.maxGranted = atOnce;
+    this.maxGranted = maxGranted;
     this.turnLimitMillis = turnLimitMillis;
   }
 
-  /** Asks for a turn; asking again renews the numbers and keeps the age. */
+  /**
+   * Requests a turn. A repeated request updates its parameters and keeps its age.
+   *
+   * @param who the requester
+   * @param requestsWaiting the number of requests that wait for the load
+   * @param urgent whether the request precedes all that are not urgent
+   */
   public void request(T who, int requestsWaiting, boolean urgent, long nowMillis) {
     TurnRequest earlier = waiting.get(who);
     long since = earlier == null ? nowMillis : earlier.sinceMillis;
@@ -57,19 +65,19 @@
     }
   }
 
-  /** Takes back an ask, or ends a turn. */
+  /** Withdraws a request, or releases a granted turn. */
   public void release(T who) {
     waiting.remove(who);
     granted.remove(who);
   }
 
-  /** Withdraws the asks and ends the turns of those that {@code gone} names. */
+  /** Withdraws the requests and releases the turns of the requesters that {@code gone} accepts. */
   public void releaseIf(Predicate<T> gone) {
     waiting.keySet().removeIf(gone);
     granted.keySet().removeIf(gone);
   }
 
-  /** Returns those whose turn starts now. */
+  /** Grants the turns that are due and returns their requesters. */
   public List<T> grant(long nowMillis) {
     granted.values().removeIf(since -> nowMillis - since >= turnLimitMillis);
     List<T> now = new ArrayList<>();
@@ -86,7 +94,7 @@
     return now;
   }
 
-  /** Returns how many ask. */
+  /** Returns how many requests for a turn are waiting. */
   public int waiting() {
     return waiting.size();
   }
@@ -98,7 +106,10 @@
   }
 
   private record TurnRequest(int requests, boolean urgent, long sinceMillis) {
-    /** Waiting time saved, roughly: more and older requests first, interactive ones before all. */
+    /**
+     * Returns the approximate waiting time that the load saves: more and older requests score
+     * higher, and urgent ones highest.
+     */
     double score(long nowMillis) {
       return (urgent ? URGENT_BONUS : 0) + requests * (double) (1 + nowMillis - sinceMillis);
     }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/load/package-info.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/load/package-info.java
@@ -1,4 +1,4 @@
-/** Turns at the weight store, which gives full speed to one load at a time. */
+/** Permits for loads from the weight store, which gives full speed to one load at a time. */
 @NullMarked
 package org.sequoiahub.core.load;
 
