--- a/sequoia-core/src/main/java/org/sequoiahub/core/placement/Placement.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/placement/Placement.java
@@ -8,16 +8,18 @@
 import org.sequoiahub.core.fleet.Fleet.Runner;
 import org.sequoiahub.core.record.AdapterVersion;
 
-/** Who serves what, computed alike by every process from the same host list. */
+/**
+ * Assigns adapters to runners and runners to hosts; all processes with the same host list agree.
+ */
 public final class Placement {
 
   private Placement() {}
 
   /**
-   * Returns an adapter version's candidate runners, the preferred one first.
+   * Returns the candidate runners of an adapter version, the preferred one first.
    *
-   * @param pool the runners of the adapter's base model that may be given new work
-   * @param count the most candidates wanted
+   * @param pool the runners of the adapter's base model that accept new work
+   * @param count the maximum number of candidates
    */
   public static List<Runner> candidates(AdapterVersion adapter, List<Runner> pool, int count) {
     return Rendezvous.spread(
@@ -30,14 +32,16 @@
   }
 
   /**
-   * Returns the hosts to ask for {@code runnerId}, its owner first. A later one is asked only when
-   * the earlier ones cannot be reached or refuse; it may then claim the runner.
+   * Returns the hosts to contact for {@code runnerId}, its owner first. A later host is contacted
+   * only if the earlier ones are unreachable or reject the request; it may then claim the runner.
+   *
+   * @param count the maximum number of hosts
    */
   public static List<Host> ownersInOrder(String runnerId, Collection<Host> liveHosts, int count) {
     return Rendezvous.spread(runnerId, liveHosts, count, Host::id, Host::id, host -> 1);
   }
 
-  /** Returns the host whose dispatcher keeps the weight store's load turns. */
+  /** Returns the host whose dispatcher grants the load turns; empty if no host is live. */
   public static Optional<Host> loadTurnKeeper(Fleet fleet) {
     return Rendezvous.first("load-turns", fleet.liveHosts(), Host::id);
   }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/placement/Rendezvous.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/placement/Rendezvous.java
@@ -13,8 +13,8 @@
 import java.util.function.ToLongFunction;
 
 /**
- * Weighted rendezvous hashing: every process that knows the same nodes ranks them alike for a key,
- * and a node that comes or goes moves only the keys that it gains or had.
+ * Implements weighted rendezvous hashing: all processes that know the same nodes compute the same
+ * ranking for a key, and adding or removing a node moves only the keys that it gains or loses.
  */
 public final class Rendezvous {
 
@@ -22,7 +22,9 @@
 
   private Rendezvous() {}
 
-  /** Returns the highest-ranked node for {@code key}, all nodes weighing the same. */
+  /**
+   * Returns the highest-ranked node for {@code key}, with equal weights; empty if there is none.
+   */
   public static <T> Optional<T> first(String key, Collection<T> nodes, Function<T, String> id) {
     long keyHash = hash(key);
     T best = null;
@@ -37,15 +39,15 @@
     return Optional.ofNullable(best);
   }
 
-  /** Returns all nodes in their rank for {@code key}, the highest first. */
+  /** Returns all nodes ranked for {@code key} with equal weights, the highest first. */
   public static <T> List<T> ranking(String key, Collection<T> nodes, Function<T, String> id) {
     return rankingByHash(key, nodes, node -> hash(id.apply(node)));
   }
 
   /**
-   * Returns all nodes in their rank for {@code key}, the highest first.
+   * Returns all nodes ranked for {@code key} with equal weights, the highest first.
    *
-   * @param idHash the {@link #hash} of a node's id
+   * @param idHash returns the {@link #hash} of a node's id
    */
   public static <T> List<T> rankingByHash(
       String key, Collection<T> nodes, ToLongFunction<T> idHash) {
@@ -63,8 +65,8 @@
   }
 
   /**
-   * Returns the {@code count} highest-ranked nodes, taking one of each failure domain before a
-   * second of any, so that the loss of a domain leaves the key other candidates.
+   * Returns the {@code count} highest-ranked nodes, choosing one node of each failure domain before
+   * a second one of any, so that the key keeps other candidates if a domain fails.
    */
   public static <T> List<T> spread(
       String key,
@@ -86,7 +88,7 @@
     return chosen;
   }
 
-  /** Returns a 64-bit hash of {@code text}, the same on every process. */
+  /** Returns a 64-bit hash of {@code text} that is the same in every process. */
   public static long hash(String text) {
     return Hashing.murmur3_128().hashString(text, StandardCharsets.UTF_8).asLong();
   }
@@ -112,7 +114,7 @@
     return -weight / Math.log(uniform - UNIT / 2);
   }
 
-  /** The finalizer of MurmurHash3, which spreads every input bit over the whole word. */
+  /** Applies the finalizer of MurmurHash3, which spreads every input bit over the whole word. */
   private static long mix(long value) {
     long x = value;
     x = (x ^ (x >>> 33)) * 0xff51afd7ed558ccdL;
--- a/sequoia-core/src/main/java/org/sequoiahub/core/placement/package-info.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/placement/package-info.java
@@ -1,5 +1,6 @@
 /**
- * Which runners an adapter belongs to, and which dispatcher owns a runner: computed, never agreed.
+ * The assignment of adapters to runners and of runners to dispatchers, which every process computes
+ * on its own without coordination.
  */
 @NullMarked
 package org.sequoiahub.core.placement;
