--- a/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/Shutdown.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/Shutdown.java
@@ -41,10 +41,7 @@
     return requestedMillis + (long) (graceMillis * END_FRACTION);
   }
 
-  /**
-   * Returns when requests that still have no response get a final status, whatever they wait for
-   * (ms).
-   */
+  /** Returns when requests without a response get a final status, whatever they wait for (ms). */
   public long finalStatusMillis() {
     return endMillis() - FINAL_STATUS_MARGIN_MILLIS;
   }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/holding/Holdings.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/holding/Holdings.java
@@ -93,7 +93,7 @@
     return true;
   }
 
-  /** Returns a number that grows with every change of what a runner holds or of its holder. */
+  /** Returns a number that changes whenever what a runner holds or its holder has changed. */
   public long changeCount(String runner) {
     return changeCount.getOrDefault(runner, 0L);
   }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/holding/LoadTime.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/holding/LoadTime.java
@@ -6,9 +6,9 @@
  * Estimates how long an adapter takes to load from the weight store.
  *
  * <p>No record states the load time; known deployments specify 250 and 288 ms. Requests are sent at
- * the moment the adapter is expected to be ready. An estimate that is 38 ms too short had a fifth
- * of all requests rejected once, each spending retry budget; one that is too long delays every
- * first request. The estimate is therefore corrected by the requests that arrived too early.
+ * the moment the adapter is expected to be ready. With an estimate 38 ms too short, a fifth of all
+ * requests is rejected once, and each spends retry budget; an estimate that is too long delays
+ * every first request. The estimate is therefore corrected by the requests that arrive too early.
  */
 public final class LoadTime {
 
--- a/sequoia-core/src/main/java/org/sequoiahub/core/holding/ResidencySettings.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/holding/ResidencySettings.java
@@ -5,15 +5,16 @@
  *
  * @param loadMillis how long an adapter takes to load from the weight store (ms)
  * @param reloadMillis how long an adapter takes to load that the runner held recently (ms)
- * @param warmCapacity how many unloaded adapters a runner can reload quickly
- * @param minTransitLimit how many adapters may at least be in transit over all runners before each
- *     load takes longer
+ * @param warmCapacity the initial estimate of how many unloaded adapters a runner can reload
+ *     quickly
+ * @param minTransitLimit the initial and lowest estimate of how many adapters may be in transit
+ *     over all runners before each load takes longer
  * @param maxTransitPerRunner the maximum number of adapters in transit to one runner
  * @param minIdleMillis how long an adapter must have been unused before it may be unloaded for
  *     another one (ms)
  * @param modelRetryMillis the minimum time between two orders for a base model (ms)
- * @param delayMillis by how much the expected time of an adapter is moved that is not ready when
- *     expected, and the pause after a rejected order (ms)
+ * @param delayMillis the postponement of an adapter that is not ready when expected, and the pause
+ *     after a rejected order (ms)
  * @param maxReportAgeMillis the maximum age of a report (ms); a report fetched sooner after an
  *     order may not reflect the order
  */
--- a/sequoia-core/src/main/java/org/sequoiahub/core/holding/WarmCapacity.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/holding/WarmCapacity.java
@@ -11,7 +11,9 @@
  */
 public final class WarmCapacity {
 
-  /** How far beyond the deepest observed fast reload another fast reload is expected. */
+  /**
+   * Factor on the depth of the deepest observed fast reload up to which another one is expected.
+   */
   private static final double PROBE_FACTOR = 1.5;
 
   private double known;
--- a/sequoia-core/src/test/java/org/sequoiahub/core/holding/HoldingsTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/holding/HoldingsTest.java
@@ -21,7 +21,7 @@
    * new holder: requests are only placed again when the change count of their runner differs.
    */
   @Test
-  void changeCountGrowsWithEachRelevantChange() {
+  void changeCountDiffersAfterEachRelevantChange() {
     Holdings holdings = new Holdings();
     long none = holdings.changeCount("r");
     holdings.update("r", holding("a", 1));
