--- a/sequoia-core/src/main/java/org/sequoiahub/core/allowance/AllowanceKeeper.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/allowance/AllowanceLimiter.java
@@ -29,21 +29,21 @@
  * off with callers of its own, so that it is taken to spend also its share of what was left: parts
  * of a fleet that cannot hear each other then stay near the allowance together.
  */
-public final class AllowanceKeeper {
+public final class AllowanceLimiter {
 
   /** A source that was not heard for so many slots (1 s) is silent. */
-  private static final long SILENT_SLOTS = 4;
+  private static final long SILENT_AFTER_SLOTS = 4;
 
   /** A host that knows of no other spends this part of an allowance until it does. */
-  private static final double UNKNOWN_FLEET_PART = 0.02;
+  private static final double UNKNOWN_FLEET_FRACTION = 0.02;
 
   /** Shortest time after which a refused request may come back (ms). */
-  private static final long LEAST_RETRY_MILLIS = 100;
+  private static final long MIN_RETRY_MILLIS = 100;
 
   /** Part of the burst that is left to small requests when large ones are refused. */
-  private static final double LARGE_PART = 0.5;
+  private static final double SMALL_REQUEST_RESERVE = 0.5;
 
-  private static final double MILLIS = 1_000;
+  private static final double MILLIS_PER_SECOND = 1_000;
 
   private final FleetSpending spending;
   private final AllowanceSettings settings;
@@ -52,7 +52,7 @@
   private final Map<String, MeanCost> meanCosts = new HashMap<>();
   private final long startSlot;
   private final Map<String, List<Change>> changes = new HashMap<>();
-  private long upkeepSlot = Long.MIN_VALUE;
+  private long assumedThroughSlot = Long.MIN_VALUE;
 
   /** An allowance that came into force with a slot. */
   private record Change(long slot, Allowance allowance) {}
@@ -62,9 +62,9 @@
    *
    * @param granted whether the request may be served
    * @param level units that were left before this request; negative for a debt
-   * @param retryMillis when anything will be left again, if nothing is
+   * @param retryAfterMillis when anything will be left again, if nothing is
    */
-  public record Decision(boolean granted, double level, long retryMillis) {}
+  public record Decision(boolean granted, double level, long retryAfterMillis) {}
 
   /**
    * Creates a keeper.
@@ -73,7 +73,7 @@
    * @param draw draws numbers evenly from 0 (inclusive) to 1 (exclusive)
    * @param startedMillis when this host began to count: before, it knows of nothing
    */
-  public AllowanceKeeper(
+  public AllowanceLimiter(
       FleetSpending spending,
       AllowanceSettings settings,
       boolean othersExpected,
@@ -83,12 +83,12 @@
     this.settings = requireNonNull(settings, "settings must not be null");
     this.othersExpected = othersExpected;
     this.draw = requireNonNull(draw, "draw must not be null");
-    this.startSlot = Slots.index(startedMillis);
+    this.startSlot = SpendingSlots.index(startedMillis);
   }
 
   /** Puts the workspaces' allowances in force; what was spent before counts by those before. */
-  public void configured(Collection<Workspace> workspaces, long nowMillis) {
-    long slot = Slots.index(nowMillis);
+  public void updateAllowances(Collection<Workspace> workspaces, long nowMillis) {
+    long slot = SpendingSlots.index(nowMillis);
     for (Workspace workspace : workspaces) {
       List<Change> known = changes.computeIfAbsent(workspace.name(), n -> new ArrayList<>());
       boolean same =
@@ -108,21 +108,21 @@
    *
    * @throws IllegalArgumentException if {@code cost} is negative
    */
-  public Decision take(Workspace workspace, long cost, long nowMillis) {
+  public Decision tryAcquire(Workspace workspace, long cost, long nowMillis) {
     checkArgument(cost >= 0, "cost must not be negative, was %s", cost);
     Allowance allowance = workspace.allowance();
     if (!allowance.isLimited()) {
       return new Decision(true, Double.POSITIVE_INFINITY, 0);
     }
-    double unheard = unheardPart();
+    double unheard = silentHostFraction();
     double level = level(workspace.name(), allowance, 1 - unheard, nowMillis);
     MeanCost mean = meanCosts.computeIfAbsent(workspace.name(), name -> new MeanCost());
-    mean.asked(cost);
+    mean.record(cost);
     double needed = Math.min(cost, allowance.burst()) * unheard;
-    double debt = allowance.burst() * (1 - unheard) * debtPart(mean.relative(cost));
+    double debt = allowance.burst() * (1 - unheard) * allowedDebtFraction(mean.relativeCost(cost));
     if (level <= needed - debt) {
-      long wait = (long) Math.ceil((needed - level) / allowance.perSecond() * MILLIS);
-      return new Decision(false, level, Math.max(LEAST_RETRY_MILLIS, wait));
+      long wait = (long) Math.ceil((needed - level) / allowance.perSecond() * MILLIS_PER_SECOND);
+      return new Decision(false, level, Math.max(MIN_RETRY_MILLIS, wait));
     }
     spending.add(workspace.name(), cost, nowMillis);
     return new Decision(true, level, 0);
@@ -132,8 +132,8 @@
    * Returns the part of the burst that a request may find as a debt: of the largest up to a half,
    * drawn anew each time, of the smallest nearly all.
    */
-  private double debtPart(double relativeCost) {
-    double most = 1 - LARGE_PART * relativeCost;
+  private double allowedDebtFraction(double relativeCost) {
+    double most = 1 - SMALL_REQUEST_RESERVE * relativeCost;
     return most * (1 - draw.getAsDouble() * relativeCost);
   }
 
@@ -141,35 +141,35 @@
    * Returns the part of the hosts that cannot be heard. So much of a request must be left before it
    * is granted: parts of the fleet that each leave a debt then leave one request's debt together.
    */
-  private double unheardPart() {
+  private double silentHostFraction() {
     int unheard = 0;
     for (Source source : spending.sources()) {
-      unheard += source.silentRates == null ? 0 : spending.others(source);
+      unheard += source.assumedRates == null ? 0 : spending.representedHosts(source);
     }
-    return (double) unheard / spending.hosts();
+    return (double) unheard / spending.hostCount();
   }
 
   /** Gives back what a request cost that has not run. */
-  public void giveBack(Workspace workspace, long cost, long takenMillis) {
+  public void refund(Workspace workspace, long cost, long takenMillis) {
     if (workspace.allowance().isLimited()) {
       spending.add(workspace.name(), -cost, takenMillis);
     }
   }
 
   /** Counts what silent sources are taken to spend, so that this host tells of it, too. */
-  public void upkeep(long nowMillis) {
-    long present = Slots.index(nowMillis);
-    if (present == upkeepSlot) {
+  public void assumeSilentSpending(long nowMillis) {
+    long present = SpendingSlots.index(nowMillis);
+    if (present == assumedThroughSlot) {
       return;
     }
-    upkeepSlot = present;
+    assumedThroughSlot = present;
     for (Source source : spending.sources()) {
-      if (present - source.newestSlot > SILENT_SLOTS) {
-        Map<String, Double> rates = source.silentRates;
+      if (present - source.newestReportedSlot > SILENT_AFTER_SLOTS) {
+        Map<String, Double> rates = source.assumedRates;
         if (rates == null) {
           assumeUntil(source, ratesPerHost(source, false), present - 1);
           rates = ratesPerHost(source, true);
-          source.silentRates = rates;
+          source.assumedRates = rates;
         }
         assumeUntil(source, rates, present);
       }
@@ -186,7 +186,7 @@
     changes.forEach(
         (workspace, known) -> {
           if (known.get(known.size() - 1).allowance.isLimited()) {
-            double share = withUnused ? unused(source, workspace) / spending.hosts() : 0;
+            double share = withUnused ? unused(source, workspace) / spending.hostCount() : 0;
             rates.put(workspace, ratePerHost(source, workspace) + share);
           }
         });
@@ -194,32 +194,33 @@
   }
 
   private void assumeUntil(Source source, Map<String, Double> ratesPerHost, long present) {
-    int others = spending.others(source);
-    for (long slot = source.filledSlot + 1; slot <= present; slot++) {
+    int others = spending.representedHosts(source);
+    for (long slot = source.newestFilledSlot + 1; slot <= present; slot++) {
       for (Map.Entry<String, Double> rate : ratesPerHost.entrySet()) {
-        spending.assume(source, rate.getKey(), slot, rate.getValue() * others);
+        spending.setAssumed(source, rate.getKey(), slot, rate.getValue() * others);
       }
     }
-    source.filledSlot = Math.max(source.filledSlot, present);
+    source.newestFilledSlot = Math.max(source.newestFilledSlot, present);
   }
 
   /** Returns what each host that a source tells of spent before it was heard last, by slot. */
   private double ratePerHost(Source source, String workspace) {
-    int hosts = Math.max(1, spending.isWhole(source) ? source.hosts - 1 : source.hosts);
-    double spent = spending.othersBefore(source, workspace);
+    int hosts =
+        Math.max(1, spending.isFleetTotal(source) ? source.hostCount - 1 : source.hostCount);
+    double spent = spending.spentBeforeLastReport(source, workspace);
     return spent / FleetSpending.RATE_SLOTS / hosts;
   }
 
   /** Returns what the fleet left unused before a source was heard last, by slot. */
   private double unused(Source source, String workspace) {
-    long end = source.newestSlot;
+    long end = source.newestReportedSlot;
     long spent = 0;
     for (long slot = end - FleetSpending.RATE_SLOTS; slot < end; slot++) {
-      spent += spending.known(workspace, slot);
+      spent += spending.fleetSpent(workspace, slot);
     }
     List<Change> known = changes.getOrDefault(workspace, List.of());
     Allowance allowance = allowanceAt(known, Allowance.UNLIMITED, end);
-    double allowed = allowance.perSecond() * Slots.MILLIS / MILLIS;
+    double allowed = allowance.perSecond() * SpendingSlots.MILLIS / MILLIS_PER_SECOND;
     return Math.max(0, allowed - (double) spent / FleetSpending.RATE_SLOTS);
   }
 
@@ -230,52 +231,55 @@
    *     theirs to themselves
    */
   private double level(String workspace, Allowance allowance, double burstPart, long nowMillis) {
-    long present = Slots.index(nowMillis);
+    long present = SpendingSlots.index(nowMillis);
     long windowStart = present - windowSlots() + 1;
     long first = Math.max(windowStart, startSlot);
     List<Change> known = changes.getOrDefault(workspace, List.of());
-    List<Late> late = late(workspace);
+    List<UnreportedRate> late = unreportedRates(workspace);
     Allowance inForce = allowanceAt(known, allowance, first);
     // A process that has just started knows nothing of the burst that others may have used.
     double level = windowStart > startSlot ? inForce.burst() * burstPart : 0;
-    double fleetPart = othersExpected && spending.hosts() == 1 ? UNKNOWN_FLEET_PART : 1;
+    double fleetPart = othersExpected && spending.hostCount() == 1 ? UNKNOWN_FLEET_FRACTION : 1;
     for (long slot = first; slot <= present; slot++) {
       Allowance now = allowanceAt(known, allowance, slot);
       if (!now.equals(inForce)) {
         level = Math.max(0, level);
         inForce = now;
       }
-      double part = slot == present ? (double) (nowMillis - slot * Slots.MILLIS) / Slots.MILLIS : 1;
+      double part =
+          slot == present
+              ? (double) (nowMillis - slot * SpendingSlots.MILLIS) / SpendingSlots.MILLIS
+              : 1;
       // Spent first: what a refused request was told of its return must then come true.
-      level -= spending.known(workspace, slot) + lateIn(late, slot) * part;
-      level += fleetPart * inForce.perSecond() * Slots.MILLIS / MILLIS * part;
+      level -= spending.fleetSpent(workspace, slot) + unreportedSpending(late, slot) * part;
+      level += fleetPart * inForce.perSecond() * SpendingSlots.MILLIS / MILLIS_PER_SECOND * part;
       level = Math.min(level, Math.max(inForce.burst() * burstPart, 1));
     }
     return level;
   }
 
   /** What a source is taken to spend in each slot after one, as it was not heard since. */
-  private record Late(long after, double rate) {}
+  private record UnreportedRate(long afterSlot, double perSlot) {}
 
-  private List<Late> late(String workspace) {
-    List<Late> late = new ArrayList<>();
+  private List<UnreportedRate> unreportedRates(String workspace) {
+    List<UnreportedRate> late = new ArrayList<>();
     for (Source source : spending.sources()) {
-      double rate = ratePerHost(source, workspace) * spending.others(source);
-      late.add(new Late(source.filledSlot, rate));
+      double rate = ratePerHost(source, workspace) * spending.representedHosts(source);
+      late.add(new UnreportedRate(source.newestFilledSlot, rate));
     }
     return late;
   }
 
-  private static double lateIn(List<Late> late, long slot) {
+  private static double unreportedSpending(List<UnreportedRate> late, long slot) {
     double sum = 0;
-    for (Late each : late) {
-      sum += slot > each.after ? each.rate : 0;
+    for (UnreportedRate each : late) {
+      sum += slot > each.afterSlot ? each.perSlot : 0;
     }
     return sum;
   }
 
   private long windowSlots() {
-    return settings.windowMillis() / Slots.MILLIS;
+    return settings.windowMillis() / SpendingSlots.MILLIS;
   }
 
   private static Allowance allowanceAt(List<Change> known, Allowance otherwise, long slot) {
--- a/sequoia-core/src/main/java/org/sequoiahub/core/allowance/MeanCost.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/allowance/MeanCost.java
@@ -4,19 +4,19 @@
 final class MeanCost {
 
   /** Part of the mean that remains with each request: it follows the mix of some hundred. */
-  private static final double REMAINING = 0.99;
+  private static final double DECAY = 0.99;
 
   private double squares;
   private double sum;
 
   /** Takes in a request, granted or not. */
-  void asked(long cost) {
-    squares = squares * REMAINING + (double) cost * cost;
-    sum = sum * REMAINING + cost;
+  void record(long cost) {
+    squares = squares * DECAY + (double) cost * cost;
+    sum = sum * DECAY + cost;
   }
 
   /** Returns how large a request is beside the others: near 0 for a small one, at most 1. */
-  double relative(long cost) {
+  double relativeCost(long cost) {
     return squares == 0 ? 1 : Math.min(1, cost * sum / squares);
   }
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/allowance/Slots.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/allowance/SpendingSlots.java
@@ -8,16 +8,16 @@
  * <p>A slot is named by its index: the time at its start divided by {@link #MILLIS}. Slots that are
  * older than the ring holds read as 0.
  */
-final class Slots {
+final class SpendingSlots {
 
   /** Length of a slot (ms): fine enough to see when a window's sum is over. */
   static final long MILLIS = 250;
 
   private final long[] spent;
-  private long newest = Long.MIN_VALUE;
+  private long newestIndex = Long.MIN_VALUE;
 
   /** Creates a ring of so many slots. */
-  Slots(int count) {
+  SpendingSlots(int count) {
     this.spent = new long[count];
   }
 
@@ -26,13 +26,13 @@
   }
 
   long get(long index) {
-    return holds(index) ? spent[position(index)] : 0;
+    return contains(index) ? spent[position(index)] : 0;
   }
 
   /** Adds to a slot; nothing happens if it is older than the ring holds. */
   void add(long index, long amount) {
     advanceTo(index);
-    if (holds(index)) {
+    if (contains(index)) {
       spent[position(index)] = Math.max(0, spent[position(index)] + amount);
     }
   }
@@ -40,7 +40,7 @@
   /** Replaces a slot; nothing happens if it is older than the ring holds. */
   void set(long index, long amount) {
     advanceTo(index);
-    if (holds(index)) {
+    if (contains(index)) {
       spent[position(index)] = amount;
     }
   }
@@ -54,8 +54,10 @@
     return sum;
   }
 
-  private boolean holds(long index) {
-    return newest != Long.MIN_VALUE && index <= newest && index > newest - spent.length;
+  private boolean contains(long index) {
+    return newestIndex != Long.MIN_VALUE
+        && index <= newestIndex
+        && index > newestIndex - spent.length;
   }
 
   private int position(long index) {
@@ -63,14 +65,14 @@
   }
 
   private void advanceTo(long index) {
-    if (newest == Long.MIN_VALUE || index - newest >= spent.length) {
+    if (newestIndex == Long.MIN_VALUE || index - newestIndex >= spent.length) {
       Arrays.fill(spent, 0);
-      newest = Math.max(newest, index);
+      newestIndex = Math.max(newestIndex, index);
       return;
     }
-    for (long next = newest + 1; next <= index; next++) {
+    for (long next = newestIndex + 1; next <= index; next++) {
       spent[position(next)] = 0;
-      newest = next;
+      newestIndex = next;
     }
   }
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/RetryRule.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/RetryRule.java
@@ -1,6 +1,6 @@
 package org.sequoiahub.core.dispatch;
 
-import org.sequoiahub.core.routing.Repetition;
+import org.sequoiahub.core.routing.RepeatPolicy;
 
 /** What follows an attempt that did not bring a good answer. */
 public final class RetryRule {
@@ -33,17 +33,22 @@
    * @param leftMillis how long the caller still waits
    */
   public static boolean mayOfferAgain(
-      Ending ending, Repetition repetition, int sends, int runs, int maxAttempts, long leftMillis) {
+      Ending ending,
+      RepeatPolicy repetition,
+      int sends,
+      int runs,
+      int maxAttempts,
+      long leftMillis) {
     if (sends >= MAX_SENDS || leftMillis < MIN_LEFT_MILLIS) {
       return false;
     }
     boolean ranBefore = runs > 0;
-    if (ranBefore && !repetition.mayRunAgain()) {
+    if (ranBefore && !repetition.allowsRerun()) {
       return false;
     }
     return switch (ending) {
       case NOT_SENT, REFUSED -> !ranBefore || runs < maxAttempts;
-      case FAILED, LOST -> repetition.mayRunAgain() && runs < maxAttempts;
+      case FAILED, LOST -> repetition.allowsRerun() && runs < maxAttempts;
     };
   }
 
--- a/sequoia-core/src/main/java/org/sequoiahub/core/holding/RunnerResidency.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/holding/RunnerResidency.java
@@ -308,7 +308,7 @@
   }
 
   private boolean hasRoom(String model) {
-    if (items.size() >= engine.adapterPlaces()) {
+    if (items.size() >= engine.maxAdapters()) {
       return false;
     }
     double used = 0;
@@ -521,7 +521,7 @@
       boolean idle = item.state == State.READY && uses.applyAsInt(item.target) == 0;
       taken += idle ? 0 : 1;
     }
-    return Math.max(0, engine.adapterPlaces() - taken);
+    return Math.max(0, engine.maxAdapters() - taken);
   }
 
   /**
--- a/sequoia-core/src/main/java/org/sequoiahub/core/member/CallerHosts.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/member/CallerHostSelector.java
@@ -20,24 +20,24 @@
  * goes changes the choice by few others: callers close connections to hosts that are no longer
  * named.
  */
-public final class CallerHosts {
+public final class CallerHostSelector {
 
   /**
    * Processor that each request a second is given (hundredths of a core): a request costs 10 to 15
    * ms, and half of a host stays free for bursts and for code that still has to be compiled.
    */
-  private static final int PER_REQUEST = 4;
+  private static final int PROCESSOR_PER_REQUEST = 4;
 
   /**
    * Part of the fleet's processor that is named whatever is asked: the demand is known some seconds
    * late, and it may jump.
    */
-  private static final double LEAST_PART = 0.3;
+  private static final double MIN_PROCESSOR_FRACTION = 0.3;
 
   /** Hosts of each failure domain that are named at least: one may die unnoticed for a second. */
-  private static final int LEAST_PER_DOMAIN = 2;
+  private static final int MIN_HOSTS_PER_DOMAIN = 2;
 
-  private CallerHosts() {}
+  private CallerHostSelector() {}
 
   /**
    * A host that takes requests.
@@ -55,17 +55,18 @@
    * @param candidates all hosts that take requests
    * @param requestsPerSecond what all callers ask
    */
-  public static List<Candidate> named(Collection<Candidate> candidates, double requestsPerSecond) {
+  public static List<Candidate> select(Collection<Candidate> candidates, double requestsPerSecond) {
     checkArgument(requestsPerSecond >= 0, "requestsPerSecond must not be negative");
     List<Candidate> ranked = new ArrayList<>(candidates);
     ranked.sort(
         Comparator.comparingInt(Candidate::processor).reversed().thenComparing(Candidate::host));
     int whole = ranked.stream().mapToInt(Candidate::processor).sum();
-    double wanted = Math.max(whole * LEAST_PART, requestsPerSecond * PER_REQUEST);
+    double wanted =
+        Math.max(whole * MIN_PROCESSOR_FRACTION, requestsPerSecond * PROCESSOR_PER_REQUEST);
     List<Candidate> named = new ArrayList<>();
     int given = 0;
     for (Candidate candidate : ranked) {
-      if (given < wanted || inDomain(named, candidate.failureDomain) < LEAST_PER_DOMAIN) {
+      if (given < wanted || countInDomain(named, candidate.failureDomain) < MIN_HOSTS_PER_DOMAIN) {
         named.add(candidate);
         given += candidate.processor;
       }
@@ -73,7 +74,7 @@
     return named;
   }
 
-  private static long inDomain(List<Candidate> named, String failureDomain) {
+  private static long countInDomain(List<Candidate> named, String failureDomain) {
     return named.stream().filter(host -> host.failureDomain.equals(failureDomain)).count();
   }
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/member/Delegates.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/member/Delegates.java
@@ -28,21 +28,21 @@
    * Fleets of up to so many hosts have no delegates: news arrives there within 25 ms, through
    * delegates in some hundred. A choice between the sizes that were measured, 9 and 66 hosts.
    */
-  public static final int DIRECT_HOSTS = 16;
+  public static final int MAX_HOSTS_WITHOUT_DELEGATES = 16;
 
   /** Hosts of one group at most: its first delegate sends each of them seven digests a second. */
-  public static final int GROUP_HOSTS = 32;
+  public static final int MAX_GROUP_HOSTS = 32;
 
   /** Delegates of each group: one may die unnoticed for a second. */
   public static final int PER_GROUP = 2;
 
-  private static final String KEY = "delegate";
+  private static final String RANKING_KEY = "delegate";
 
   private Delegates() {}
 
   /** Returns whether a fleet of so many hosts has delegates. */
   public static boolean areNeeded(int hosts) {
-    return hosts > DIRECT_HOSTS;
+    return hosts > MAX_HOSTS_WITHOUT_DELEGATES;
   }
 
   /**
@@ -58,7 +58,7 @@
     domainByHost.forEach(
         (host, domain) -> {
           int parts = 1;
-          while (sizes.getOrDefault(domain, 0) > parts * GROUP_HOSTS) {
+          while (sizes.getOrDefault(domain, 0) > parts * MAX_GROUP_HOSTS) {
             parts *= 2;
           }
           groups.put(host, domain + "/" + Math.floorMod(Rendezvous.hash(host), parts));
@@ -78,7 +78,7 @@
         (host, group) -> byGroup.computeIfAbsent(group, g -> new ArrayList<>()).add(host));
     Set<String> delegates = new HashSet<>();
     for (List<String> hosts : byGroup.values()) {
-      List<String> ranked = new ArrayList<>(Rendezvous.ranking(KEY, hosts, host -> host));
+      List<String> ranked = new ArrayList<>(Rendezvous.ranking(RANKING_KEY, hosts, host -> host));
       ranked.sort(Comparator.comparingInt(strength).reversed());
       delegates.addAll(ranked.subList(0, Math.min(PER_GROUP, ranked.size())));
     }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/member/Members.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/member/Members.java
@@ -25,18 +25,18 @@
 public final class Members<S> {
 
   /** A host that was named but never answered is forgotten after this (ms). */
-  private static final long UNHEARD_MILLIS = 30_000;
+  private static final long CANDIDATE_RETENTION_MILLIS = 30_000;
 
   /** A named host that never answered is tried this often (ms). */
-  private static final long UNHEARD_PERIOD_MILLIS = 1_000;
+  private static final long CANDIDATE_RETRY_MILLIS = 1_000;
 
   private final String self;
   private final MemberSettings settings;
   private final Map<String, Member<S>> members = new HashMap<>();
-  private final Map<String, Unheard> unheard = new HashMap<>();
+  private final Map<String, Candidate> candidates = new HashMap<>();
 
   /** The members' addresses: each word of a host names others, and most of them are known. */
-  private final Set<String> heardIps = new HashSet<>();
+  private final Set<String> memberIps = new HashSet<>();
 
   /** Creates a view that knows only this host. */
   public Members(String self, MemberSettings settings) {
@@ -50,8 +50,8 @@
    * @param host its name
    * @param ip where it receives datagrams
    * @param incarnation which of its processes spoke last
-   * @param number the number of its last word
-   * @param heardMillis when it spoke last
+   * @param sequence the number of its last word
+   * @param lastSeenMillis when it spoke last
    * @param leaving whether it said that it leaves
    * @param state what it told last
    */
@@ -59,12 +59,12 @@
       String host,
       String ip,
       long incarnation,
-      long number,
-      long heardMillis,
+      long sequence,
+      long lastSeenMillis,
       boolean leaving,
       @Nullable S state) {}
 
-  private record Unheard(long sinceMillis, long triedMillis) {}
+  private record Candidate(long sinceMillis, long lastTriedMillis) {}
 
   /**
    * Takes in a host's word; false if it is older than what is known.
@@ -73,7 +73,7 @@
    * smaller one refused for good, the restarted host would stay invisible; so it is taken once the
    * larger one has been silent for as long as a suspected host.
    */
-  public boolean heard(
+  public boolean receive(
       String host,
       String ip,
       long incarnation,
@@ -81,7 +81,7 @@
       boolean leaving,
       S state,
       long nowMillis) {
-    return heardOf(host, ip, incarnation, number, leaving, state, nowMillis, nowMillis);
+    return receiveForwarded(host, ip, incarnation, number, leaving, state, nowMillis, nowMillis);
   }
 
   /**
@@ -89,7 +89,7 @@
    *
    * @param heardMillis when the word was said, by the age that it was passed on with
    */
-  public boolean heardOf(
+  public boolean receiveForwarded(
       String host,
       String ip,
       long incarnation,
@@ -104,29 +104,29 @@
     Member<S> current = members.get(host);
     if (current != null) {
       boolean stale =
-          incarnation < current.incarnation && nowMillis - current.heardMillis < suspectMillis();
-      boolean repeated = incarnation == current.incarnation && number <= current.number;
+          incarnation < current.incarnation && nowMillis - current.lastSeenMillis < suspectMillis();
+      boolean repeated = incarnation == current.incarnation && number <= current.sequence;
       if (stale || repeated) {
         return false;
       }
     }
-    unheard.remove(ip);
-    heardIps.add(ip);
+    candidates.remove(ip);
+    memberIps.add(ip);
     members.put(host, new Member<>(host, ip, incarnation, number, heardMillis, leaving, state));
     return true;
   }
 
   /** Takes in that the process of a host that is known already was heard at a certain time. */
-  public void stillHeard(String host, long heardMillis) {
+  public void updateLastSeen(String host, long heardMillis) {
     Member<S> known = members.get(host);
-    if (known != null && known.heardMillis < heardMillis) {
+    if (known != null && known.lastSeenMillis < heardMillis) {
       members.put(
           host,
           new Member<>(
               host,
               known.ip,
               known.incarnation,
-              known.number,
+              known.sequence,
               heardMillis,
               known.leaving,
               known.state));
@@ -134,9 +134,9 @@
   }
 
   /** Records that somebody named a host, so that it is tried. */
-  public void named(String ip, long nowMillis) {
-    if (!heardIps.contains(ip)) {
-      unheard.computeIfAbsent(ip, key -> new Unheard(nowMillis, Long.MIN_VALUE / 2));
+  public void addCandidate(String ip, long nowMillis) {
+    if (!memberIps.contains(ip)) {
+      candidates.computeIfAbsent(ip, key -> new Candidate(nowMillis, Long.MIN_VALUE / 2));
     }
   }
 
@@ -144,7 +144,7 @@
   public List<Member<S>> reachable(long nowMillis) {
     List<Member<S>> reachable = new ArrayList<>();
     for (Member<S> member : members.values()) {
-      if (nowMillis - member.heardMillis < settings.retainMillis()) {
+      if (nowMillis - member.lastSeenMillis < settings.retainMillis()) {
         reachable.add(member);
       }
     }
@@ -152,13 +152,13 @@
   }
 
   /** Returns addresses that were named but never answered and are due for a try. */
-  public Collection<String> toTry(long nowMillis) {
+  public Collection<String> candidatesDue(long nowMillis) {
     Set<String> due = new TreeSet<>();
-    unheard.values().removeIf(u -> nowMillis - u.sinceMillis > UNHEARD_MILLIS);
-    for (Map.Entry<String, Unheard> entry : unheard.entrySet()) {
-      if (nowMillis - entry.getValue().triedMillis >= UNHEARD_PERIOD_MILLIS) {
+    candidates.values().removeIf(u -> nowMillis - u.sinceMillis > CANDIDATE_RETENTION_MILLIS);
+    for (Map.Entry<String, Candidate> entry : candidates.entrySet()) {
+      if (nowMillis - entry.getValue().lastTriedMillis >= CANDIDATE_RETRY_MILLIS) {
         due.add(entry.getKey());
-        entry.setValue(new Unheard(entry.getValue().sinceMillis, nowMillis));
+        entry.setValue(new Candidate(entry.getValue().sinceMillis, nowMillis));
       }
     }
     return due;
@@ -168,7 +168,7 @@
   public List<Member<S>> alive(long nowMillis) {
     List<Member<S>> alive = new ArrayList<>();
     for (Member<S> member : members.values()) {
-      if (!member.leaving && nowMillis - member.heardMillis < deadMillis()) {
+      if (!member.leaving && nowMillis - member.lastSeenMillis < deadMillis()) {
         alive.add(member);
       }
     }
@@ -181,9 +181,9 @@
   }
 
   /** Returns whether a host spoke lately and does not leave. */
-  public boolean isSound(String host, long nowMillis) {
+  public boolean isHealthy(String host, long nowMillis) {
     Member<S> member = members.get(host);
-    return member != null && !member.leaving && nowMillis - member.heardMillis < suspectMillis();
+    return member != null && !member.leaving && nowMillis - member.lastSeenMillis < suspectMillis();
   }
 
   /**
@@ -194,7 +194,7 @@
     Set<String> hosts = new HashSet<>();
     hosts.add(self);
     for (Member<S> member : members.values()) {
-      if (!member.leaving && nowMillis - member.heardMillis < settings.retainMillis()) {
+      if (!member.leaving && nowMillis - member.lastSeenMillis < settings.retainMillis()) {
         hosts.add(member.host);
       }
     }
@@ -202,25 +202,25 @@
   }
 
   /** Returns how often each other host is to be told this host's state (ms). */
-  public long periodMillis() {
-    return settings.periodMillis(members.size());
+  public long heartbeatPeriodMillis() {
+    return settings.heartbeatPeriodMillis(members.size());
   }
 
   private long suspectMillis() {
-    return settings.suspectBeats() * periodMillis();
+    return settings.suspectAfterHeartbeats() * heartbeatPeriodMillis();
   }
 
   private long deadMillis() {
-    return settings.deadBeats() * periodMillis();
+    return settings.deadAfterHeartbeats() * heartbeatPeriodMillis();
   }
 
   /** Forgets hosts that have long been silent. */
-  public void forget(long nowMillis) {
+  public void removeExpired(long nowMillis) {
     boolean any =
-        members.values().removeIf(m -> nowMillis - m.heardMillis >= settings.retainMillis());
+        members.values().removeIf(m -> nowMillis - m.lastSeenMillis >= settings.retainMillis());
     if (any) {
-      heardIps.clear();
-      members.values().forEach(member -> heardIps.add(member.ip));
+      memberIps.clear();
+      members.values().forEach(member -> memberIps.add(member.ip));
     }
   }
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/member/ArrivalRate.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/member/PeakArrivalRate.java
@@ -7,7 +7,7 @@
  *
  * <p>The most and not the mean, so that what is planned by it does not follow each short calm.
  */
-public final class ArrivalRate {
+public final class PeakArrivalRate {
 
   private static final long SECOND_MILLIS = 1_000;
 
@@ -19,13 +19,13 @@
    *
    * @param seconds how many whole seconds are remembered besides the present one
    */
-  public ArrivalRate(int seconds) {
+  public PeakArrivalRate(int seconds) {
     checkArgument(seconds > 0, "seconds must be above 0, was %s", seconds);
     this.counts = new int[seconds + 1];
   }
 
   /** Counts a request. */
-  public void arrived(long nowMillis) {
+  public void recordArrival(long nowMillis) {
     advance(nowMillis);
     counts[slot(newestSecond)]++;
   }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/quarantine/Hold.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/quarantine/ActiveQuarantine.java
@@ -5,13 +5,13 @@
 /**
  * Why and until when a request is held back.
  *
- * @param ends the ends that decided it, the oldest first
+ * @param terminations the ends that decided it, the oldest first
  * @param untilMillis when it may be tried again, on this host's monotonic clock
  */
-public record Hold(List<RunnerEnd> ends, long untilMillis) {
+public record ActiveQuarantine(List<RunnerTermination> terminations, long untilMillis) {
 
   /** Copies the list. */
-  public Hold {
-    ends = List.copyOf(ends);
+  public ActiveQuarantine {
+    terminations = List.copyOf(terminations);
   }
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/quarantine/LoadGuard.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/quarantine/LoadGuard.java
@@ -25,22 +25,22 @@
    * A runner that ends later than this after the order did not end by the load (ms): a load takes
    * 250 ms, and a few times as long while many are on their way.
    */
-  private static final long LOAD_MILLIS = 3_000;
+  private static final long MAX_LOAD_MILLIS = 3_000;
 
   /** The end of a runner is known this long after it at the latest (ms), by its lapsed entry. */
-  private static final long KNOWN_MILLIS = 8_000;
+  private static final long MAX_DETECTION_MILLIS = 8_000;
 
   /** Loads that are remembered at most; a holder of six runners orders 45 a second. */
-  private static final int MAX_LOADS = 1_024;
+  private static final int MAX_TRACKED_LOADS = 1_024;
 
   private final RequestQuarantine quarantine;
-  private final RunnerEndListener listener;
-  private final Deque<Load> sent = new ArrayDeque<>();
+  private final RunnerTerminationListener listener;
+  private final Deque<Load> recentLoads = new ArrayDeque<>();
 
   /** Worked out once: demands are looked at many times a second, and few adapters are asked for. */
-  private final Map<String, Long> fingerprints = RequestQuarantine.bounded(MAX_LOADS);
+  private final Map<String, Long> fingerprints = RequestQuarantine.boundedMap(MAX_TRACKED_LOADS);
 
-  private record Load(long fingerprint, long runner, long sentMillis) {}
+  private record Load(long fingerprint, long runner, long orderedMillis) {}
 
   /**
    * Creates a guard.
@@ -48,29 +48,29 @@
    * @param quarantine keeps the ends, of loads and requests alike
    * @param listener told of ends that were not known here
    */
-  public LoadGuard(RequestQuarantine quarantine, RunnerEndListener listener) {
+  public LoadGuard(RequestQuarantine quarantine, RunnerTerminationListener listener) {
     this.quarantine = requireNonNull(quarantine, "quarantine must not be null");
     this.listener = requireNonNull(listener, "listener must not be null");
   }
 
   /** Returns whether a load may be ordered. */
   public boolean mayLoad(String target, int version, long nowMillis) {
-    return hold(target, version, nowMillis).isEmpty();
+    return activeQuarantine(target, version, nowMillis).isEmpty();
   }
 
   /** Returns why a load is held back; empty if it may be ordered. */
-  public Optional<Hold> hold(String target, int version, long nowMillis) {
+  public Optional<ActiveQuarantine> activeQuarantine(String target, int version, long nowMillis) {
     return quarantine.isEmpty()
         ? Optional.empty()
-        : quarantine.hold(fingerprint(target, version), nowMillis);
+        : quarantine.activeQuarantine(fingerprint(target, version), nowMillis);
   }
 
   /** Records that a request that uses an adapter had a good answer: a runner lived with it. */
-  public void served(String target, int version, long nowMillis) {
+  public void recordSuccess(String target, int version, long nowMillis) {
     if (!quarantine.isEmpty()) {
       long load = fingerprint(target, version);
-      if (quarantine.cleared(load, nowMillis)) {
-        listener.cleared(load, nowMillis, nowMillis);
+      if (quarantine.clear(load, nowMillis)) {
+        listener.onCleared(load, nowMillis, nowMillis);
       }
     }
   }
@@ -85,10 +85,10 @@
    *
    * @param runner the hash of the runner's incarnation
    */
-  public void ordered(String target, int version, long runner, long nowMillis) {
-    sent.addLast(new Load(fingerprint(target, version), runner, nowMillis));
-    if (sent.size() > MAX_LOADS) {
-      sent.removeFirst();
+  public void recordOrder(String target, int version, long runner, long nowMillis) {
+    recentLoads.addLast(new Load(fingerprint(target, version), runner, nowMillis));
+    if (recentLoads.size() > MAX_TRACKED_LOADS) {
+      recentLoads.removeFirst();
     }
   }
 
@@ -96,11 +96,13 @@
    * Records that an order had no reply: its connection broke, as it does when the runner ends by
    * it. That counts for a short time, unless the runner turns out to have ended.
    */
-  public void unanswered(String target, int version, long runner, long nowMillis) {
+  public void recordUnansweredOrder(String target, int version, long runner, long nowMillis) {
     long load = fingerprint(target, version);
-    for (Load ordered : sent) {
+    for (Load ordered : recentLoads) {
       if (ordered.fingerprint == load && ordered.runner == runner) {
-        take(new RunnerEnd(load, runner, ordered.sentMillis, nowMillis, false, false), nowMillis);
+        recordTermination(
+            new RunnerTermination(load, runner, ordered.orderedMillis, nowMillis, false, false),
+            nowMillis);
         return;
       }
     }
@@ -111,35 +113,37 @@
    *
    * @param hasEnded whether the runner with this hash is known to have ended
    */
-  public void upkeep(LongPredicate hasEnded, long nowMillis) {
-    for (Iterator<Load> loads = sent.iterator(); loads.hasNext(); ) {
+  public void detectTerminations(LongPredicate hasEnded, long nowMillis) {
+    for (Iterator<Load> loads = recentLoads.iterator(); loads.hasNext(); ) {
       Load load = loads.next();
       boolean ended = hasEnded.test(load.runner);
-      boolean old = nowMillis - load.sentMillis >= KNOWN_MILLIS;
+      boolean old = nowMillis - load.orderedMillis >= MAX_DETECTION_MILLIS;
       if (ended || old) {
         loads.remove();
       }
       if (ended && !old) {
-        ended(load, nowMillis);
+        recordTerminationAfter(load, nowMillis);
       }
     }
   }
 
   /** A request that was there too tells the moment; else it is known only that it is over. */
-  private void ended(Load load, long nowMillis) {
-    long endedMillis = quarantine.endOf(load.runner).orElse(nowMillis);
+  private void recordTerminationAfter(Load load, long nowMillis) {
+    long endedMillis = quarantine.terminationMillis(load.runner).orElse(nowMillis);
     boolean known = endedMillis != nowMillis;
-    if (endedMillis < load.sentMillis || (known && endedMillis - load.sentMillis > LOAD_MILLIS)) {
+    if (endedMillis < load.orderedMillis
+        || (known && endedMillis - load.orderedMillis > MAX_LOAD_MILLIS)) {
       return;
     }
-    take(
-        new RunnerEnd(load.fingerprint, load.runner, load.sentMillis, endedMillis, false, true),
+    recordTermination(
+        new RunnerTermination(
+            load.fingerprint, load.runner, load.orderedMillis, endedMillis, false, true),
         nowMillis);
   }
 
-  private void take(RunnerEnd end, long nowMillis) {
-    if (quarantine.ended(end, nowMillis)) {
-      listener.ended(end, nowMillis);
+  private void recordTermination(RunnerTermination end, long nowMillis) {
+    if (quarantine.recordTermination(end, nowMillis)) {
+      listener.onTermination(end, nowMillis);
     }
   }
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/quarantine/QuarantineSettings.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/quarantine/QuarantineSettings.java
@@ -5,29 +5,29 @@
 /**
  * When a request is held back, and for how long.
  *
- * @param pointsToHold a request is held back from so many points on; see {@link #points}
- * @param pointsToHoldAfterLoss the same while the fleet may have forgotten ends
- * @param pointsToHoldKnownGood the same for a request that had a good answer lately
+ * @param threshold a request is held back from so many points on; see {@link #points}
+ * @param thresholdAfterHistoryLoss the same while the fleet may have forgotten ends
+ * @param thresholdKnownGood the same for a request that had a good answer lately
  * @param knownGoodMillis how long a good answer is remembered
- * @param suspicionMillis how long an end counts that is not proved
- * @param holdMillis how long a request is held back after the last end under it
- * @param rememberMillis how long a proved end is remembered
+ * @param unconfirmedRetentionMillis how long an end counts that is not proved
+ * @param quarantineMillis how long a request is held back after the last end under it
+ * @param confirmedRetentionMillis how long a proved end is remembered
  * @param maxRequests requests that are remembered at most, of each kind
- * @param maxEndsPerRequest ends that are remembered of each at most
+ * @param maxTerminationsPerRequest ends that are remembered of each at most
  */
 public record QuarantineSettings(
-    int pointsToHold,
-    int pointsToHoldAfterLoss,
-    int pointsToHoldKnownGood,
+    int threshold,
+    int thresholdAfterHistoryLoss,
+    int thresholdKnownGood,
     long knownGoodMillis,
-    long suspicionMillis,
-    long holdMillis,
-    long rememberMillis,
+    long unconfirmedRetentionMillis,
+    long quarantineMillis,
+    long confirmedRetentionMillis,
     int maxRequests,
-    int maxEndsPerRequest) {
+    int maxTerminationsPerRequest) {
 
-  private static final int POINTS_OF_AN_END = 2;
-  private static final int POINTS_IF_BEGUN = 1;
+  private static final int POINTS_BEFORE_RESPONSE = 2;
+  private static final int POINTS_AFTER_RESPONSE_START = 1;
 
   /**
    * Six points, three ends before any answer began: after one, each of the requests that were in
@@ -49,28 +49,29 @@
   /** Checks the figures. */
   public QuarantineSettings {
     checkArgument(
-        pointsToHoldAfterLoss > POINTS_OF_AN_END,
+        thresholdAfterHistoryLoss > POINTS_BEFORE_RESPONSE,
         "pointsToHoldAfterLoss must be above %s, was %s",
-        POINTS_OF_AN_END,
-        pointsToHoldAfterLoss);
+        POINTS_BEFORE_RESPONSE,
+        thresholdAfterHistoryLoss);
     checkArgument(
-        pointsToHold >= pointsToHoldAfterLoss,
+        threshold >= thresholdAfterHistoryLoss,
         "pointsToHold must be %s or more, was %s",
-        pointsToHoldAfterLoss,
-        pointsToHold);
+        thresholdAfterHistoryLoss,
+        threshold);
     checkArgument(
-        pointsToHoldKnownGood >= pointsToHold,
+        thresholdKnownGood >= threshold,
         "pointsToHoldKnownGood must be %s or more, was %s",
-        pointsToHold,
-        pointsToHoldKnownGood);
+        threshold,
+        thresholdKnownGood);
     checkArgument(maxRequests > 0, "maxRequests must be above 0, was %s", maxRequests);
     checkArgument(
-        maxEndsPerRequest * POINTS_IF_BEGUN >= pointsToHoldKnownGood,
+        maxTerminationsPerRequest * POINTS_AFTER_RESPONSE_START >= thresholdKnownGood,
         "maxEndsPerRequest must be %s or more, was %s",
-        pointsToHoldKnownGood,
-        maxEndsPerRequest);
+        thresholdKnownGood,
+        maxTerminationsPerRequest);
     checkArgument(
-        suspicionMillis <= holdMillis && holdMillis <= rememberMillis,
+        unconfirmedRetentionMillis <= quarantineMillis
+            && quarantineMillis <= confirmedRetentionMillis,
         "suspicionMillis, holdMillis and rememberMillis must not fall");
   }
 
@@ -79,7 +80,7 @@
    * A request that ends runners mostly does so when they begin to run it, and most of the others
    * that go with it have begun by then.
    */
-  public static int points(RunnerEnd end) {
-    return end.begun() ? POINTS_IF_BEGUN : POINTS_OF_AN_END;
+  public static int points(RunnerTermination end) {
+    return end.responseStarted() ? POINTS_AFTER_RESPONSE_START : POINTS_BEFORE_RESPONSE;
   }
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/quarantine/RequestFingerprint.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/quarantine/RequestFingerprint.java
@@ -31,13 +31,13 @@
 
   private final byte[] body;
   private final List<byte[]> parts;
-  private final int screen;
+  private final int checksum;
   private @Nullable Long value;
 
   private RequestFingerprint(byte[] body, String... parts) {
     this.body = requireNonNull(body, "body must not be null");
     this.parts = Stream.of(parts).map(part -> part.getBytes(UTF_8)).toList();
-    this.screen = checksum();
+    this.checksum = computeChecksum();
   }
 
   /**
@@ -70,31 +70,31 @@
   }
 
   /** Returns the cheap half. */
-  public int screen() {
-    return screen;
+  public int checksum() {
+    return checksum;
   }
 
   /** Returns the whole number, which is worked out when it is first asked for. */
   public long value() {
     Long known = value;
     if (known == null) {
-      known = ((long) screen << Integer.SIZE) | lowerHalf();
+      known = ((long) checksum << Integer.SIZE) | lowerHalf();
       value = known;
     }
     return known;
   }
 
   /** Returns the cheap half of a fingerprint that was told as a number. */
-  public static int screenOf(long value) {
+  public static int checksumOf(long value) {
     return (int) (value >>> Integer.SIZE);
   }
 
   /** Returns a fingerprint as logs show it. */
-  public static String text(long value) {
+  public static String format(long value) {
     return String.format("%016x", value);
   }
 
-  private int checksum() {
+  private int computeChecksum() {
     CRC32C sum = new CRC32C();
     sum.update(body);
     for (byte[] part : parts) {
--- a/sequoia-core/src/main/java/org/sequoiahub/core/quarantine/RequestQuarantine.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/quarantine/RequestQuarantine.java
@@ -32,12 +32,12 @@
  *   <li>A good answer clears a request: it has run and the runner lived. What had one lately needs
  *       twice as many ends, so that what callers ask again and again is not held back by all hosts
  *       at once, after which no good answer could clear it.
- *   <li>A broken connection counts for {@link QuarantineSettings#suspicionMillis} only, unless the
- *       runner turns out to have ended.
+ *   <li>A broken connection counts for {@link QuarantineSettings#unconfirmedRetentionMillis} only,
+ *       unless the runner turns out to have ended.
  * </ul>
  *
- * <p>A request is held back for {@link QuarantineSettings#holdMillis} after the last end. Then it
- * may be tried: a good answer clears it, one more end brings the hold back.
+ * <p>A request is held back for {@link QuarantineSettings#quarantineMillis} after the last end.
+ * Then it may be tried: a good answer clears it, one more end brings the hold back.
  *
  * <p>Not safe for use by several threads. All times are of one monotonic clock.
  */
@@ -46,40 +46,40 @@
   private final QuarantineSettings settings;
 
   /** Ends of the requests under which one runner ended: hundreds after the loss of a domain. */
-  private final Map<Long, List<RunnerEnd>> once;
+  private final Map<Long, List<RunnerTermination>> singleTerminations;
 
   /**
    * Ends of the requests under which several runners ended, one after the other: apart from the
    * others, which would push them out.
    */
-  private final Map<Long, List<RunnerEnd>> repeated;
+  private final Map<Long, List<RunnerTermination>> repeatedTerminations;
 
   /** When requests that were suspect had a good answer, so that older ends are not taken anew. */
-  private final Map<Long, Long> clearedAt;
+  private final Map<Long, Long> clearedMillis;
 
   /**
    * When requests had a good answer at this host, by the cheap half of their fingerprint. Each good
    * answer is noted, so it must cost little; a request that shares its half with another one only
    * needs more ends to be held back.
    */
-  private final Map<Integer, Long> goodAt;
+  private final Map<Integer, Long> lastSuccessMillis;
 
   /** The cheap halves of the fingerprints that something is or was known against. */
-  private final Set<Integer> screens = new HashSet<>();
+  private final Set<Integer> knownChecksums = new HashSet<>();
 
-  private boolean memoryLost;
+  private boolean historyLost;
 
   /** Creates a quarantine that holds nothing back. */
   public RequestQuarantine(QuarantineSettings settings) {
     this.settings = requireNonNull(settings, "settings must not be null");
-    this.once = bounded(settings.maxRequests());
-    this.repeated = bounded(settings.maxRequests());
-    this.clearedAt = bounded(settings.maxRequests());
-    this.goodAt = bounded(settings.maxRequests());
+    this.singleTerminations = boundedMap(settings.maxRequests());
+    this.repeatedTerminations = boundedMap(settings.maxRequests());
+    this.clearedMillis = boundedMap(settings.maxRequests());
+    this.lastSuccessMillis = boundedMap(settings.maxRequests());
   }
 
   /** A map that forgets the entry that was put first when it is full. */
-  static <K, V> Map<K, V> bounded(int max) {
+  static <K, V> Map<K, V> boundedMap(int max) {
     return new LinkedHashMap<>() {
       @Override
       protected boolean removeEldestEntry(Map.Entry<K, V> eldest) {
@@ -89,13 +89,13 @@
   }
 
   /** Takes in a runner's end under a request; false if it was known or has been refuted. */
-  public boolean ended(RunnerEnd end, long nowMillis) {
-    if (isRefuted(end) || !counts(end, nowMillis)) {
+  public boolean recordTermination(RunnerTermination end, long nowMillis) {
+    if (isSuperseded(end) || !isRetained(end, nowMillis)) {
       return false;
     }
-    List<RunnerEnd> known = ends(end.request());
-    List<RunnerEnd> merged = new ArrayList<>(known);
-    for (RunnerEnd other : known) {
+    List<RunnerTermination> known = knownTerminations(end.request());
+    List<RunnerTermination> merged = new ArrayList<>(known);
+    for (RunnerTermination other : known) {
       if (other.runner() == end.runner()) {
         if (other.confirmed() || !end.confirmed()) {
           return false;
@@ -104,11 +104,11 @@
       }
     }
     merged.add(end);
-    merged.sort(Comparator.comparingLong(RunnerEnd::endedMillis));
-    if (merged.size() > settings.maxEndsPerRequest()) {
+    merged.sort(Comparator.comparingLong(RunnerTermination::endedMillis));
+    if (merged.size() > settings.maxTerminationsPerRequest()) {
       merged.remove(0);
     }
-    keep(end.request(), merged, nowMillis);
+    store(end.request(), merged, nowMillis);
     return true;
   }
 
@@ -117,14 +117,14 @@
    *
    * @param screen the cheap half of its fingerprint
    */
-  public void answered(int screen, long nowMillis) {
-    goodAt.remove(screen);
-    goodAt.put(screen, nowMillis);
+  public void recordSuccess(int screen, long nowMillis) {
+    lastSuccessMillis.remove(screen);
+    lastSuccessMillis.put(screen, nowMillis);
   }
 
   /** Returns whether something may be known against a request with this half of a fingerprint. */
-  public boolean mayKnow(int screen) {
-    return screens.contains(screen);
+  public boolean mightContain(int screen) {
+    return knownChecksums.contains(screen);
   }
 
   /**
@@ -133,48 +133,49 @@
    * @param atMillis when the answer was complete
    * @return whether anything was known against the request
    */
-  public boolean cleared(long request, long atMillis) {
-    List<RunnerEnd> known = ends(request);
-    List<RunnerEnd> later = known.stream().filter(end -> end.endedMillis() > atMillis).toList();
+  public boolean clear(long request, long atMillis) {
+    List<RunnerTermination> known = knownTerminations(request);
+    List<RunnerTermination> later =
+        known.stream().filter(end -> end.endedMillis() > atMillis).toList();
     if (later.size() == known.size()) {
       return false;
     }
-    clearedAt.merge(request, atMillis, Math::max);
-    once.remove(request);
-    repeated.remove(request);
+    clearedMillis.merge(request, atMillis, Math::max);
+    singleTerminations.remove(request);
+    repeatedTerminations.remove(request);
     if (!later.isEmpty()) {
-      once.put(request, later);
+      singleTerminations.put(request, later);
     }
     return true;
   }
 
   /** Returns when a request had a good answer that refutes an end; empty if none does. */
-  public Optional<Long> refutedAt(RunnerEnd end) {
-    Long at = clearedAt.get(end.request());
+  public Optional<Long> successAfter(RunnerTermination end) {
+    Long at = clearedMillis.get(end.request());
     return at == null || at < end.endedMillis() ? Optional.empty() : Optional.of(at);
   }
 
-  private boolean isRefuted(RunnerEnd end) {
-    return refutedAt(end).isPresent();
+  private boolean isSuperseded(RunnerTermination end) {
+    return successAfter(end).isPresent();
   }
 
   /** Returns why a request is held back; empty if it may be sent to a runner. */
-  public Optional<Hold> hold(long request, long nowMillis) {
-    List<RunnerEnd> chain = inTurn(ends(request), nowMillis);
+  public Optional<ActiveQuarantine> activeQuarantine(long request, long nowMillis) {
+    List<RunnerTermination> chain = sequentialTerminations(knownTerminations(request), nowMillis);
     int points = chain.stream().mapToInt(QuarantineSettings::points).sum();
-    if (points < pointsToHold(request, nowMillis)) {
+    if (points < threshold(request, nowMillis)) {
       return Optional.empty();
     }
-    long until = chain.get(chain.size() - 1).endedMillis() + settings.holdMillis();
-    return nowMillis < until ? Optional.of(new Hold(chain, until)) : Optional.empty();
+    long until = chain.get(chain.size() - 1).endedMillis() + settings.quarantineMillis();
+    return nowMillis < until ? Optional.of(new ActiveQuarantine(chain, until)) : Optional.empty();
   }
 
-  private int pointsToHold(long request, long nowMillis) {
-    Long good = goodAt.get(RequestFingerprint.screenOf(request));
+  private int threshold(long request, long nowMillis) {
+    Long good = lastSuccessMillis.get(RequestFingerprint.checksumOf(request));
     if (good != null && nowMillis - good < settings.knownGoodMillis()) {
-      return settings.pointsToHoldKnownGood();
+      return settings.thresholdKnownGood();
     }
-    return memoryLost ? settings.pointsToHoldAfterLoss() : settings.pointsToHold();
+    return historyLost ? settings.thresholdAfterHistoryLoss() : settings.threshold();
   }
 
   /**
@@ -182,53 +183,54 @@
    *
    * <p>What was held back before would otherwise take as many runners again as it took at first.
    */
-  public void memoryLost(boolean lost) {
-    memoryLost = lost;
+  public void historyLost(boolean lost) {
+    historyLost = lost;
   }
 
   /** Returns whether a runner ended under a request lately. */
   public boolean isSuspect(long request, long nowMillis) {
-    return ends(request).stream().anyMatch(end -> counts(end, nowMillis));
+    return knownTerminations(request).stream().anyMatch(end -> isRetained(end, nowMillis));
   }
 
   /** Returns whether several runners ended under a request, one after the other. */
-  public boolean isRepeated(long request) {
-    return repeated.containsKey(request);
+  public boolean hasRepeatedTerminations(long request) {
+    return repeatedTerminations.containsKey(request);
   }
 
   /** Returns the ends that are known under a request. */
-  public List<RunnerEnd> endsUnder(long request) {
-    return ends(request);
+  public List<RunnerTermination> terminations(long request) {
+    return knownTerminations(request);
   }
 
   /** Returns when a runner ended under any request; empty if none is known to have run there. */
-  public Optional<Long> endOf(long runner) {
-    return Stream.concat(once.values().stream(), repeated.values().stream())
+  public Optional<Long> terminationMillis(long runner) {
+    return Stream.concat(
+            singleTerminations.values().stream(), repeatedTerminations.values().stream())
         .flatMap(List::stream)
         .filter(end -> end.runner() == runner)
-        .map(RunnerEnd::endedMillis)
+        .map(RunnerTermination::endedMillis)
         .min(Long::compare);
   }
 
   /** Returns whether nothing is known against any request. */
   public boolean isEmpty() {
-    return once.isEmpty() && repeated.isEmpty();
+    return singleTerminations.isEmpty() && repeatedTerminations.isEmpty();
   }
 
   /** Returns how many requests something is known against. */
   public int size() {
-    return once.size() + repeated.size();
+    return singleTerminations.size() + repeatedTerminations.size();
   }
 
   /** Returns the ends of the requests under which several runners ended one after the other. */
-  public List<RunnerEnd> repeatedEnds() {
-    return repeated.values().stream().flatMap(List::stream).toList();
+  public List<RunnerTermination> repeatedTerminations() {
+    return repeatedTerminations.values().stream().flatMap(List::stream).toList();
   }
 
   /** Returns the ends of the requests that are held back. */
-  public List<RunnerEnd> heldBackEnds(long nowMillis) {
-    return repeated.entrySet().stream()
-        .filter(entry -> hold(entry.getKey(), nowMillis).isPresent())
+  public List<RunnerTermination> quarantinedTerminations(long nowMillis) {
+    return repeatedTerminations.entrySet().stream()
+        .filter(entry -> activeQuarantine(entry.getKey(), nowMillis).isPresent())
         .flatMap(entry -> entry.getValue().stream())
         .toList();
   }
@@ -238,8 +240,9 @@
    *
    * @param hasEnded whether the runner with this hash is known to have ended
    */
-  public void confirm(LongPredicate hasEnded) {
-    for (Map<Long, List<RunnerEnd>> rank : List.of(once, repeated)) {
+  public void confirmTerminations(LongPredicate hasEnded) {
+    for (Map<Long, List<RunnerTermination>> rank :
+        List.of(singleTerminations, repeatedTerminations)) {
       rank.replaceAll(
           (request, ends) -> {
             boolean any = ends.stream().anyMatch(end -> isProvedBy(end, hasEnded));
@@ -248,51 +251,61 @@
     }
   }
 
-  private static boolean isProvedBy(RunnerEnd end, LongPredicate hasEnded) {
+  private static boolean isProvedBy(RunnerTermination end, LongPredicate hasEnded) {
     return !end.confirmed() && hasEnded.test(end.runner());
   }
 
-  private static List<RunnerEnd> confirmed(List<RunnerEnd> ends, LongPredicate hasEnded) {
+  private static List<RunnerTermination> confirmed(
+      List<RunnerTermination> ends, LongPredicate hasEnded) {
     return ends.stream().map(end -> isProvedBy(end, hasEnded) ? end.asConfirmed() : end).toList();
   }
 
   /** Forgets ends that no longer count. */
-  public void forget(long nowMillis) {
-    for (Map<Long, List<RunnerEnd>> rank : List.of(once, repeated)) {
-      rank.values().removeIf(ends -> ends.stream().noneMatch(end -> counts(end, nowMillis)));
+  public void removeExpired(long nowMillis) {
+    for (Map<Long, List<RunnerTermination>> rank :
+        List.of(singleTerminations, repeatedTerminations)) {
+      rank.values().removeIf(ends -> ends.stream().noneMatch(end -> isRetained(end, nowMillis)));
     }
-    clearedAt.values().removeIf(at -> nowMillis - at >= settings.rememberMillis());
-    if (screens.size() > 2 * size()) {
-      screens.clear();
-      once.keySet().forEach(request -> screens.add(RequestFingerprint.screenOf(request)));
-      repeated.keySet().forEach(request -> screens.add(RequestFingerprint.screenOf(request)));
+    clearedMillis.values().removeIf(at -> nowMillis - at >= settings.confirmedRetentionMillis());
+    if (knownChecksums.size() > 2 * size()) {
+      knownChecksums.clear();
+      singleTerminations
+          .keySet()
+          .forEach(request -> knownChecksums.add(RequestFingerprint.checksumOf(request)));
+      repeatedTerminations
+          .keySet()
+          .forEach(request -> knownChecksums.add(RequestFingerprint.checksumOf(request)));
     }
   }
 
-  private List<RunnerEnd> ends(long request) {
-    List<RunnerEnd> ends = repeated.get(request);
-    return ends == null ? once.getOrDefault(request, List.of()) : ends;
+  private List<RunnerTermination> knownTerminations(long request) {
+    List<RunnerTermination> ends = repeatedTerminations.get(request);
+    return ends == null ? singleTerminations.getOrDefault(request, List.of()) : ends;
   }
 
-  private void keep(long request, List<RunnerEnd> ends, long nowMillis) {
-    once.remove(request);
-    repeated.remove(request);
-    boolean several = inTurn(ends, nowMillis).size() > 1;
-    (several ? repeated : once).put(request, List.copyOf(ends));
-    screens.add(RequestFingerprint.screenOf(request));
+  private void store(long request, List<RunnerTermination> ends, long nowMillis) {
+    singleTerminations.remove(request);
+    repeatedTerminations.remove(request);
+    boolean several = sequentialTerminations(ends, nowMillis).size() > 1;
+    (several ? repeatedTerminations : singleTerminations).put(request, List.copyOf(ends));
+    knownChecksums.add(RequestFingerprint.checksumOf(request));
   }
 
-  private boolean counts(RunnerEnd end, long nowMillis) {
-    long counted = end.confirmed() ? settings.rememberMillis() : settings.suspicionMillis();
+  private boolean isRetained(RunnerTermination end, long nowMillis) {
+    long counted =
+        end.confirmed()
+            ? settings.confirmedRetentionMillis()
+            : settings.unconfirmedRetentionMillis();
     return nowMillis - end.endedMillis() < counted;
   }
 
   /** Returns the ends that count one after the other, the oldest first. */
-  private List<RunnerEnd> inTurn(List<RunnerEnd> ends, long nowMillis) {
-    List<RunnerEnd> chain = new ArrayList<>();
+  private List<RunnerTermination> sequentialTerminations(
+      List<RunnerTermination> ends, long nowMillis) {
+    List<RunnerTermination> chain = new ArrayList<>();
     long lastMillis = Long.MIN_VALUE;
-    for (RunnerEnd end : ends) {
-      if (counts(end, nowMillis) && end.startedMillis() >= lastMillis) {
+    for (RunnerTermination end : ends) {
+      if (isRetained(end, nowMillis) && end.startedMillis() >= lastMillis) {
         chain.add(end);
         lastMillis = end.endedMillis();
       }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/quarantine/RunnerEnd.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/quarantine/RunnerTermination.java
@@ -9,20 +9,21 @@
  * @param runner the hash of the runner's incarnation
  * @param startedMillis when the request was sent to that runner
  * @param endedMillis when its connection broke, or when it was given up as silent
- * @param begun whether the runner had begun to answer: the request did not end it at its start
+ * @param responseStarted whether the runner had begun to answer: the request did not end it at its
+ *     start
  * @param confirmed whether the end of the process is proved; a broken connection alone is only a
  *     sign of it
  */
-public record RunnerEnd(
+public record RunnerTermination(
     long request,
     long runner,
     long startedMillis,
     long endedMillis,
-    boolean begun,
+    boolean responseStarted,
     boolean confirmed) {
 
   /** Checks that the attempt did not end before it started. */
-  public RunnerEnd {
+  public RunnerTermination {
     checkArgument(
         startedMillis <= endedMillis,
         "startedMillis must not be after endedMillis, was %s and %s",
@@ -31,7 +32,8 @@
   }
 
   /** Returns the same end as a proved one. */
-  public RunnerEnd asConfirmed() {
-    return new RunnerEnd(request, runner, startedMillis, endedMillis, begun, true);
+  public RunnerTermination asConfirmed() {
+    return new RunnerTermination(
+        request, runner, startedMillis, endedMillis, responseStarted, true);
   }
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/retry/RetryAccount.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/retry/RetryAccount.java
@@ -12,7 +12,7 @@
 
   private final SharedRetryBudget budget;
   private final String service;
-  private boolean owes;
+  private boolean nextSendIsRetry;
 
   /** Creates the account of a request to a service. */
   public RetryAccount(SharedRetryBudget budget, String service) {
@@ -21,21 +21,21 @@
   }
 
   /** Records that a send reached a runner: the next one is a retry. */
-  public void reachedRunner() {
-    owes = true;
+  public void recordRunnerReached() {
+    nextSendIsRetry = true;
   }
 
   /** Returns whether the next send could be made now. */
   public boolean maySend(int hosts, long nowMillis) {
-    return !owes || budget.hasRetry(service, hosts, nowMillis);
+    return !nextSendIsRetry || budget.canRetry(service, hosts, nowMillis);
   }
 
   /** Takes what the next send draws on the budget; false if it must not be made. */
-  public boolean pay(int hosts, long nowMillis) {
-    if (owes && !budget.tryRetry(service, hosts, nowMillis)) {
+  public boolean tryAcquireSend(int hosts, long nowMillis) {
+    if (nextSendIsRetry && !budget.tryAcquireRetry(service, hosts, nowMillis)) {
       return false;
     }
-    owes = false;
+    nextSendIsRetry = false;
     return true;
   }
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/retry/RetryBudget.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/retry/RetryBudget.java
@@ -10,11 +10,11 @@
  */
 public final class RetryBudget {
 
-  private static final double MAX_SAVED = 100;
-  private static final double FIRST_SAVED = 10;
+  private static final double MAX_RETRIES = 100;
+  private static final double INITIAL_RETRIES = 10;
 
-  private final double share;
-  private double saved = FIRST_SAVED;
+  private final double ratio;
+  private double available = INITIAL_RETRIES;
 
   /**
    * Creates a budget.
@@ -23,20 +23,20 @@
    */
   public RetryBudget(double share) {
     checkArgument(share >= 0 && share <= 1, "share must be from 0 to 1, was %s", share);
-    this.share = share;
+    this.ratio = share;
   }
 
   /** Counts a first attempt. */
-  public void firstAttempt() {
-    saved = Math.min(MAX_SAVED, saved + share);
+  public void recordFirstAttempt() {
+    available = Math.min(MAX_RETRIES, available + ratio);
   }
 
   /** Takes one retry from the budget; false if none is left. */
-  public boolean tryRetry() {
-    if (share == 0 || saved < 1) {
+  public boolean tryAcquireRetry() {
+    if (ratio == 0 || available < 1) {
       return false;
     }
-    saved--;
+    available--;
     return true;
   }
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/retry/SharedRetryBudget.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/retry/SharedRetryBudget.java
@@ -23,17 +23,17 @@
 public final class SharedRetryBudget {
 
   /** Part of the budget for processes that know all that their host spent in the window. */
-  private static final double KNOWING_PART = 0.65;
+  private static final double FULL_HISTORY_FRACTION = 0.65;
 
   /** Part of the budget for processes that do not; the rest covers retries that arrive late. */
-  private static final double YOUNG_PART = 0.3;
+  private static final double PARTIAL_HISTORY_FRACTION = 0.3;
 
   private static final int BUCKETS = 10;
 
   private final RetryBudgetSettings settings;
   private final long bucketMillis;
   private final long startedMillis;
-  private final boolean firstOfHost;
+  private final boolean firstProcessOfHost;
   private final Map<String, Window> windows = new HashMap<>();
 
   /**
@@ -51,11 +51,11 @@
         settings.windowMillis());
     this.bucketMillis = settings.windowMillis() / BUCKETS;
     this.startedMillis = startedMillis;
-    this.firstOfHost = firstOfHost;
+    this.firstProcessOfHost = firstOfHost;
   }
 
   /** Counts a request of a service. */
-  public void request(String service, long nowMillis) {
+  public void recordRequest(String service, long nowMillis) {
     window(service, nowMillis).requests[0]++;
   }
 
@@ -64,16 +64,16 @@
    *
    * @param hosts how many hosts share the budget, this one included; 0 if that is not known
    */
-  public boolean tryRetry(String service, int hosts, long nowMillis) {
-    if (!hasRetry(service, hosts, nowMillis)) {
+  public boolean tryAcquireRetry(String service, int hosts, long nowMillis) {
+    if (!canRetry(service, hosts, nowMillis)) {
       return false;
     }
     window(service, nowMillis).retries[0]++;
     return true;
   }
 
-  /** Returns whether {@link #tryRetry} would succeed now. */
-  public boolean hasRetry(String service, int hosts, long nowMillis) {
+  /** Returns whether {@link #tryAcquireRetry} would succeed now. */
+  public boolean canRetry(String service, int hosts, long nowMillis) {
     Usage usage = usage(service, hosts, nowMillis);
     return usage.taken() + 1 <= usage.allowed();
   }
@@ -98,10 +98,11 @@
     // A host that sees no other may be one of many that see none.
     double share = hosts == 0 ? 0 : settings.allowance() / hosts;
     long age = nowMillis - startedMillis;
-    if (firstOfHost || age > settings.windowMillis() + bucketMillis) {
-      return KNOWING_PART * (earned + share);
+    if (firstProcessOfHost || age > settings.windowMillis() + bucketMillis) {
+      return FULL_HISTORY_FRACTION * (earned + share);
     }
-    return YOUNG_PART * (earned + share * Math.min(1, (double) age / settings.windowMillis()));
+    return PARTIAL_HISTORY_FRACTION
+        * (earned + share * Math.min(1, (double) age / settings.windowMillis()));
   }
 
   private Window window(String service, long nowMillis) {
--- a/sequoia-core/src/main/java/org/sequoiahub/core/routing/EngineSpec.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/routing/EngineSpec.java
@@ -8,7 +8,7 @@
  * @param slots requests that one runner processes at once
  * @param cacheTokens prompt and output tokens that fit in its memory
  * @param weightsMb memory for weights and adapters (MB)
- * @param adapterPlaces adapters that it holds at most, those on their way included
+ * @param maxAdapters adapters that it holds at most, those on their way included
  * @param loadsPerSecond loads of weights that the weight store allows over all runners
  * @param tokensPerEvent tokens that one event of a stream holds
  * @param models the models that it may hold
@@ -17,7 +17,7 @@
     int slots,
     long cacheTokens,
     double weightsMb,
-    int adapterPlaces,
+    int maxAdapters,
     double loadsPerSecond,
     int tokensPerEvent,
     List<ModelSpec> models) {
--- a/sequoia-core/src/main/java/org/sequoiahub/core/routing/Repetition.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/routing/RepeatPolicy.java
@@ -1,7 +1,7 @@
 package org.sequoiahub.core.routing;
 
 /** What may be done about a request whose first attempt did not end well. */
-public enum Repetition {
+public enum RepeatPolicy {
   /** The request is idempotent: it may run again, also beside its first attempt. */
   IDEMPOTENT,
   /** The request changes something: it runs at most once. */
@@ -12,7 +12,7 @@
   STREAM;
 
   /** Returns whether a second run is allowed after a first one of unknown outcome. */
-  public boolean mayRunAgain() {
+  public boolean allowsRerun() {
     return this == IDEMPOTENT || this == RESUMABLE_STREAM;
   }
 
--- a/sequoia-core/src/main/java/org/sequoiahub/core/routing/Route.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/routing/Route.java
@@ -10,32 +10,32 @@
  * @param name the route's name
  * @param host the host name that callers use
  * @param prefix the start of the path, with a slash at both ends
- * @param repetition what may be repeated
+ * @param repeatPolicy what may be repeated
  * @param timeoutMillis the longest time that a caller is kept waiting for the whole answer
  * @param targetLatencyMillis the time within which an answer is worth most to its caller
  * @param priority 0 is the most urgent
  * @param services where its requests go, at least one
  * @param maxAttempts on how many runners one request may run
- * @param pauseMillis the longest pause between two events of a stream that the caller accepts; 0 if
- *     not a stream
- * @param open whether it needs no access key
+ * @param maxEventGapMillis the longest pause between two events of a stream that the caller
+ *     accepts; 0 if not a stream
+ * @param anonymousAccess whether it needs no access key
  */
 public record Route(
     String name,
     String host,
     String prefix,
-    Repetition repetition,
+    RepeatPolicy repeatPolicy,
     long timeoutMillis,
     long targetLatencyMillis,
     int priority,
     List<WeightedService> services,
     int maxAttempts,
-    long pauseMillis,
-    boolean open) {
+    long maxEventGapMillis,
+    boolean anonymousAccess) {
 
   private static final long MIN_PATIENCE_MILLIS = 2_000;
-  private static final long TARGETS_OF_PATIENCE = 4;
-  private static final long PAUSES_OF_PATIENCE = 8;
+  private static final long PATIENCE_LATENCY_FACTOR = 4;
+  private static final long PATIENCE_EVENT_GAP_FACTOR = 8;
 
   /** Checks the arguments. */
   public Route {
@@ -55,7 +55,9 @@
   public long patienceMillis() {
     return Math.max(
         MIN_PATIENCE_MILLIS,
-        Math.max(TARGETS_OF_PATIENCE * targetLatencyMillis, PAUSES_OF_PATIENCE * pauseMillis));
+        Math.max(
+            PATIENCE_LATENCY_FACTOR * targetLatencyMillis,
+            PATIENCE_EVENT_GAP_FACTOR * maxEventGapMillis));
   }
 
   /**
@@ -63,7 +65,7 @@
    *
    * @param draw a number drawn evenly from 0 (inclusive) to 1 (exclusive)
    */
-  public String service(double draw) {
+  public String selectService(double draw) {
     double total = services.stream().mapToDouble(WeightedService::weight).sum();
     double left = draw * total;
     for (WeightedService candidate : services) {
--- a/sequoia-core/src/main/java/org/sequoiahub/core/stream/ChunkSequencer.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/stream/ChunkSequencer.java
@@ -17,11 +17,11 @@
  */
 public final class ChunkSequencer {
 
-  private final int ahead;
-  private final Map<Long, byte[]> early = new TreeMap<>();
+  private final int maxAhead;
+  private final Map<Long, byte[]> buffered = new TreeMap<>();
   private long delivered;
   private long dropped;
-  private long total = -1;
+  private long totalChunks = -1;
 
   /**
    * Creates a sequencer.
@@ -33,7 +33,7 @@
     checkArgument(delivered >= 0, "delivered must not be negative, was %s", delivered);
     checkArgument(ahead > 0, "ahead must be above 0, was %s", ahead);
     this.delivered = delivered;
-    this.ahead = ahead;
+    this.maxAhead = ahead;
   }
 
   /**
@@ -44,19 +44,19 @@
    */
   public List<byte[]> accept(long sequence, byte[] data) {
     checkArgument(sequence > 0, "sequence must be above 0, was %s", sequence);
-    boolean afterEnd = total >= 0 && sequence > total;
-    if (sequence <= delivered || sequence > delivered + ahead || afterEnd) {
+    boolean afterEnd = totalChunks >= 0 && sequence > totalChunks;
+    if (sequence <= delivered || sequence > delivered + maxAhead || afterEnd) {
       dropped++;
       return List.of();
     }
-    if (early.putIfAbsent(sequence, data) != null) {
+    if (buffered.putIfAbsent(sequence, data) != null) {
       dropped++;
       return List.of();
     }
     List<byte[]> ready = new ArrayList<>();
-    for (byte[] next = early.remove(delivered + 1);
+    for (byte[] next = buffered.remove(delivered + 1);
         next != null;
-        next = early.remove(delivered + 1)) {
+        next = buffered.remove(delivered + 1)) {
       delivered++;
       ready.add(next);
     }
@@ -66,12 +66,12 @@
   /** Records the upstream's end marker: the answer has {@code chunks} chunks. */
   public void end(long chunks) {
     checkArgument(chunks >= 0, "chunks must not be negative");
-    total = chunks;
+    totalChunks = chunks;
   }
 
   /** Returns whether the end marker was seen and everything before it was delivered. */
-  public boolean isWhole() {
-    return total >= 0 && delivered == total;
+  public boolean isComplete() {
+    return totalChunks >= 0 && delivered == totalChunks;
   }
 
   /** Returns the number of the last delivered chunk. */
--- a/sequoia-core/src/main/java/org/sequoiahub/core/stream/EventSplitter.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/stream/EventSplitter.java
@@ -17,7 +17,7 @@
   private final ByteArrayOutputStream pending = new ByteArrayOutputStream();
   private boolean lineEmpty = true;
   private String lastEventId = "";
-  private int whole;
+  private int completeEvents;
 
   /** Takes in a piece of the stream and returns the events that it completes, as they came. */
   public byte[] accept(byte[] piece) {
@@ -26,7 +26,7 @@
       pending.write(next);
       if (next == '\n') {
         if (lineEmpty) {
-          take(complete);
+          completeEvent(complete);
         }
         lineEmpty = true;
       } else if (next != '\r') {
@@ -37,7 +37,7 @@
   }
 
   /** Returns what follows the last whole event, at the stream's proper end. */
-  public byte[] rest() {
+  public byte[] drainRemainder() {
     byte[] rest = pending.toByteArray();
     pending.reset();
     return rest;
@@ -55,11 +55,11 @@
   }
 
   /** Returns how many whole events there were. */
-  public int wholeEvents() {
-    return whole;
+  public int completeEvents() {
+    return completeEvents;
   }
 
-  private void take(ByteArrayOutputStream complete) {
+  private void completeEvent(ByteArrayOutputStream complete) {
     byte[] event = pending.toByteArray();
     pending.reset();
     complete.write(event, 0, event.length);
@@ -68,6 +68,6 @@
         lastEventId = line.substring(ID_FIELD.length()).trim();
       }
     }
-    whole++;
+    completeEvents++;
   }
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/upstream/RunnerRegistry.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/upstream/RunnerRegistry.java
@@ -27,10 +27,10 @@
    */
   public static final long VANISHED_GRACE_MILLIS = 1_000;
 
-  private final Map<String, Known> known = new HashMap<>();
+  private final Map<String, TrackedRunner> runners = new HashMap<>();
 
   /** Incarnations that ended without having said that they leave, by the hash of their key. */
-  private final Map<Long, Ended> ended = new HashMap<>();
+  private final Map<Long, Termination> terminations = new HashMap<>();
 
   private long revision;
 
@@ -48,19 +48,20 @@
 
   /** Takes in one change; returns whether it is news. */
   public boolean apply(Change change, long nowMillis) {
-    Known current = known.get(change.id);
+    TrackedRunner current = runners.get(change.id);
     if (current != null && current.revision >= change.revision) {
       return false;
     }
     RunnerEntry entry = change.entry;
     if (entry == null) {
       if (current == null) {
-        known.put(change.id, new Known(change.revision, null, nowMillis, Long.MAX_VALUE));
+        runners.put(change.id, new TrackedRunner(change.revision, null, nowMillis, Long.MAX_VALUE));
         return false;
       }
-      known.put(
-          change.id, new Known(change.revision, current.entry, nowMillis, current.goneAtMillis));
-      noteEnded(current.entry, nowMillis);
+      runners.put(
+          change.id,
+          new TrackedRunner(change.revision, current.entry, nowMillis, current.terminatesAtMillis));
+      recordTermination(current.entry, nowMillis);
       return true;
     }
     RunnerEntry before = current == null ? null : current.entry;
@@ -71,26 +72,26 @@
     long goneAt =
         entry.remainingMillis() >= 0 ? nowMillis + entry.remainingMillis() : Long.MAX_VALUE;
     if (current != null && sameLife) {
-      goneAt = Math.min(goneAt, current.goneAtMillis);
+      goneAt = Math.min(goneAt, current.terminatesAtMillis);
     }
-    known.put(change.id, new Known(change.revision, entry, -1, goneAt));
-    ended.remove(entry.idHash());
+    runners.put(change.id, new TrackedRunner(change.revision, entry, -1, goneAt));
+    terminations.remove(entry.idHash());
     if (!sameLife) {
-      noteEnded(before, nowMillis);
-      noteEndsAt(entry.address(), change, nowMillis);
+      recordTermination(before, nowMillis);
+      recordTerminationAtAddress(entry.address(), change, nowMillis);
     }
     return true;
   }
 
   /** Another process at an address: the one that was there before has ended. */
-  private void noteEndsAt(String address, Change newcomer, long nowMillis) {
-    for (Map.Entry<String, Known> other : known.entrySet()) {
+  private void recordTerminationAtAddress(String address, Change newcomer, long nowMillis) {
+    for (Map.Entry<String, TrackedRunner> other : runners.entrySet()) {
       RunnerEntry entry = other.getValue().entry;
       if (entry != null
           && !other.getKey().equals(newcomer.id)
           && entry.address().equals(address)
           && other.getValue().revision < newcomer.revision) {
-        noteEnded(entry, nowMillis);
+        recordTermination(entry, nowMillis);
       }
     }
   }
@@ -99,15 +100,15 @@
    * Records that a runner's process has ended, until an entry of it comes again; nothing if it had
    * announced its leaving.
    */
-  public void noteEnded(@Nullable RunnerEntry runner, long nowMillis) {
+  public void recordTermination(@Nullable RunnerEntry runner, long nowMillis) {
     if (runner != null && !runner.leaving()) {
-      ended.putIfAbsent(runner.idHash(), new Ended(runner.id(), nowMillis));
+      terminations.putIfAbsent(runner.idHash(), new Termination(runner.id(), nowMillis));
     }
   }
 
-  /** Returns whether {@link #ended} knows the end of an incarnation. */
-  public boolean hasEnded(long idHash) {
-    return ended.containsKey(idHash);
+  /** Returns whether {@link #terminatedIncarnation} knows the end of an incarnation. */
+  public boolean hasTerminated(long idHash) {
+    return terminations.containsKey(idHash);
   }
 
   /**
@@ -117,12 +118,12 @@
    *
    * @param idHash the hash of the incarnation's key
    */
-  public Optional<String> ended(long idHash) {
-    return Optional.ofNullable(ended.get(idHash)).map(Ended::key);
+  public Optional<String> terminatedIncarnation(long idHash) {
+    return Optional.ofNullable(terminations.get(idHash)).map(Termination::key);
   }
 
   /** Records that all changes up to {@code upTo} have been applied. */
-  public void completeTo(long upTo) {
+  public void markCompleteTo(long upTo) {
     revision = Math.max(revision, upTo);
   }
 
@@ -131,7 +132,7 @@
    *
    * @param unreadable runners whose entries are there and cannot be read; what was known holds
    */
-  public void replace(
+  public void applySnapshot(
       Collection<Change> entries, Set<String> unreadable, long atRevision, long nowMillis) {
     if (atRevision < revision) {
       return;
@@ -141,8 +142,8 @@
       present.add(entry.id);
       apply(entry, nowMillis);
     }
-    for (String id : List.copyOf(known.keySet())) {
-      Known current = known.get(id);
+    for (String id : List.copyOf(runners.keySet())) {
+      TrackedRunner current = runners.get(id);
       if (current != null
           && !present.contains(id)
           && current.vanishedMillis < 0
@@ -150,17 +151,17 @@
         apply(new Change(id, atRevision, null), nowMillis);
       }
     }
-    completeTo(atRevision);
+    markCompleteTo(atRevision);
   }
 
   /** Returns the runners that may be given new requests, those that vanished just now included. */
   public List<RunnerEntry> usable(long nowMillis) {
     List<RunnerEntry> usable = new ArrayList<>();
-    for (Known runner : known.values()) {
+    for (TrackedRunner runner : runners.values()) {
       RunnerEntry entry = runner.entry;
       if (entry != null
           && !entry.leaving()
-          && nowMillis < runner.goneAtMillis
+          && nowMillis < runner.terminatesAtMillis
           && (runner.vanishedMillis < 0
               || nowMillis - runner.vanishedMillis < VANISHED_GRACE_MILLIS)) {
         usable.add(entry);
@@ -170,21 +171,21 @@
   }
 
   /** Returns whether a runner's entry vanished. */
-  public boolean vanished(String runnerId) {
-    Known runner = known.get(runnerId);
+  public boolean hasVanished(String runnerId) {
+    TrackedRunner runner = runners.get(runnerId);
     return runner == null || runner.vanishedMillis >= 0;
   }
 
   /** Returns a runner's latest entry, also if it is leaving or vanished. */
   public Optional<RunnerEntry> find(String id) {
-    Known runner = known.get(id);
+    TrackedRunner runner = runners.get(id);
     return Optional.ofNullable(runner == null ? null : runner.entry);
   }
 
   /** Returns the keys of the incarnations that are known, of runners that left included. */
-  public Set<String> incarnations() {
+  public Set<String> incarnationKeys() {
     Set<String> keys = new HashSet<>();
-    for (Known runner : known.values()) {
+    for (TrackedRunner runner : runners.values()) {
       if (runner.entry != null) {
         keys.add(runner.entry.id());
       }
@@ -193,16 +194,16 @@
   }
 
   /** Forgets runners that vanished long ago. */
-  public void forget(long nowMillis, long afterMillis) {
-    known
+  public void removeExpired(long nowMillis, long afterMillis) {
+    runners
         .values()
         .removeIf(
             runner ->
                 runner.vanishedMillis >= 0 && nowMillis - runner.vanishedMillis > afterMillis);
-    ended.values().removeIf(end -> nowMillis - end.atMillis > afterMillis);
+    terminations.values().removeIf(end -> nowMillis - end.atMillis > afterMillis);
   }
 
-  private record Ended(String key, long atMillis) {}
+  private record Termination(String key, long atMillis) {}
 
   /**
    * One runner.
@@ -210,8 +211,8 @@
    * @param revision the store revision of the latest change
    * @param entry its latest entry
    * @param vanishedMillis when its entry vanished; negative if it is there
-   * @param goneAtMillis when it said that it will be gone
+   * @param terminatesAtMillis when it said that it will be gone
    */
-  private record Known(
-      long revision, @Nullable RunnerEntry entry, long vanishedMillis, long goneAtMillis) {}
+  private record TrackedRunner(
+      long revision, @Nullable RunnerEntry entry, long vanishedMillis, long terminatesAtMillis) {}
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/workspace/KeyHasher.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/workspace/KeyHasher.java
@@ -22,7 +22,7 @@
   }
 
   /** Creates a hasher with a secret drawn from {@code random}. */
-  public static KeyHasher drawn(SecureRandom random) {
+  public static KeyHasher withRandomSecret(SecureRandom random) {
     return new KeyHasher(Hashing.sipHash24(random.nextLong(), random.nextLong()));
   }
 
--- a/sequoia-core/src/main/java/org/sequoiahub/core/workspace/Workspaces.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/workspace/Workspaces.java
@@ -54,7 +54,7 @@
   }
 
   /** Returns the workspace that holds a key. */
-  public Optional<Workspace> holding(HashedKey key) {
+  public Optional<Workspace> findByKey(HashedKey key) {
     return key.isPresent() ? Optional.ofNullable(byKey.get(key)) : Optional.empty();
   }
 
--- a/sequoia-core/src/test/java/org/sequoiahub/core/allowance/FleetSpendingTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/allowance/FleetSpendingTest.java
@@ -21,7 +21,7 @@
       new Workspace("w", 1, new Allowance(1_000, 2_000, Allowance.Unit.TOKENS, 10));
 
   /** A word and when it arrives. */
-  private record Word(long atMillis, ToldSpending told) {}
+  private record Word(long atMillis, SpendingReport told) {}
 
   /** The other host's clock differs from this one's. */
   private static final long OTHER_CLOCK = 7_654_321;
@@ -48,7 +48,7 @@
         spent += 100;
       }
       if (now % 100 == 0 && random.nextInt(5) > 0) {
-        ToldSpending told = there.ownPart(now + OTHER_CLOCK);
+        SpendingReport told = there.localReport(now + OTHER_CLOCK);
         words.add(new Word(now + random.nextInt(200), told));
         if (random.nextInt(4) == 0) {
           words.add(new Word(now + random.nextInt(200), told));
@@ -57,18 +57,18 @@
       for (Word word : List.copyOf(words)) {
         if (word.atMillis <= now) {
           words.remove(word);
-          here.told("other", "other 1", word.told, now);
+          here.applyReport("other", "other 1", word.told, now);
         }
       }
     }
     long known = 0;
-    for (long slot = Slots.index(9_000); slot <= Slots.index(16_000); slot++) {
-      known += here.known("w", slot);
+    for (long slot = SpendingSlots.index(9_000); slot <= SpendingSlots.index(16_000); slot++) {
+      known += here.fleetSpent("w", slot);
     }
     assertThat(known).isEqualTo(spent);
   }
 
-  private static long newest(ToldSpending told) {
+  private static long newest(SpendingReport told) {
     return requireNonNull(told.spent().get("w")).get(0);
   }
 
@@ -78,13 +78,13 @@
     spending.add("w", 5, 10_000);
     FleetSpending other = new FleetSpending(8_000);
     other.add("w", 7, 10_000);
-    spending.told("a", "a 1", other.ownPart(10_000), 10_000);
-    spending.told("b", "b 1", other.ownPart(10_000), 10_000);
-    ToldSpending some = spending.sums(source -> source.equals("a"), 2, 10_000);
-    assertThat(some.hosts()).isEqualTo(2);
+    spending.applyReport("a", "a 1", other.localReport(10_000), 10_000);
+    spending.applyReport("b", "b 1", other.localReport(10_000), 10_000);
+    SpendingReport some = spending.aggregateReport(source -> source.equals("a"), 2, 10_000);
+    assertThat(some.hostCount()).isEqualTo(2);
     assertThat(newest(some)).isEqualTo(12);
-    assertThat(newest(spending.whole(10_000))).isEqualTo(19);
-    assertThat(spending.whole(10_000).hosts()).isEqualTo(3);
+    assertThat(newest(spending.fleetReport(10_000))).isEqualTo(19);
+    assertThat(spending.fleetReport(10_000).hostCount()).isEqualTo(3);
   }
 
   /** What a host tells of the whole fleet holds this host's part, which must not count twice. */
@@ -93,10 +93,10 @@
     FleetSpending here = new FleetSpending(8_000);
     FleetSpending delegate = new FleetSpending(8_000);
     here.add("w", 5, 10_000);
-    delegate.told("here", "here 1", here.ownPart(10_100), 10_100);
+    delegate.applyReport("here", "here 1", here.localReport(10_100), 10_100);
     delegate.add("w", 7, 10_100);
-    here.told(FleetSpending.WHOLE, "d 1", delegate.whole(11_000), 11_000);
-    assertThat(here.known("w", Slots.index(10_000))).isEqualTo(12);
+    here.applyReport(FleetSpending.FLEET_TOTAL, "d 1", delegate.fleetReport(11_000), 11_000);
+    assertThat(here.fleetSpent("w", SpendingSlots.index(10_000))).isEqualTo(12);
   }
 
   /** Forged words with ever new names fill no memory, and do not hide what was spent here. */
@@ -109,39 +109,40 @@
       for (int name = 0; name < 100; name++) {
         forged.put("forged-" + word + "-" + name, List.of(-7L, Long.MAX_VALUE));
       }
-      spending.told("x", "x " + word, new ToldSpending(word, 2, 0, 1, forged), 10_000 + word);
+      spending.applyReport(
+          "x", "x " + word, new SpendingReport(word, 2, 0, 1, forged), 10_000 + word);
     }
-    assertThat(spending.known("w", Slots.index(10_000))).isEqualTo(5);
-    assertThat(spending.whole(10_300).spent().size()).isAtMost(4_097);
+    assertThat(spending.fleetSpent("w", SpendingSlots.index(10_000))).isEqualTo(5);
+    assertThat(spending.fleetReport(10_300).spent().size()).isAtMost(4_097);
   }
 
   @Test
   void whatDidNotRunIsGivenBack() {
     FleetSpending spending = new FleetSpending(8_000);
-    AllowanceKeeper keeper =
-        new AllowanceKeeper(spending, AllowanceSettings.DEFAULT, false, () -> 0.999_999, 0);
-    keeper.configured(List.of(LIMITED), 0);
-    assertThat(keeper.take(LIMITED, 2_500, 20_000).granted()).isTrue();
-    AllowanceKeeper.Decision refused = keeper.take(LIMITED, 2_500, 20_000);
+    AllowanceLimiter keeper =
+        new AllowanceLimiter(spending, AllowanceSettings.DEFAULT, false, () -> 0.999_999, 0);
+    keeper.updateAllowances(List.of(LIMITED), 0);
+    assertThat(keeper.tryAcquire(LIMITED, 2_500, 20_000).granted()).isTrue();
+    AllowanceLimiter.Decision refused = keeper.tryAcquire(LIMITED, 2_500, 20_000);
     assertThat(refused.granted()).isFalse();
-    assertThat(refused.retryMillis()).isEqualTo(500);
-    keeper.giveBack(LIMITED, 2_500, 20_000);
-    assertThat(keeper.take(LIMITED, 10, 20_000).granted()).isTrue();
+    assertThat(refused.retryAfterMillis()).isEqualTo(500);
+    keeper.refund(LIMITED, 2_500, 20_000);
+    assertThat(keeper.tryAcquire(LIMITED, 10, 20_000).granted()).isTrue();
   }
 
   @Test
   void refusedRequestTakesNothingAndComesThroughWhenItWasTold() {
-    AllowanceKeeper keeper =
-        new AllowanceKeeper(
+    AllowanceLimiter keeper =
+        new AllowanceLimiter(
             new FleetSpending(8_000), AllowanceSettings.DEFAULT, false, () -> 0.999_999, 0);
-    keeper.configured(List.of(LIMITED), 0);
-    keeper.take(LIMITED, 3_000, 20_000);
+    keeper.updateAllowances(List.of(LIMITED), 0);
+    keeper.tryAcquire(LIMITED, 3_000, 20_000);
     long retry = 0;
     for (int i = 0; i < 50; i++) {
-      retry = keeper.take(LIMITED, 3_000, 20_000).retryMillis();
+      retry = keeper.tryAcquire(LIMITED, 3_000, 20_000).retryAfterMillis();
     }
     assertThat(retry).isEqualTo(1_000);
-    assertThat(keeper.take(LIMITED, 3_000, 20_000 + retry + 1).granted()).isTrue();
+    assertThat(keeper.tryAcquire(LIMITED, 3_000, 20_000 + retry + 1).granted()).isTrue();
   }
 
   /**
@@ -158,20 +159,20 @@
     Random random = new Random(5);
     Workspace workspace =
         new Workspace("w", 1, new Allowance(29_000, 29_000, Allowance.Unit.TOKENS, 200));
-    AllowanceKeeper keeper =
-        new AllowanceKeeper(
+    AllowanceLimiter keeper =
+        new AllowanceLimiter(
             new FleetSpending(8_000), AllowanceSettings.DEFAULT, false, random::nextDouble, 0);
-    keeper.configured(List.of(workspace), 0);
+    keeper.updateAllowances(List.of(workspace), 0);
     long small = 0;
     long smallRefused = 0;
     long granted = 0;
     for (long now = 20_000; now < 60_000; now += 10) {
       if (random.nextInt(8) == 0) {
-        granted += keeper.take(workspace, 9_490, now).granted() ? 9_490 : 0;
+        granted += keeper.tryAcquire(workspace, 9_490, now).granted() ? 9_490 : 0;
       }
       if (random.nextInt(12) == 0) {
         small++;
-        boolean taken = keeper.take(workspace, 885, now).granted();
+        boolean taken = keeper.tryAcquire(workspace, 885, now).granted();
         smallRefused += taken ? 0 : 1;
         granted += taken ? 885 : 0;
       }
--- a/sequoia-core/src/test/java/org/sequoiahub/core/allowance/SlotsTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/allowance/SpendingSlotsTest.java
@@ -10,7 +10,7 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-class SlotsTest {
+class SpendingSlotsTest {
 
   private static final int RING = 12;
 
@@ -19,7 +19,7 @@
   void answersLikeMap(
       @ForAll @Size(min = 1, max = 60) List<@IntRange(min = -20, max = 40) Integer> indexes,
       @ForAll @Size(min = 60, max = 60) List<@IntRange(min = 0, max = 9) Integer> amounts) {
-    Slots slots = new Slots(RING);
+    SpendingSlots slots = new SpendingSlots(RING);
     Map<Long, Long> oracle = new HashMap<>();
     long newest = Long.MIN_VALUE;
     for (int i = 0; i < indexes.size(); i++) {
--- a/sequoia-core/src/test/java/org/sequoiahub/core/dispatch/RetryRuleTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/dispatch/RetryRuleTest.java
@@ -6,7 +6,7 @@
 import net.jqwik.api.Property;
 import net.jqwik.api.constraints.IntRange;
 import org.sequoiahub.core.dispatch.RetryRule.Ending;
-import org.sequoiahub.core.routing.Repetition;
+import org.sequoiahub.core.routing.RepeatPolicy;
 
 /**
  * Symptom: a booking made twice; a request run on more runners than its route allows.
@@ -20,7 +20,7 @@
   @Property(tries = 5_000, seed = "20261214")
   void neverAllowsSecondRunOfWhatRunsOnce(
       @ForAll Ending ending,
-      @ForAll Repetition repetition,
+      @ForAll RepeatPolicy repetition,
       @ForAll @IntRange(min = 1, max = 5) int sends,
       @ForAll @IntRange(max = 4) int earlierRuns,
       @ForAll @IntRange(min = 1, max = 4) int maxAttempts,
@@ -29,7 +29,7 @@
     int runs = earlierRuns + (thisMayHaveRun ? 1 : 0);
     boolean again = RetryRule.mayOfferAgain(ending, repetition, sends, runs, maxAttempts, left);
     if (again && runs > 0) {
-      assertThat(repetition.mayRunAgain()).isTrue();
+      assertThat(repetition.allowsRerun()).isTrue();
       assertThat(runs).isLessThan(maxAttempts);
     }
     if (again) {
--- a/sequoia-core/src/test/java/org/sequoiahub/core/member/CallerHostsTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/member/CallerHostSelectorTest.java
@@ -10,9 +10,9 @@
 import java.util.Set;
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
-import org.sequoiahub.core.member.CallerHosts.Candidate;
+import org.sequoiahub.core.member.CallerHostSelector.Candidate;
 
-class CallerHostsTest {
+class CallerHostSelectorTest {
 
   private static final int DOMAINS = 4;
   private static final int STRONG = 150;
@@ -50,18 +50,18 @@
      */
     @Test
     void strongHostsTakeTheRequests() {
-      List<Candidate> named = CallerHosts.named(fleet(), 170);
+      List<Candidate> named = CallerHostSelector.select(fleet(), 170);
       assertThat(named).hasSize(8);
       assertThat(named.stream().allMatch(host -> host.processor() == STRONG)).isTrue();
     }
 
     @Test
     void moreAreNamedWhenMoreIsAsked() {
-      List<Candidate> calm = CallerHosts.named(fleet(), 170);
-      List<Candidate> busy = CallerHosts.named(fleet(), 600);
+      List<Candidate> calm = CallerHostSelector.select(fleet(), 170);
+      List<Candidate> busy = CallerHostSelector.select(fleet(), 600);
       assertThat(processor(busy)).isAtLeast(600 * 4);
       assertThat(busy).containsAtLeastElementsIn(calm);
-      assertThat(CallerHosts.named(fleet(), 10_000)).hasSize(77);
+      assertThat(CallerHostSelector.select(fleet(), 10_000)).hasSize(77);
     }
   }
 
@@ -71,7 +71,7 @@
     @Test
     void othersAreNamedWhenTheStrongAreGone() {
       List<Candidate> left = fleet().subList(8, 77);
-      List<Candidate> named = CallerHosts.named(left, 170);
+      List<Candidate> named = CallerHostSelector.select(left, 170);
       assertThat(processor(named)).isAtLeast(170 * 4);
       assertThat(named.size()).isLessThan(77 / 2);
     }
@@ -80,7 +80,7 @@
     void eachDomainHasTwo() {
       List<Candidate> fleet = new ArrayList<>(fleet());
       fleet.removeIf(host -> host.failureDomain().equals("z0") && host.processor() == STRONG);
-      List<Candidate> named = CallerHosts.named(fleet, 0);
+      List<Candidate> named = CallerHostSelector.select(fleet, 0);
       for (int domain = 0; domain < DOMAINS; domain++) {
         String name = "z" + domain;
         assertThat(named.stream().filter(host -> host.failureDomain().equals(name)).count())
@@ -90,18 +90,18 @@
 
     @Test
     void lastHostIsNamed() {
-      assertThat(CallerHosts.named(fleet().subList(76, 77), 0)).hasSize(1);
-      assertThat(CallerHosts.named(List.of(), 0)).isEmpty();
+      assertThat(CallerHostSelector.select(fleet().subList(76, 77), 0)).hasSize(1);
+      assertThat(CallerHostSelector.select(List.of(), 0)).isEmpty();
     }
 
     /** Callers close connections to hosts that are no longer named. */
     @Test
     void oneLossMovesFewOthers() {
-      Set<Candidate> before = new HashSet<>(CallerHosts.named(fleet(), 300));
+      Set<Candidate> before = new HashSet<>(CallerHostSelector.select(fleet(), 300));
       for (Candidate lost : before) {
         List<Candidate> left = new ArrayList<>(fleet());
         left.remove(lost);
-        Set<Candidate> after = new HashSet<>(CallerHosts.named(left, 300));
+        Set<Candidate> after = new HashSet<>(CallerHostSelector.select(left, 300));
         assertThat(before.stream().filter(host -> !after.contains(host)).count()).isAtMost(2);
         assertThat(after.stream().filter(host -> !before.contains(host)).count()).isAtMost(5);
       }
@@ -115,8 +115,8 @@
     void hostsChooseAlikeWhateverTheOrderTheyLearntIn() {
       List<Candidate> shuffled = fleet();
       Collections.shuffle(shuffled, new Random(3));
-      assertThat(CallerHosts.named(shuffled, 200))
-          .containsExactlyElementsIn(CallerHosts.named(fleet(), 200))
+      assertThat(CallerHostSelector.select(shuffled, 200))
+          .containsExactlyElementsIn(CallerHostSelector.select(fleet(), 200))
           .inOrder();
     }
   }
--- a/sequoia-core/src/test/java/org/sequoiahub/core/member/DelegatesTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/member/DelegatesTest.java
@@ -44,7 +44,7 @@
       Delegates.groups(fleet(300, 1)).values().forEach(g -> sizes.merge(g, 1, Integer::sum));
       assertThat(sizes).hasSize(16);
       assertThat(sizes.values().stream().max(Integer::compare).get())
-          .isAtMost(Delegates.GROUP_HOSTS);
+          .isAtMost(Delegates.MAX_GROUP_HOSTS);
     }
   }
 
--- a/sequoia-core/src/test/java/org/sequoiahub/core/member/MembersTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/member/MembersTest.java
@@ -12,7 +12,7 @@
       new Members<>("self", new MemberSettings(200, 250, 5, 12, 20_000));
 
   private boolean heard(String host, long incarnation, long number, boolean leaving, long now) {
-    return members.heard(host, "10.0.0." + host, incarnation, number, leaving, "state", now);
+    return members.receive(host, "10.0.0." + host, incarnation, number, leaving, "state", now);
   }
 
   @Nested
@@ -52,8 +52,8 @@
     @Test
     void isSuspectedThenBelieved() {
       heard("1", 1, 1, false, 0);
-      assertThat(members.isSound("1", 999)).isTrue();
-      assertThat(members.isSound("1", 1_000)).isFalse();
+      assertThat(members.isHealthy("1", 999)).isTrue();
+      assertThat(members.isHealthy("1", 1_000)).isFalse();
       assertThat(members.alive(2_399)).hasSize(1);
       assertThat(members.alive(2_400)).isEmpty();
     }
@@ -91,9 +91,9 @@
       for (int host = 0; host < 300; host++) {
         heard("h" + host, 1, 1, false, 0);
       }
-      assertThat(members.periodMillis()).isEqualTo(1_200);
-      assertThat(members.isSound("h7", 5_999)).isTrue();
-      assertThat(members.isSound("h7", 6_000)).isFalse();
+      assertThat(members.heartbeatPeriodMillis()).isEqualTo(1_200);
+      assertThat(members.isHealthy("h7", 5_999)).isTrue();
+      assertThat(members.isHealthy("h7", 6_000)).isFalse();
     }
   }
 
@@ -101,12 +101,12 @@
   class Named {
     @Test
     void areTriedEachSecondUntilTheySpeak() {
-      members.named("10.0.0.1", 0);
-      assertThat(members.toTry(0)).containsExactly("10.0.0.1");
-      assertThat(members.toTry(500)).isEmpty();
-      assertThat(members.toTry(1_000)).containsExactly("10.0.0.1");
+      members.addCandidate("10.0.0.1", 0);
+      assertThat(members.candidatesDue(0)).containsExactly("10.0.0.1");
+      assertThat(members.candidatesDue(500)).isEmpty();
+      assertThat(members.candidatesDue(1_000)).containsExactly("10.0.0.1");
       heard("1", 1, 1, false, 1_100);
-      assertThat(members.toTry(5_000)).isEmpty();
+      assertThat(members.candidatesDue(5_000)).isEmpty();
     }
   }
 }
--- a/sequoia-core/src/test/java/org/sequoiahub/core/member/ArrivalRateTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/member/PeakArrivalRateTest.java
@@ -5,13 +5,13 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-class ArrivalRateTest {
+class PeakArrivalRateTest {
 
-  private final ArrivalRate rate = new ArrivalRate(3);
+  private final PeakArrivalRate rate = new PeakArrivalRate(3);
 
   private void arrive(int count, long atMillis) {
     for (int i = 0; i < count; i++) {
-      rate.arrived(atMillis);
+      rate.recordArrival(atMillis);
     }
   }
 
--- a/sequoia-core/src/test/java/org/sequoiahub/core/quarantine/LoadGuardTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/quarantine/LoadGuardTest.java
@@ -18,25 +18,25 @@
 
   private static final String ADAPTER = "m/a1";
 
-  private final List<RunnerEnd> told = new ArrayList<>();
+  private final List<RunnerTermination> told = new ArrayList<>();
   private final RequestQuarantine quarantine = new RequestQuarantine(QuarantineSettings.DEFAULT);
   private final LoadGuard guard =
       new LoadGuard(
           quarantine,
-          new RunnerEndListener() {
+          new RunnerTerminationListener() {
             @Override
-            public void ended(RunnerEnd end, long nowMillis) {
+            public void onTermination(RunnerTermination end, long nowMillis) {
               told.add(end);
             }
 
             @Override
-            public void cleared(long request, long atMillis, long nowMillis) {}
+            public void onCleared(long request, long atMillis, long nowMillis) {}
           });
 
   /** Orders a load at a runner, which is known to have ended some time after. */
   private void orderAndEnd(long runner, long atMillis, long afterMillis) {
-    guard.ordered(ADAPTER, 1, runner, atMillis);
-    guard.upkeep(ended -> ended == runner, atMillis + afterMillis);
+    guard.recordOrder(ADAPTER, 1, runner, atMillis);
+    guard.detectTerminations(ended -> ended == runner, atMillis + afterMillis);
   }
 
   private void threeEnds() {
@@ -71,16 +71,16 @@
   /** Requests that broke at the runner tell when it ended, long before its entry lapses. */
   @Test
   void theMomentIsTakenFromRequestsThatWereThere() {
-    guard.ordered(ADAPTER, 1, 5, 1_000);
-    quarantine.ended(new RunnerEnd(99, 5, 4_000, 4_500, false, false), 4_500);
-    guard.upkeep(runner -> true, 5_000);
+    guard.recordOrder(ADAPTER, 1, 5, 1_000);
+    quarantine.recordTermination(new RunnerTermination(99, 5, 4_000, 4_500, false, false), 4_500);
+    guard.detectTerminations(runner -> true, 5_000);
     assertThat(told).isEmpty();
   }
 
   @Test
   void goodAnswerWithTheAdapterClearsIt() {
     threeEnds();
-    guard.served(ADAPTER, 1, 3_600);
+    guard.recordSuccess(ADAPTER, 1, 3_600);
     assertThat(guard.mayLoad(ADAPTER, 1, 3_601)).isTrue();
   }
 }
--- a/sequoia-core/src/test/java/org/sequoiahub/core/quarantine/QuarantineWorld.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/quarantine/QuarantineSimulation.java
@@ -18,38 +18,38 @@
  * <p>Callers send streams of their own, ask one and the same thing many times over, and bring
  * requests again that failed. Some requests end each runner that runs them.
  */
-final class QuarantineWorld {
+final class QuarantineSimulation {
 
   /**
    * What is played.
    *
-   * @param quarantined whether the hosts hold requests back
-   * @param memoryLost whether all hosts have just started again
-   * @param deadly requests that end runners
+   * @param quarantineEnabled whether the hosts hold requests back
+   * @param historyLost whether all hosts have just started again
+   * @param deadlyRequests requests that end runners
    * @param sendsPerCall runners that one call may be sent to
    * @param domainLostAtMillis when the runners of one failure domain are lost; negative for never
    */
-  record Load(
-      boolean quarantined,
-      boolean memoryLost,
-      int deadly,
+  record Scenario(
+      boolean quarantineEnabled,
+      boolean historyLost,
+      int deadlyRequests,
       int sendsPerCall,
       long domainLostAtMillis) {}
 
   /** What came of it. */
-  static final class Figures {
+  static final class Results {
     long innocents;
-    long innocentsHeldBack;
-    long pollsHeldBack;
-    long innocentsBroken;
+    long innocentsQuarantined;
+    long pollsQuarantined;
+    long innocentAttemptsLost;
     long deadlyRuns;
     long deadlyRunsPastBound;
 
-    void add(Figures other) {
+    void add(Results other) {
       innocents += other.innocents;
-      innocentsHeldBack += other.innocentsHeldBack;
-      pollsHeldBack += other.pollsHeldBack;
-      innocentsBroken += other.innocentsBroken;
+      innocentsQuarantined += other.innocentsQuarantined;
+      pollsQuarantined += other.pollsQuarantined;
+      innocentAttemptsLost += other.innocentAttemptsLost;
       deadlyRuns += other.deadlyRuns;
       deadlyRunsPastBound += other.deadlyRunsPastBound;
     }
@@ -77,7 +77,7 @@
   /** The store drops a silent runner's entry, and hosts read it (ms). */
   private static final long LAPSE_MILLIS = 4_600;
 
-  private final Load load;
+  private final Scenario load;
   private final Random random;
   private final List<RequestQuarantine> hosts = new ArrayList<>();
   private final List<Runner> runners = new ArrayList<>();
@@ -86,7 +86,7 @@
           Comparator.comparingLong(Event::atMillis).thenComparingLong(Event::number));
   private final Map<Long, Long> endedAt = new HashMap<>();
   private final Map<Long, List<Long>> endsUnder = new HashMap<>();
-  private final Figures figures = new Figures();
+  private final Results figures = new Results();
   private long now;
   private long number;
   private long nextRequest = FIRST_UNIQUE;
@@ -129,12 +129,12 @@
     }
   }
 
-  QuarantineWorld(long seed, Load load) {
+  QuarantineSimulation(long seed, Scenario load) {
     this.random = new Random(seed);
     this.load = load;
     for (int host = 0; host < HOSTS; host++) {
       RequestQuarantine quarantine = new RequestQuarantine(QuarantineSettings.DEFAULT);
-      quarantine.memoryLost(load.memoryLost);
+      quarantine.historyLost(load.historyLost);
       hosts.add(quarantine);
     }
     for (int runner = 0; runner < RUNNERS; runner++) {
@@ -142,10 +142,10 @@
     }
   }
 
-  Figures play() {
+  Results run() {
     after(exponential(STREAMS_PER_MILLI), this::stream);
     after(exponential(POLLS_PER_MILLI), this::poll);
-    for (int i = 0; i < load.deadly; i++) {
+    for (int i = 0; i < load.deadlyRequests; i++) {
       long request = (-1L - i) << Integer.SIZE;
       after(8_000 + random.nextInt(4_000), () -> bringDeadly(request));
     }
@@ -202,10 +202,11 @@
   }
 
   private void place(Arrival arrival, int host) {
-    if (load.quarantined && hosts.get(host).hold(arrival.request, now).isPresent()) {
+    if (load.quarantineEnabled
+        && hosts.get(host).activeQuarantine(arrival.request, now).isPresent()) {
       if (!arrival.deadly) {
-        figures.innocentsHeldBack++;
-        figures.pollsHeldBack += arrival.request < FIRST_UNIQUE_FINGERPRINT ? 1 : 0;
+        figures.innocentsQuarantined++;
+        figures.pollsQuarantined += arrival.request < FIRST_UNIQUE_FINGERPRINT ? 1 : 0;
       }
       return;
     }
@@ -252,10 +253,10 @@
       return;
     }
     long request = attempt.arrival.request;
-    hosts.get(attempt.host).answered(RequestFingerprint.screenOf(request), now);
-    if (hosts.get(attempt.host).cleared(request, now)) {
+    hosts.get(attempt.host).recordSuccess(RequestFingerprint.checksumOf(request), now);
+    if (hosts.get(attempt.host).clear(request, now)) {
       long at = now;
-      tellOthers(attempt.host, other -> other.cleared(request, at));
+      tellOthers(attempt.host, other -> other.clear(request, at));
     }
   }
 
@@ -265,7 +266,7 @@
     endedAt.put(runner.hash, now);
     for (Attempt attempt : runner.running) {
       if (!attempt.arrival.deadly) {
-        figures.innocentsBroken++;
+        figures.innocentAttemptsLost++;
       }
       after(1 + random.nextInt(10), () -> broken(runner, attempt));
     }
@@ -276,10 +277,11 @@
   private void broken(Runner runner, Attempt attempt) {
     Arrival arrival = attempt.arrival;
     boolean begun = now - attempt.startedMillis >= arrival.firstEventMillis;
-    RunnerEnd end =
-        new RunnerEnd(arrival.request, runner.hash, attempt.startedMillis, now, begun, false);
-    if (hosts.get(attempt.host).ended(end, now)) {
-      tellOthers(attempt.host, other -> other.ended(end, now));
+    RunnerTermination end =
+        new RunnerTermination(
+            arrival.request, runner.hash, attempt.startedMillis, now, begun, false);
+    if (hosts.get(attempt.host).recordTermination(end, now)) {
+      tellOthers(attempt.host, other -> other.recordTermination(end, now));
     }
     if (arrival.sends < load.sendsPerCall) {
       place(arrival, attempt.host);
@@ -328,8 +330,8 @@
           return at != null && now - at >= LAPSE_MILLIS;
         };
     for (RequestQuarantine host : hosts) {
-      host.confirm(lapsed);
-      host.forget(now);
+      host.confirmTerminations(lapsed);
+      host.removeExpired(now);
     }
     after(500, this::upkeep);
   }
--- a/sequoia-core/src/test/java/org/sequoiahub/core/quarantine/RequestFingerprintTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/quarantine/RequestFingerprintTest.java
@@ -45,12 +45,12 @@
   @Test
   void cheapHalfIsPartOfTheWhole() {
     byte[] body = bytes("prompt");
-    assertThat(RequestFingerprint.ofGeneration("m/a1", body).screen())
+    assertThat(RequestFingerprint.ofGeneration("m/a1", body).checksum())
         .isEqualTo(
-            RequestFingerprint.screenOf(RequestFingerprint.ofGeneration("m/a1", body).value()));
-    assertThat(RequestFingerprint.ofPlain("GET", "h", "/a", body).screen())
+            RequestFingerprint.checksumOf(RequestFingerprint.ofGeneration("m/a1", body).value()));
+    assertThat(RequestFingerprint.ofPlain("GET", "h", "/a", body).checksum())
         .isEqualTo(
-            RequestFingerprint.screenOf(
+            RequestFingerprint.checksumOf(
                 RequestFingerprint.ofPlain("GET", "h", "/a", body).value()));
   }
 }
--- a/sequoia-core/src/test/java/org/sequoiahub/core/quarantine/RequestQuarantinePropertiesTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/quarantine/RequestQuarantinePropertiesTest.java
@@ -20,17 +20,18 @@
   @Property(tries = 2_000)
   void theOrderInWhichEndsAreLearntDoesNotMatter(
       @ForAll @Size(max = 12) List<@IntRange(max = 2_000) Integer> starts, @ForAll long seed) {
-    List<RunnerEnd> ends = new ArrayList<>();
+    List<RunnerTermination> ends = new ArrayList<>();
     for (int start : starts) {
       long length = 50 + start % 300;
-      ends.add(new RunnerEnd(REQUEST, ends.size(), start, start + length, start % 3 == 0, true));
+      ends.add(
+          new RunnerTermination(REQUEST, ends.size(), start, start + length, start % 3 == 0, true));
     }
     RequestQuarantine inOrder = new RequestQuarantine(SETTINGS);
-    ends.forEach(end -> inOrder.ended(end, 3_000));
+    ends.forEach(end -> inOrder.recordTermination(end, 3_000));
     Collections.shuffle(ends, new Random(seed));
     RequestQuarantine shuffled = new RequestQuarantine(SETTINGS);
-    ends.forEach(end -> shuffled.ended(end, 3_000));
-    assertThat(shuffled.hold(REQUEST, 3_000).map(Hold::untilMillis))
-        .isEqualTo(inOrder.hold(REQUEST, 3_000).map(Hold::untilMillis));
+    ends.forEach(end -> shuffled.recordTermination(end, 3_000));
+    assertThat(shuffled.activeQuarantine(REQUEST, 3_000).map(ActiveQuarantine::untilMillis))
+        .isEqualTo(inOrder.activeQuarantine(REQUEST, 3_000).map(ActiveQuarantine::untilMillis));
   }
 }
--- a/sequoia-core/src/test/java/org/sequoiahub/core/quarantine/RequestQuarantineTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/quarantine/RequestQuarantineTest.java
@@ -6,8 +6,8 @@
 import java.util.Optional;
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
-import org.sequoiahub.core.quarantine.QuarantineWorld.Figures;
-import org.sequoiahub.core.quarantine.QuarantineWorld.Load;
+import org.sequoiahub.core.quarantine.QuarantineSimulation.Results;
+import org.sequoiahub.core.quarantine.QuarantineSimulation.Scenario;
 
 class RequestQuarantineTest {
 
@@ -17,8 +17,8 @@
   private final RequestQuarantine quarantine = new RequestQuarantine(SETTINGS);
 
   private boolean ended(long runner, long started, long ended, boolean confirmed) {
-    return quarantine.ended(
-        new RunnerEnd(REQUEST, runner, started, ended, false, confirmed), ended);
+    return quarantine.recordTermination(
+        new RunnerTermination(REQUEST, runner, started, ended, false, confirmed), ended);
   }
 
   private void threeEnds() {
@@ -33,11 +33,11 @@
     void threeEndsOneAfterTheOtherHoldTheRequestBack() {
       ended(1, 0, 100, true);
       ended(2, 200, 300, true);
-      assertThat(quarantine.hold(REQUEST, 301)).isEqualTo(Optional.empty());
+      assertThat(quarantine.activeQuarantine(REQUEST, 301)).isEqualTo(Optional.empty());
       ended(3, 400, 500, true);
-      Hold hold = quarantine.hold(REQUEST, 501).orElseThrow();
-      assertThat(hold.ends()).hasSize(3);
-      assertThat(hold.untilMillis()).isEqualTo(500 + SETTINGS.holdMillis());
+      ActiveQuarantine hold = quarantine.activeQuarantine(REQUEST, 501).orElseThrow();
+      assertThat(hold.terminations()).hasSize(3);
+      assertThat(hold.untilMillis()).isEqualTo(500 + SETTINGS.quarantineMillis());
     }
 
     /**
@@ -53,7 +53,7 @@
       for (int runner = 0; runner < 4; runner++) {
         ended(runner, 40 + runner, 100 + 10 * runner, true);
       }
-      assertThat(quarantine.hold(REQUEST, 200)).isEqualTo(Optional.empty());
+      assertThat(quarantine.activeQuarantine(REQUEST, 200)).isEqualTo(Optional.empty());
     }
 
     @Test
@@ -69,17 +69,18 @@
     private void endsMidway(int count) {
       for (int runner = 0; runner < count; runner++) {
         long started = 1_000L * runner;
-        quarantine.ended(
-            new RunnerEnd(REQUEST, runner, started, started + 500, true, true), started + 500);
+        quarantine.recordTermination(
+            new RunnerTermination(REQUEST, runner, started, started + 500, true, true),
+            started + 500);
       }
     }
 
     @Test
     void countHalf() {
       endsMidway(5);
-      assertThat(quarantine.hold(REQUEST, 6_000)).isEqualTo(Optional.empty());
+      assertThat(quarantine.activeQuarantine(REQUEST, 6_000)).isEqualTo(Optional.empty());
       endsMidway(6);
-      assertThat(quarantine.hold(REQUEST, 6_000)).isNotEqualTo(Optional.empty());
+      assertThat(quarantine.activeQuarantine(REQUEST, 6_000)).isNotEqualTo(Optional.empty());
     }
   }
 
@@ -95,13 +96,13 @@
      */
     @Test
     void needsTwiceAsMuch() {
-      quarantine.answered(RequestFingerprint.screenOf(REQUEST), 0);
+      quarantine.recordSuccess(RequestFingerprint.checksumOf(REQUEST), 0);
       threeEnds();
-      assertThat(quarantine.hold(REQUEST, 501)).isEqualTo(Optional.empty());
+      assertThat(quarantine.activeQuarantine(REQUEST, 501)).isEqualTo(Optional.empty());
       for (int runner = 4; runner <= 6; runner++) {
         ended(runner, 200 * runner, 200 * runner + 100, true);
       }
-      assertThat(quarantine.hold(REQUEST, 1_400)).isNotEqualTo(Optional.empty());
+      assertThat(quarantine.activeQuarantine(REQUEST, 1_400)).isNotEqualTo(Optional.empty());
     }
   }
 
@@ -112,9 +113,9 @@
       ended(1, 0, 100, false);
       ended(2, 200, 300, false);
       ended(3, 400, 500, false);
-      assertThat(quarantine.hold(REQUEST, 501)).isNotEqualTo(Optional.empty());
-      long later = 100 + SETTINGS.suspicionMillis();
-      assertThat(quarantine.hold(REQUEST, later)).isEqualTo(Optional.empty());
+      assertThat(quarantine.activeQuarantine(REQUEST, 501)).isNotEqualTo(Optional.empty());
+      long later = 100 + SETTINGS.unconfirmedRetentionMillis();
+      assertThat(quarantine.activeQuarantine(REQUEST, later)).isEqualTo(Optional.empty());
     }
 
     @Test
@@ -122,9 +123,9 @@
       ended(1, 0, 100, false);
       ended(2, 200, 300, false);
       ended(3, 400, 500, false);
-      quarantine.confirm(runner -> true);
-      long later = 100 + SETTINGS.suspicionMillis();
-      assertThat(quarantine.hold(REQUEST, later)).isNotEqualTo(Optional.empty());
+      quarantine.confirmTerminations(runner -> true);
+      long later = 100 + SETTINGS.unconfirmedRetentionMillis();
+      assertThat(quarantine.activeQuarantine(REQUEST, later)).isNotEqualTo(Optional.empty());
     }
   }
 
@@ -137,13 +138,13 @@
      */
     @Test
     void twoEndsAreEnoughWhileItMayHaveBeenHeldBackBefore() {
-      quarantine.memoryLost(true);
+      quarantine.historyLost(true);
       ended(1, 0, 100, true);
-      assertThat(quarantine.hold(REQUEST, 101)).isEqualTo(Optional.empty());
+      assertThat(quarantine.activeQuarantine(REQUEST, 101)).isEqualTo(Optional.empty());
       ended(2, 200, 300, true);
-      assertThat(quarantine.hold(REQUEST, 301)).isNotEqualTo(Optional.empty());
-      quarantine.memoryLost(false);
-      assertThat(quarantine.hold(REQUEST, 302)).isEqualTo(Optional.empty());
+      assertThat(quarantine.activeQuarantine(REQUEST, 301)).isNotEqualTo(Optional.empty());
+      quarantine.historyLost(false);
+      assertThat(quarantine.activeQuarantine(REQUEST, 302)).isEqualTo(Optional.empty());
     }
   }
 
@@ -153,9 +154,9 @@
     void goodAnswerClearsWhatWasBefore() {
       ended(1, 0, 100, true);
       ended(2, 200, 300, true);
-      assertThat(quarantine.cleared(REQUEST, 350)).isTrue();
+      assertThat(quarantine.clear(REQUEST, 350)).isTrue();
       ended(3, 400, 500, true);
-      assertThat(quarantine.hold(REQUEST, 501)).isEqualTo(Optional.empty());
+      assertThat(quarantine.activeQuarantine(REQUEST, 501)).isEqualTo(Optional.empty());
       // Told once more by a host that does not know of the answer.
       assertThat(ended(1, 0, 100, true)).isFalse();
     }
@@ -163,16 +164,16 @@
     @Test
     void afterTheHoldOneMoreEndBringsItBack() {
       threeEnds();
-      long until = 500 + SETTINGS.holdMillis();
-      assertThat(quarantine.hold(REQUEST, until)).isEqualTo(Optional.empty());
+      long until = 500 + SETTINGS.quarantineMillis();
+      assertThat(quarantine.activeQuarantine(REQUEST, until)).isEqualTo(Optional.empty());
       ended(4, until, until + 50, true);
-      assertThat(quarantine.hold(REQUEST, until + 51)).isNotEqualTo(Optional.empty());
+      assertThat(quarantine.activeQuarantine(REQUEST, until + 51)).isNotEqualTo(Optional.empty());
     }
 
     @Test
     void nothingIsKeptForEver() {
       threeEnds();
-      quarantine.forget(500 + SETTINGS.rememberMillis());
+      quarantine.removeExpired(500 + SETTINGS.confirmedRetentionMillis());
       assertThat(quarantine.isEmpty()).isTrue();
     }
   }
@@ -184,10 +185,11 @@
     void memoryIsBoundedAndWhatCountsMostStays() {
       threeEnds();
       for (int request = 100; request < 1_000_100; request++) {
-        quarantine.ended(new RunnerEnd(request, request, 600, 700, false, true), 700);
+        quarantine.recordTermination(
+            new RunnerTermination(request, request, 600, 700, false, true), 700);
       }
       assertThat(quarantine.size()).isAtMost(2 * SETTINGS.maxRequests());
-      assertThat(quarantine.hold(REQUEST, 700)).isNotEqualTo(Optional.empty());
+      assertThat(quarantine.activeQuarantine(REQUEST, 700)).isNotEqualTo(Optional.empty());
     }
   }
 
@@ -206,10 +208,10 @@
     private static final long NEVER = -1;
     private static final long AMID_THE_ENDS = 11_000;
 
-    private Figures play(Load load) {
-      Figures sum = new Figures();
+    private Results play(Scenario load) {
+      Results sum = new Results();
       for (long seed = 1; seed <= SEEDS; seed++) {
-        sum.add(new QuarantineWorld(seed, load).play());
+        sum.add(new QuarantineSimulation(seed, load).run());
       }
       assertWithMessage("deadly requests sent on past the bound, %s", load)
           .that(sum.deadlyRunsPastBound)
@@ -218,7 +220,7 @@
     }
 
     /** Three ends each, and few more where copies were in flight when the third came. */
-    private void assertThreeEnds(Figures figures, int deadly) {
+    private void assertThreeEnds(Results figures, int deadly) {
       double each = (double) figures.deadlyRuns / SEEDS / deadly;
       assertThat(each).isAtLeast(3.0);
       assertThat(each).isAtMost(3.1);
@@ -227,9 +229,9 @@
     @Test
     void lossOfDomainHoldsNothingBack() {
       for (int sends = 1; sends <= 3; sends++) {
-        Figures figures = play(new Load(true, false, 0, sends, AMID_THE_ENDS));
-        assertThat(figures.innocentsBroken).isAtLeast(SEEDS);
-        assertThat(figures.innocentsHeldBack).isEqualTo(0);
+        Results figures = play(new Scenario(true, false, 0, sends, AMID_THE_ENDS));
+        assertThat(figures.innocentAttemptsLost).isAtLeast(SEEDS);
+        assertThat(figures.innocentsQuarantined).isEqualTo(0);
       }
     }
 
@@ -238,10 +240,10 @@
     void oneDeadlyRequest() {
       for (int sends = 1; sends <= 3; sends++) {
         for (long lostAt : new long[] {NEVER, AMID_THE_ENDS}) {
-          Figures figures = play(new Load(true, false, 1, sends, lostAt));
+          Results figures = play(new Scenario(true, false, 1, sends, lostAt));
           assertThreeEnds(figures, 1);
-          assertThat(figures.innocentsHeldBack * 10_000).isAtMost(figures.innocents);
-          assertThat(figures.pollsHeldBack).isEqualTo(0);
+          assertThat(figures.innocentsQuarantined * 10_000).isAtMost(figures.innocents);
+          assertThat(figures.pollsQuarantined).isEqualTo(0);
         }
       }
     }
@@ -250,10 +252,10 @@
     @Test
     void threeDeadlyRequestsAtOnce() {
       for (int sends = 1; sends <= 3; sends++) {
-        Figures figures = play(new Load(true, false, 3, sends, AMID_THE_ENDS));
+        Results figures = play(new Scenario(true, false, 3, sends, AMID_THE_ENDS));
         assertThreeEnds(figures, 3);
-        assertThat(figures.innocentsHeldBack * 200).isAtMost(figures.innocents);
-        assertThat(figures.pollsHeldBack).isEqualTo(0);
+        assertThat(figures.innocentsQuarantined * 200).isAtMost(figures.innocents);
+        assertThat(figures.pollsQuarantined).isEqualTo(0);
       }
     }
 
@@ -263,17 +265,17 @@
     @Test
     void oneDeadlyRequestAfterLossOfMemory() {
       for (int sends = 1; sends <= 3; sends++) {
-        Figures figures = play(new Load(true, true, 1, sends, NEVER));
+        Results figures = play(new Scenario(true, true, 1, sends, NEVER));
         assertThat((double) figures.deadlyRuns / SEEDS).isAtMost(2.1);
-        assertThat(figures.innocentsHeldBack * 10_000).isAtMost(figures.innocents);
-        assertThat(figures.pollsHeldBack).isEqualTo(0);
+        assertThat(figures.innocentsQuarantined * 10_000).isAtMost(figures.innocents);
+        assertThat(figures.pollsQuarantined).isEqualTo(0);
       }
     }
 
     /** What the figures are compared with: the hosts forget each call. */
     @Test
     void withoutQuarantineRunnersEndOneAfterTheOther() {
-      Figures figures = new QuarantineWorld(1, new Load(false, false, 1, 1, NEVER)).play();
+      Results figures = new QuarantineSimulation(1, new Scenario(false, false, 1, 1, NEVER)).run();
       assertThat(figures.deadlyRunsPastBound).isAtLeast(30);
     }
   }
--- a/sequoia-core/src/test/java/org/sequoiahub/core/retry/RetryAccountTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/retry/RetryAccountTest.java
@@ -21,15 +21,16 @@
     List<RetryAccount> waiting = new ArrayList<>();
     long step = 1_000 / REQUESTS_PER_SECOND;
     for (long now = 0, request = 0; now < DECIDING_MILLIS; now += step, request++) {
-      budget.request("s", now);
+      budget.recordRequest("s", now);
       RetryAccount account = new RetryAccount(budget, "s");
-      assertThat(account.pay(1, now)).isTrue();
-      account.reachedRunner();
+      assertThat(account.tryAcquireSend(1, now)).isTrue();
+      account.recordRunnerReached();
       if (request % FAILS_EACH == 0 && account.maySend(1, now)) {
         waiting.add(account);
       }
     }
-    long sent = waiting.stream().filter(account -> account.pay(1, DECIDING_MILLIS)).count();
+    long sent =
+        waiting.stream().filter(account -> account.tryAcquireSend(1, DECIDING_MILLIS)).count();
     double allowed = settings.ratio() * REQUESTS_PER_SECOND * 10 + settings.allowance();
     assertThat((double) waiting.size()).isGreaterThan(allowed);
     assertThat((double) sent).isAtMost(allowed);
@@ -38,17 +39,17 @@
   @Test
   void sendThatReachedNoRunnerCostsNothing() {
     RetryAccount account = new RetryAccount(budget, "s");
-    assertThat(account.pay(1, 0)).isTrue();
-    assertThat(account.pay(1, 0)).isTrue();
+    assertThat(account.tryAcquireSend(1, 0)).isTrue();
+    assertThat(account.tryAcquireSend(1, 0)).isTrue();
     assertThat(budget.usage("s", 1, 0).taken()).isEqualTo(0);
   }
 
   @Test
   void retryIsTakenOnceUntilItReachesRunner() {
     RetryAccount account = new RetryAccount(budget, "s");
-    account.reachedRunner();
-    assertThat(account.pay(1, 0)).isTrue();
-    assertThat(account.pay(1, 0)).isTrue();
+    account.recordRunnerReached();
+    assertThat(account.tryAcquireSend(1, 0)).isTrue();
+    assertThat(account.tryAcquireSend(1, 0)).isTrue();
     assertThat(budget.usage("s", 1, 0).taken()).isEqualTo(1);
   }
 }
--- a/sequoia-core/src/test/java/org/sequoiahub/core/retry/RetryBudgetRestartTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/retry/RetryBudgetRestartTest.java
@@ -26,11 +26,11 @@
   /** Each host retries as often as it may. */
   private static final double GREEDY = 1;
 
-  private static RetryBudgetWorld world(long seed, List<Integer> requestsPerSecond) {
-    return new RetryBudgetWorld(
+  private static RetryBudgetSimulation world(long seed, List<Integer> requestsPerSecond) {
+    return new RetryBudgetSimulation(
         seed,
         requestsPerSecond,
-        (first, now) -> new SharedRetryBudget(RetryBudgetWorld.SETTINGS, now, first));
+        (first, now) -> new SharedRetryBudget(RetryBudgetSimulation.SETTINGS, now, first));
   }
 
   /** What happens to some hosts. */
@@ -62,8 +62,8 @@
       @ForAll @Size(min = 1, max = 9) List<@IntRange(min = 0, max = 40) Integer> requestsPerSecond,
       @ForAll("steps") List<Step> steps,
       @ForAll long seed) {
-    RetryBudgetWorld world = world(seed, requestsPerSecond);
-    world.pass(12_000, GREEDY);
+    RetryBudgetSimulation world = world(seed, requestsPerSecond);
+    world.advanceTime(12_000, GREEDY);
     for (Step step : steps) {
       int host = step.host() % world.size();
       switch (step.kind()) {
@@ -78,16 +78,16 @@
         }
         default -> {}
       }
-      world.pass(step.thenMillis(), GREEDY);
+      world.advanceTime(step.thenMillis(), GREEDY);
     }
     assertThat(world.worstExcess()).isAtMost(0.0);
   }
 
-  private static void restart(RetryBudgetWorld world, int from, int to, double failing) {
+  private static void restart(RetryBudgetSimulation world, int from, int to, double failing) {
     for (int host = from; host < to; host++) {
       world.kill(host);
     }
-    world.pass(DOWN_MILLIS, failing);
+    world.advanceTime(DOWN_MILLIS, failing);
     for (int host = from; host < to; host++) {
       world.start(host);
     }
@@ -96,26 +96,26 @@
   @Nested
   class SevenHosts {
 
-    private final RetryBudgetWorld world = world(7, RATES);
+    private final RetryBudgetSimulation world = world(7, RATES);
 
     /** Guards against processes that spend their host's part anew after each start. */
     @Test
     void killedAllAtOnceFiveTimesInOneWindow() {
-      world.pass(15_000, GREEDY);
+      world.advanceTime(15_000, GREEDY);
       for (int kill = 0; kill < 5; kill++) {
         restart(world, 0, 7, GREEDY);
-        world.pass(1_000, GREEDY);
+        world.advanceTime(1_000, GREEDY);
       }
-      world.pass(10_000, GREEDY);
+      world.advanceTime(10_000, GREEDY);
       assertThat(world.worstExcess()).isAtMost(0.0);
     }
 
     @Test
     void killedOneAfterTheOther() {
-      world.pass(15_000, GREEDY);
+      world.advanceTime(15_000, GREEDY);
       for (int host = 0; host < 7; host++) {
         restart(world, host, host + 1, GREEDY);
-        world.pass(500, GREEDY);
+        world.advanceTime(500, GREEDY);
       }
       assertThat(world.worstExcess()).isAtMost(0.0);
     }
@@ -124,25 +124,25 @@
     @Test
     void mostRetriesAreServedBesideRestarts() {
       for (double failing : new double[] {0.04, 0.08, 0.12, 0.16}) {
-        RetryBudgetWorld calm = world(7, RATES);
-        calm.pass(30_000, failing);
-        RetryBudgetWorld rolling = world(7, RATES);
-        rolling.pass(15_000, failing);
+        RetryBudgetSimulation calm = world(7, RATES);
+        calm.advanceTime(30_000, failing);
+        RetryBudgetSimulation rolling = world(7, RATES);
+        rolling.advanceTime(15_000, failing);
         for (int host = 0; host < 7; host++) {
           restart(rolling, host, host + 1, failing);
-          rolling.pass(2_000, failing);
+          rolling.advanceTime(2_000, failing);
         }
-        RetryBudgetWorld lost = world(7, RATES);
-        lost.pass(15_000, failing);
+        RetryBudgetSimulation lost = world(7, RATES);
+        lost.advanceTime(15_000, failing);
         restart(lost, 0, 7, failing);
-        lost.pass(10_000, failing);
+        lost.advanceTime(10_000, failing);
         System.out.printf(
             "part of retries served where %.2f fail: calm %.3f, hosts in turn %.3f, all %.3f%n",
-            failing, calm.servedPart(), rolling.servedPart(), lost.servedPart());
+            failing, calm.servedFraction(), rolling.servedFraction(), lost.servedFraction());
         if (failing <= 0.08) {
-          assertThat(calm.servedPart()).isAtLeast(0.99);
-          assertThat(rolling.servedPart()).isAtLeast(0.9);
-          assertThat(lost.servedPart()).isAtLeast(0.8);
+          assertThat(calm.servedFraction()).isAtLeast(0.99);
+          assertThat(rolling.servedFraction()).isAtLeast(0.9);
+          assertThat(lost.servedFraction()).isAtLeast(0.8);
         }
       }
     }
--- a/sequoia-core/src/test/java/org/sequoiahub/core/retry/RetryBudgetWorld.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/retry/RetryBudgetSimulation.java
@@ -11,7 +11,7 @@
  * Hosts that retry as often as they may, in virtual time; their processes end and start again. What
  * runners count is checked as the users count it.
  */
-final class RetryBudgetWorld {
+final class RetryBudgetSimulation {
 
   /** The users' figures. */
   static final RetryBudgetSettings SETTINGS = new RetryBudgetSettings(0.2, 54, 10_000);
@@ -55,7 +55,7 @@
    *
    * @param starter starts a process of a host, the first one or a later one, at a moment
    */
-  RetryBudgetWorld(long seed, List<Integer> requestsPerSecond, Starter starter) {
+  RetryBudgetSimulation(long seed, List<Integer> requestsPerSecond, Starter starter) {
     this.random = new Random(seed);
     this.starter = starter;
     for (int rate : requestsPerSecond) {
@@ -68,7 +68,7 @@
   }
 
   /** Returns which part of the retries that were wanted was sent. */
-  double servedPart() {
+  double servedFraction() {
     return (double) arrivals.size() / (arrivals.size() + denied);
   }
 
@@ -108,7 +108,7 @@
    *
    * @param failing the part of the requests whose first send fails; 1 for as many retries as may be
    */
-  void pass(long millis, double failing) {
+  void advanceTime(long millis, double failing) {
     for (long end = now + millis; now < end; now += TICK_MILLIS) {
       for (Host host : hosts) {
         SharedRetryBudget budget = host.budget;
@@ -125,13 +125,13 @@
     double expected = host.requestsPerSecond * TICK_MILLIS / 1_000;
     int arrived = (int) expected + (random.nextDouble() < expected % 1 ? 1 : 0);
     for (int request = 0; request < arrived; request++) {
-      budget.request(SERVICE, now);
+      budget.recordRequest(SERVICE, now);
       requests.add(now);
       retries += random.nextDouble() < failing ? 1 : 0;
     }
     boolean greedy = failing >= 1;
     for (int retry = 0; greedy || retry < retries; retry++) {
-      if (budget.tryRetry(SERVICE, seen, now)) {
+      if (budget.tryAcquireRetry(SERVICE, seen, now)) {
         arrivals.add(now + random.nextInt(MAX_DELAY_MILLIS));
       } else if (greedy) {
         return;
--- a/sequoia-core/src/test/java/org/sequoiahub/core/retry/SharedRetryBudgetTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/retry/SharedRetryBudgetTest.java
@@ -39,10 +39,10 @@
     for (long now = 50_000; now < 85_000; now += 100) {
       for (int host = 0; host < hosts; host++) {
         for (int i = 0; i < requestsPerSecond.get(host) / 10; i++) {
-          budgets.get(host).request("s", now);
+          budgets.get(host).recordRequest("s", now);
           requests.add(now);
         }
-        while (budgets.get(host).tryRetry("s", hosts, now)) {
+        while (budgets.get(host).tryAcquireRetry("s", hosts, now)) {
           retries.add(now);
         }
       }
@@ -59,7 +59,7 @@
     void idleServiceHasItsPartOfTheAllowance() {
       SharedRetryBudget budget = new SharedRetryBudget(SETTINGS, 0, true);
       int taken = 0;
-      while (budget.tryRetry("s", 9, 1_000)) {
+      while (budget.tryAcquireRetry("s", 9, 1_000)) {
         taken++;
       }
       assertThat(taken).isEqualTo((int) (0.65 * ALLOWANCE / 9));
@@ -68,20 +68,20 @@
     @Test
     void servicesDoNotShare() {
       SharedRetryBudget budget = new SharedRetryBudget(SETTINGS, 0, true);
-      while (budget.tryRetry("s", 1, 1_000)) {
+      while (budget.tryAcquireRetry("s", 1, 1_000)) {
         assertThat(budget.usage("s", 1, 1_000).taken()).isAtMost(54);
       }
-      assertThat(budget.tryRetry("other", 1, 1_000)).isTrue();
+      assertThat(budget.tryAcquireRetry("other", 1, 1_000)).isTrue();
     }
 
     @Test
     void retriesComeBackAfterWindow() {
       SharedRetryBudget budget = new SharedRetryBudget(SETTINGS, 0, true);
-      while (budget.tryRetry("s", 1, 1_000)) {
+      while (budget.tryAcquireRetry("s", 1, 1_000)) {
         assertThat(budget.usage("s", 1, 1_000).taken()).isAtMost(54);
       }
-      assertThat(budget.tryRetry("s", 1, 10_900)).isFalse();
-      assertThat(budget.tryRetry("s", 1, 12_100)).isTrue();
+      assertThat(budget.tryAcquireRetry("s", 1, 10_900)).isFalse();
+      assertThat(budget.tryAcquireRetry("s", 1, 12_100)).isTrue();
     }
   }
 }
--- a/sequoia-core/src/test/java/org/sequoiahub/core/routing/RoutingTableTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/routing/RoutingTableTest.java
@@ -21,7 +21,7 @@
         name,
         host,
         prefix,
-        Repetition.IDEMPOTENT,
+        RepeatPolicy.IDEMPOTENT,
         1_000,
         100,
         0,
@@ -63,7 +63,7 @@
               "r",
               "h",
               "/a/",
-              Repetition.IDEMPOTENT,
+              RepeatPolicy.IDEMPOTENT,
               1_000,
               100,
               0,
@@ -71,10 +71,10 @@
               1,
               0,
               false);
-      assertThat(split.service(0)).isEqualTo("most");
-      assertThat(split.service(0.899)).isEqualTo("most");
-      assertThat(split.service(0.901)).isEqualTo("few");
-      assertThat(split.service(0.999)).isEqualTo("few");
+      assertThat(split.selectService(0)).isEqualTo("most");
+      assertThat(split.selectService(0.899)).isEqualTo("most");
+      assertThat(split.selectService(0.901)).isEqualTo("few");
+      assertThat(split.selectService(0.999)).isEqualTo("few");
     }
 
     @Test
@@ -84,7 +84,7 @@
               "r",
               "h",
               "/a/",
-              Repetition.IDEMPOTENT,
+              RepeatPolicy.IDEMPOTENT,
               1_000,
               100,
               0,
@@ -92,7 +92,7 @@
               1,
               0,
               false);
-      assertThat(split.service(0)).isEqualTo("all");
+      assertThat(split.selectService(0)).isEqualTo("all");
     }
   }
 
--- a/sequoia-core/src/test/java/org/sequoiahub/core/stream/ChunkSequencerPropertiesTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/stream/ChunkSequencerPropertiesTest.java
@@ -41,7 +41,7 @@
         prefix.add("c" + i);
       }
       assertThat(delivered).isEqualTo(prefix);
-      if (sequencer.isWhole()) {
+      if (sequencer.isComplete()) {
         assertThat(delivered).hasSize(CHUNKS);
       }
     }
@@ -49,7 +49,7 @@
 
   private static ChunkSequencer resumed(ChunkSequencer old, boolean ended) {
     ChunkSequencer next = new ChunkSequencer(old.delivered(), 4);
-    if (ended && old.isWhole()) {
+    if (ended && old.isComplete()) {
       next.end(CHUNKS);
     }
     return next;
--- a/sequoia-core/src/test/java/org/sequoiahub/core/stream/EventSplitterTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/stream/EventSplitterTest.java
@@ -42,9 +42,9 @@
       rest.append(event(number));
     }
     feed(splitter, passed, rest.toString(), cuts);
-    passed.writeBytes(splitter.rest());
+    passed.writeBytes(splitter.drainRemainder());
     assertThat(passed.toString(UTF_8)).isEqualTo(all.toString());
-    assertThat(splitter.wholeEvents()).isEqualTo(10);
+    assertThat(splitter.completeEvents()).isEqualTo(10);
   }
 
   private static void feed(
--- a/sequoia-core/src/test/java/org/sequoiahub/core/upstream/RunnerRegistryTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/upstream/RunnerRegistryTest.java
@@ -78,7 +78,7 @@
       book.apply(new Change("r", 1, entry("r", false, -1)), 0);
       book.apply(new Change("r", 2, null), 100);
       assertThat(book.usable(200)).hasSize(1);
-      assertThat(book.vanished("r")).isTrue();
+      assertThat(book.hasVanished("r")).isTrue();
       assertThat(book.usable(100 + RunnerRegistry.VANISHED_GRACE_MILLIS)).isEmpty();
     }
 
@@ -89,7 +89,7 @@
       book.apply(new Change("r", 2, null), 100);
       book.apply(new Change("r", 3, entry("r", false, -1)), 9_000);
       assertThat(book.usable(9_000)).hasSize(1);
-      assertThat(book.vanished("r")).isFalse();
+      assertThat(book.hasVanished("r")).isFalse();
     }
 
     @Test
@@ -105,9 +105,9 @@
       RunnerRegistry book = new RunnerRegistry();
       book.apply(new Change("old", 1, entry("old", false, -1)), 0);
       book.apply(new Change("new", 9, entry("new", false, -1)), 0);
-      book.replace(List.of(), Set.of(), 5, 10);
-      assertThat(book.vanished("old")).isTrue();
-      assertThat(book.vanished("new")).isFalse();
+      book.applySnapshot(List.of(), Set.of(), 5, 10);
+      assertThat(book.hasVanished("old")).isTrue();
+      assertThat(book.hasVanished("new")).isFalse();
     }
   }
 
@@ -142,7 +142,7 @@
       book.apply(new Change("r", 1, life(1_000, 40, true)), 0);
       book.apply(new Change("r", 2, life(2_000, 0, false)), 10);
       assertThat(book.usable(20)).containsExactly(life(2_000, 0, false));
-      assertThat(book.incarnations()).containsExactly("r/2000");
+      assertThat(book.incarnationKeys()).containsExactly("r/2000");
     }
 
     /**
@@ -184,8 +184,8 @@
     void wholeReadingWithUnreadableEntryKeepsWhatWasKnown() {
       RunnerRegistry book = new RunnerRegistry();
       book.apply(new Change("r", 1, entry("r", false, -1)), 0);
-      book.replace(List.of(), Set.of("r"), 5, 10);
-      assertThat(book.vanished("r")).isFalse();
+      book.applySnapshot(List.of(), Set.of("r"), 5, 10);
+      assertThat(book.hasVanished("r")).isFalse();
     }
   }
 
--- a/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/JobScheduler.java
+++ b/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/JobScheduler.java
@@ -230,7 +230,7 @@
       return;
     }
     job.sequencer().end(event.chunks());
-    if (!job.sequencer().isWhole()) {
+    if (!job.sequencer().isComplete()) {
       resumeStream(job, "chunks are missing before the end marker");
       return;
     }
--- a/sequoia-entry/src/main/java/org/sequoiahub/entry/Flight.java
+++ b/sequoia-entry/src/main/java/org/sequoiahub/entry/Flight.java
@@ -195,7 +195,7 @@
   /** Takes in the end marker; returns whether the answer is whole. */
   boolean end(long chunks) {
     sequencer.end(chunks);
-    return sequencer.isWhole();
+    return sequencer.isComplete();
   }
 
   /** Passes the end of a whole answer on. */
--- a/sequoia-entry/src/main/java/org/sequoiahub/entry/InFlightRequests.java
+++ b/sequoia-entry/src/main/java/org/sequoiahub/entry/InFlightRequests.java
@@ -123,7 +123,7 @@
     flights.put(flight.number(), flight);
     event.caller().span().setAttribute("adapter", flight.adapter().exactName());
     event.caller().reply().header(Headers.ADAPTER, flight.adapter().exactName());
-    budget.firstAttempt();
+    budget.recordFirstAttempt();
     run(flight);
   }
 
@@ -316,7 +316,7 @@
       reach(flight, false);
     } else if (RUNNER_REFUSALS.contains(outcome.getReason())
         && runner != null
-        && budget.tryRetry()) {
+        && budget.tryAcquireRetry()) {
       retries.inc();
       flight.excludedRunners().add(runner.id());
       run(flight);
@@ -350,7 +350,7 @@
    */
   private void retryRun(Flight flight, String reason) {
     boolean late = nowMillis >= flight.deadlineMillis();
-    if (flight.delivered() > 0 || late || !budget.tryRetry()) {
+    if (flight.delivered() > 0 || late || !budget.tryAcquireRetry()) {
       Verdict verdict = flight.combine(new MayHaveRun(reason, "the request was lost; repeat it"));
       finish(flight, verdict, HttpStatus.BAD_GATEWAY_502);
       return;
--- a/sequoia-entry/src/main/java/org/sequoiahub/entry/ServiceFrontEnd.java
+++ b/sequoia-entry/src/main/java/org/sequoiahub/entry/ServiceFrontEnd.java
@@ -179,7 +179,7 @@
       return;
     }
     inProgress++;
-    budget.firstAttempt();
+    budget.recordFirstAttempt();
     List<Host> others = hosts.stream().filter(h -> !h.id().equals(host.get().id())).toList();
     WireClient client = dispatchers.client(host.get());
     client.call(
@@ -199,7 +199,7 @@
       List<Host> others,
       Outcome outcome,
       long nowMillis) {
-    if (outcome.getComplete() || others.isEmpty() || !budget.tryRetry()) {
+    if (outcome.getComplete() || others.isEmpty() || !budget.tryAcquireRetry()) {
       answered(caller, outcome);
     } else {
       inProgress--;
@@ -210,7 +210,7 @@
   private void retry(
       ServiceCall.Builder message, CallerContext caller, List<Host> others, long nowMillis) {
     inProgress--;
-    if (others.isEmpty() || !budget.tryRetry()) {
+    if (others.isEmpty() || !budget.tryAcquireRetry()) {
       inProgress++;
       doubt(caller, "dispatcher-lost", "the dispatcher's connection is gone");
     } else {
--- a/sequoia-node/src/main/java/org/sequoiahub/node/Node.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/Node.java
@@ -14,7 +14,7 @@
 import java.util.concurrent.CountDownLatch;
 import java.util.concurrent.TimeUnit;
 import org.eclipse.jetty.client.HttpClient;
-import org.sequoiahub.core.allowance.AllowanceKeeper;
+import org.sequoiahub.core.allowance.AllowanceLimiter;
 import org.sequoiahub.core.allowance.FleetSpending;
 import org.sequoiahub.core.dispatch.FleetLoad;
 import org.sequoiahub.core.dispatch.Shutdown;
@@ -140,7 +140,7 @@
   private final Holdings holdings = new Holdings();
   private final FleetLoad loads = new FleetLoad();
   private final FleetSpending spending;
-  private final AllowanceKeeper allowances;
+  private final AllowanceLimiter allowances;
   private final RunnerRegistry book = new RunnerRegistry();
   private final StoreRegistry store;
   private final FleetView fleet;
@@ -185,9 +185,9 @@
             MonotonicClock.SYSTEM);
     this.spending = new FleetSpending(host.allowances().windowMillis());
     this.allowances =
-        new AllowanceKeeper(
+        new AllowanceLimiter(
             spending, host.allowances(), host.expectsOthers(), random::nextDouble, startedMillis);
-    KeyHasher keys = KeyHasher.drawn(new SecureRandom());
+    KeyHasher keys = KeyHasher.withRandomSecret(new SecureRandom());
     RecordDecoder decoder = new RecordDecoder(keys);
     this.store = new StoreRegistry(decoder, book, this::inForce, this::changed, log);
     this.fleet =
@@ -196,7 +196,7 @@
             holdings,
             loads,
             host.failureDomain(),
-            (name, now) -> name.equals(host.host()) || members.isSound(name, now),
+            (name, now) -> name.equals(host.host()) || members.isHealthy(name, now),
             this::sharingHosts,
             store::newestVersion,
             this::missing);
@@ -476,14 +476,14 @@
       holder.tick(fleet.engines(nowMillis), nowMillis);
     }
     refreshAddresses(nowMillis);
-    members.forget(nowMillis);
-    book.forget(nowMillis, FORGET_MILLIS);
+    members.removeExpired(nowMillis);
+    book.removeExpired(nowMillis, FORGET_MILLIS);
     fleet.forget(nowMillis);
-    knownEnds.memoryLost(hasFleetForgotten(nowMillis));
-    allowances.upkeep(nowMillis);
+    knownEnds.historyLost(hasFleetForgotten(nowMillis));
+    allowances.assumeSilentSpending(nowMillis);
     calls.upkeep(nowMillis);
     quarantine.upkeep(nowMillis);
-    loadGuard.upkeep(book::hasEnded, nowMillis);
+    loadGuard.detectTerminations(book::hasTerminated, nowMillis);
   }
 
   /**
@@ -503,7 +503,7 @@
       oldest = Math.min(oldest, member.incarnation());
     }
     long remembered = System.currentTimeMillis() - oldest;
-    return remembered < QuarantineSettings.DEFAULT.holdMillis();
+    return remembered < QuarantineSettings.DEFAULT.quarantineMillis();
   }
 
   private void changed() {
@@ -517,7 +517,7 @@
 
   private void inForce(RoutingTable table) {
     fleet.table(table);
-    allowances.configured(table.workspaces().all(), MonotonicClock.SYSTEM.nowMillis());
+    allowances.updateAllowances(table.workspaces().all(), MonotonicClock.SYSTEM.nowMillis());
     limits = table.limits();
     callerServer.apply(table.limits());
   }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/Admission.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/Admission.java
@@ -6,8 +6,8 @@
 import java.util.function.Supplier;
 import org.eclipse.jetty.http.HttpStatus;
 import org.jspecify.annotations.Nullable;
-import org.sequoiahub.core.allowance.AllowanceKeeper;
-import org.sequoiahub.core.allowance.AllowanceKeeper.Decision;
+import org.sequoiahub.core.allowance.AllowanceLimiter;
+import org.sequoiahub.core.allowance.AllowanceLimiter.Decision;
 import org.sequoiahub.core.call.Generation;
 import org.sequoiahub.core.routing.Route;
 import org.sequoiahub.core.routing.RoutingTable;
@@ -29,13 +29,13 @@
   private static final long NEVER = -1;
 
   private final Supplier<Optional<RoutingTable>> tables;
-  private final AllowanceKeeper allowances;
+  private final AllowanceLimiter allowances;
   private final WorkspaceMetrics metrics;
   private final EventLog log;
 
   Admission(
       Supplier<Optional<RoutingTable>> tables,
-      AllowanceKeeper allowances,
+      AllowanceLimiter allowances,
       WorkspaceMetrics metrics,
       EventLog log) {
     this.tables = requireNonNull(tables, "tables must not be null");
@@ -90,7 +90,7 @@
     if (route.isEmpty()) {
       return new Denied(HttpStatus.NOT_FOUND_404, "no route", NEVER);
     }
-    Optional<Workspace> workspace = table.get().workspaces().holding(headers.key());
+    Optional<Workspace> workspace = table.get().workspaces().findByKey(headers.key());
     if (needsKey(table.get(), route.get()) && workspace.isEmpty()) {
       return new Denied(HttpStatus.UNAUTHORIZED_401, "unknown key", NEVER);
     }
@@ -98,7 +98,7 @@
       return new Denied(HttpStatus.BAD_REQUEST_400, "the request has no id", NEVER);
     }
     return new Permitted(
-        table.get(), route.get(), route.get().open() ? null : workspace.orElse(null));
+        table.get(), route.get(), route.get().anonymousAccess() ? null : workspace.orElse(null));
   }
 
   /** Takes a request's cost from its workspace's allowance; empty if it may be served. */
@@ -109,7 +109,7 @@
     }
     metrics.asked(workspace);
     long cost = workspace.allowance().cost(headers.generation());
-    Decision decision = allowances.take(workspace, cost, nowMillis);
+    Decision decision = allowances.tryAcquire(workspace, cost, nowMillis);
     if (decision.granted()) {
       return Optional.empty();
     }
@@ -127,12 +127,12 @@
         "per_second",
         workspace.allowance().perSecond(),
         "retry_ms",
-        decision.retryMillis());
+        decision.retryAfterMillis());
     return Optional.of(
         new Denied(
             HttpStatus.TOO_MANY_REQUESTS_429,
             "the workspace's allowance is used up",
-            decision.retryMillis()));
+            decision.retryAfterMillis()));
   }
 
   /** Gives back what a request cost that has not run. */
@@ -140,7 +140,7 @@
     Workspace workspace = permitted.workspace();
     if (workspace != null) {
       long cost = workspace.allowance().cost(headers.generation());
-      allowances.giveBack(workspace, cost, takenMillis);
+      allowances.refund(workspace, cost, takenMillis);
     }
   }
 
@@ -154,10 +154,10 @@
     if (workspace == null || now == permitted.table()) {
       return false;
     }
-    return now.workspaces().holding(headers.key()).isEmpty() && now.workspaces().areConfigured();
+    return now.workspaces().findByKey(headers.key()).isEmpty() && now.workspaces().areConfigured();
   }
 
   private static boolean needsKey(RoutingTable table, Route route) {
-    return table.workspaces().areConfigured() && !route.open();
+    return table.workspaces().areConfigured() && !route.anonymousAccess();
   }
 }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/FleetView.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/FleetView.java
@@ -96,8 +96,10 @@
     table = now;
     pauses.clear();
     for (Route route : now.routes()) {
-      if (route.repetition().isStream() && route.pauseMillis() > 0) {
-        route.services().forEach(to -> pauses.merge(to.service(), route.pauseMillis(), Math::min));
+      if (route.repeatPolicy().isStream() && route.maxEventGapMillis() > 0) {
+        route
+            .services()
+            .forEach(to -> pauses.merge(to.service(), route.maxEventGapMillis(), Math::min));
       }
     }
   }
@@ -212,7 +214,7 @@
         residency.ordered,
         results.failureRate(nowMillis),
         results.latencyMillis(),
-        book.vanished(runner.instance()),
+        book.hasVanished(runner.instance()),
         runner.failureDomain().equals(failureDomain));
   }
 
@@ -301,7 +303,7 @@
 
   /** Forgets runners that are gone and refusals that no longer matter. */
   public void forget(long nowMillis) {
-    Set<String> known = book.incarnations();
+    Set<String> known = book.incarnationKeys();
     health.keySet().retainAll(known);
     prompts.keySet().retainAll(known);
     refusedUntil.values().removeIf(until -> until < nowMillis);
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/QuarantineGate.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/QuarantineGate.java
@@ -6,11 +6,11 @@
 import java.util.Iterator;
 import java.util.Optional;
 import java.util.stream.Collectors;
-import org.sequoiahub.core.quarantine.Hold;
+import org.sequoiahub.core.quarantine.ActiveQuarantine;
 import org.sequoiahub.core.quarantine.RequestFingerprint;
 import org.sequoiahub.core.quarantine.RequestQuarantine;
-import org.sequoiahub.core.quarantine.RunnerEnd;
-import org.sequoiahub.core.quarantine.RunnerEndListener;
+import org.sequoiahub.core.quarantine.RunnerTermination;
+import org.sequoiahub.core.quarantine.RunnerTerminationListener;
 import org.sequoiahub.core.upstream.RunnerEntry;
 import org.sequoiahub.core.upstream.RunnerRegistry;
 import org.sequoiahub.runtime.log.EventLog;
@@ -42,7 +42,7 @@
 
   private final RequestQuarantine quarantine;
   private final RunnerRegistry runners;
-  private final RunnerEndListener listener;
+  private final RunnerTerminationListener listener;
   private final MetricRegistry metrics;
   private final EventLog log;
   private final Deque<Unanswered> silent = new ArrayDeque<>();
@@ -58,7 +58,7 @@
   public QuarantineGate(
       RequestQuarantine quarantine,
       RunnerRegistry runners,
-      RunnerEndListener listener,
+      RunnerTerminationListener listener,
       MetricRegistry metrics,
       EventLog log) {
     this.quarantine = quarantine;
@@ -69,31 +69,33 @@
   }
 
   /** Returns why a request may not be sent to a runner now; empty if it may. */
-  Optional<Hold> hold(Call call, long nowMillis) {
-    return quarantine.mayKnow(call.fingerprint().screen())
-        ? quarantine.hold(call.fingerprint().value(), nowMillis)
+  Optional<ActiveQuarantine> hold(Call call, long nowMillis) {
+    return quarantine.mightContain(call.fingerprint().checksum())
+        ? quarantine.activeQuarantine(call.fingerprint().value(), nowMillis)
         : Optional.empty();
   }
 
   /** Returns whether a runner ended under a request lately: it is not sent to two at once. */
   boolean isSuspect(Call call, long nowMillis) {
-    return quarantine.mayKnow(call.fingerprint().screen())
+    return quarantine.mightContain(call.fingerprint().checksum())
         && quarantine.isSuspect(call.fingerprint().value(), nowMillis);
   }
 
   /** Logs and counts that a request was held back, with all that decided it. */
-  void heldBack(Call call, Hold hold, long nowMillis) {
+  void heldBack(Call call, ActiveQuarantine hold, long nowMillis) {
     metrics.counter("requests.held_back").inc();
     log.info(
         "request-held-back",
         "request",
         call.id(),
         "fingerprint",
-        RequestFingerprint.text(call.fingerprint().value()),
+        RequestFingerprint.format(call.fingerprint().value()),
         "caller",
         call.exchange.callerIp(),
         "ends",
-        hold.ends().stream().map(end -> text(end, nowMillis)).collect(Collectors.joining(" ")),
+        hold.terminations().stream()
+            .map(end -> text(end, nowMillis))
+            .collect(Collectors.joining(" ")),
         "for_ms",
         hold.untilMillis() - nowMillis);
   }
@@ -103,13 +105,13 @@
     if (isLeaving(running.runner)) {
       return;
     }
-    boolean proved = runners.hasEnded(running.runner.idHash());
+    boolean proved = runners.hasTerminated(running.runner.idHash());
     ended(end(call, running, nowMillis, proved), nowMillis);
   }
 
   /** Records that nobody listens at a runner's address: its process has ended. */
   void nobodyListens(RunnerEntry runner, long nowMillis) {
-    runners.noteEnded(runner, nowMillis);
+    runners.recordTermination(runner, nowMillis);
   }
 
   /** Records that an attempt was given up without an answer: its runner may have gone silent. */
@@ -126,10 +128,10 @@
 
   /** Records that a request had a good answer. */
   void answered(Call call, long nowMillis) {
-    quarantine.answered(call.fingerprint().screen(), nowMillis);
-    if (quarantine.mayKnow(call.fingerprint().screen())
-        && quarantine.cleared(call.fingerprint().value(), nowMillis)) {
-      listener.cleared(call.fingerprint().value(), nowMillis, nowMillis);
+    quarantine.recordSuccess(call.fingerprint().checksum(), nowMillis);
+    if (quarantine.mightContain(call.fingerprint().checksum())
+        && quarantine.clear(call.fingerprint().value(), nowMillis)) {
+      listener.onCleared(call.fingerprint().value(), nowMillis, nowMillis);
     }
   }
 
@@ -141,7 +143,7 @@
     upkeepMillis = nowMillis;
     for (Iterator<Unanswered> all = silent.iterator(); all.hasNext(); ) {
       Unanswered attempt = all.next();
-      if (runners.hasEnded(attempt.running.runner.idHash())) {
+      if (runners.hasTerminated(attempt.running.runner.idHash())) {
         all.remove();
         ended(end(attempt.call, attempt.running, attempt.givenUpMillis, true), nowMillis);
       } else if (nowMillis - attempt.givenUpMillis >= SILENT_MILLIS) {
@@ -149,8 +151,8 @@
       }
     }
     if (!quarantine.isEmpty()) {
-      quarantine.confirm(runners::hasEnded);
-      quarantine.forget(nowMillis);
+      quarantine.confirmTerminations(runners::hasTerminated);
+      quarantine.removeExpired(nowMillis);
     }
   }
 
@@ -163,29 +165,29 @@
         .orElse(false);
   }
 
-  private void ended(RunnerEnd end, long nowMillis) {
-    if (!quarantine.ended(end, nowMillis)) {
+  private void ended(RunnerTermination end, long nowMillis) {
+    if (!quarantine.recordTermination(end, nowMillis)) {
       return;
     }
     metrics.counter("quarantine.ends").inc();
-    listener.ended(end, nowMillis);
+    listener.onTermination(end, nowMillis);
     quarantine
-        .hold(end.request(), nowMillis)
+        .activeQuarantine(end.request(), nowMillis)
         .ifPresent(
             hold ->
                 log.warning(
                     "request-quarantined",
                     "fingerprint",
-                    RequestFingerprint.text(end.request()),
+                    RequestFingerprint.format(end.request()),
                     "ends",
-                    hold.ends().size(),
+                    hold.terminations().size(),
                     "for_ms",
                     hold.untilMillis() - nowMillis));
   }
 
-  private static RunnerEnd end(
+  private static RunnerTermination end(
       Call call, Call.Running running, long endedMillis, boolean confirmed) {
-    return new RunnerEnd(
+    return new RunnerTermination(
         call.fingerprint().value(),
         running.runner.idHash(),
         Math.min(running.startedMillis, endedMillis),
@@ -194,14 +196,16 @@
         confirmed);
   }
 
-  private String text(RunnerEnd end, long nowMillis) {
+  private String text(RunnerTermination end, long nowMillis) {
     String runner =
-        runners.ended(end.runner()).orElseGet(() -> RequestFingerprint.text(end.runner()));
+        runners
+            .terminatedIncarnation(end.runner())
+            .orElseGet(() -> RequestFingerprint.format(end.runner()));
     return runner
         + "@"
         + (nowMillis - end.endedMillis())
         + "ms"
-        + (end.begun() ? "(begun)" : "")
+        + (end.responseStarted() ? "(begun)" : "")
         + (end.confirmed() ? "" : "(not proved)");
   }
 }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/RequestCoordinator.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/RequestCoordinator.java
@@ -17,7 +17,7 @@
 import org.eclipse.jetty.http.HttpFields;
 import org.eclipse.jetty.http.HttpStatus;
 import org.jspecify.annotations.Nullable;
-import org.sequoiahub.core.allowance.AllowanceKeeper;
+import org.sequoiahub.core.allowance.AllowanceLimiter;
 import org.sequoiahub.core.call.Generation;
 import org.sequoiahub.core.dispatch.Candidate;
 import org.sequoiahub.core.dispatch.GenerationPlacement;
@@ -28,12 +28,12 @@
 import org.sequoiahub.core.dispatch.Shutdown;
 import org.sequoiahub.core.dispatch.StreamLimits;
 import org.sequoiahub.core.holding.Demand;
-import org.sequoiahub.core.quarantine.Hold;
+import org.sequoiahub.core.quarantine.ActiveQuarantine;
 import org.sequoiahub.core.quarantine.LoadGuard;
 import org.sequoiahub.core.quarantine.RequestFingerprint;
 import org.sequoiahub.core.retry.SharedRetryBudget;
 import org.sequoiahub.core.routing.EngineSpec;
-import org.sequoiahub.core.routing.Repetition;
+import org.sequoiahub.core.routing.RepeatPolicy;
 import org.sequoiahub.core.routing.Route;
 import org.sequoiahub.core.upstream.RunnerEntry;
 import org.sequoiahub.core.workspace.KeyHasher;
@@ -130,7 +130,7 @@
   public RequestCoordinator(
       FleetView fleet,
       KeyHasher keys,
-      AllowanceKeeper allowances,
+      AllowanceLimiter allowances,
       UpstreamClient upstreams,
       SharedRetryBudget budget,
       QuarantineGate quarantine,
@@ -181,7 +181,7 @@
   private void accept(
       CallerExchange exchange, CallerHeaders headers, Admission.Permitted permitted, long now) {
     Route route = permitted.route();
-    String service = route.service(random.nextDouble());
+    String service = route.selectService(random.nextDouble());
     long deadline = headers.deadlineMillis() > 0 ? headers.deadlineMillis() : MAX_DEADLINE_MILLIS;
     long wanted = Math.min(deadline, route.timeoutMillis());
     long end = now + wanted;
@@ -300,7 +300,7 @@
       withdrawn(call, nowMillis);
       return;
     }
-    Optional<Hold> hold = quarantine.hold(call, nowMillis);
+    Optional<ActiveQuarantine> hold = quarantine.hold(call, nowMillis);
     if (hold.isPresent()) {
       quarantine.heldBack(call, hold.get(), nowMillis);
       giveUp(call, "held back: runners ended under this request", 0);
@@ -349,7 +349,8 @@
       giveUp(call, "would be late", (long) choice.firstTokenMillis());
       return;
     }
-    Optional<Hold> load = candidate.present() ? Optional.empty() : loadHold(call, nowMillis);
+    Optional<ActiveQuarantine> load =
+        candidate.present() ? Optional.empty() : loadHold(call, nowMillis);
     if (load.isPresent()) {
       quarantine.heldBack(call, load.get(), nowMillis);
       giveUp(
@@ -366,11 +367,11 @@
     }
   }
 
-  private Optional<Hold> loadHold(Call call, long nowMillis) {
+  private Optional<ActiveQuarantine> loadHold(Call call, long nowMillis) {
     String adapter = call.adapter();
     return adapter.isEmpty()
         ? Optional.empty()
-        : loadGuard.hold(adapter, fleet.newestVersion(adapter), nowMillis);
+        : loadGuard.activeQuarantine(adapter, fleet.newestVersion(adapter), nowMillis);
   }
 
   /** Records that a request, and the adapter that it used, had a good answer. */
@@ -378,7 +379,7 @@
     quarantine.answered(call, nowMillis);
     String adapter = call.adapter();
     if (!adapter.isEmpty()) {
-      loadGuard.served(adapter, fleet.newestVersion(adapter), nowMillis);
+      loadGuard.recordSuccess(adapter, fleet.newestVersion(adapter), nowMillis);
     }
   }
 
@@ -513,7 +514,7 @@
         call.adapter(),
         "after_ms",
         nowMillis - call.arrivedMillis);
-    if (call.route.repetition().isStream()) {
+    if (call.route.repeatPolicy().isStream()) {
       call.relay.expect(running.number);
     }
     running.attempt =
@@ -524,7 +525,7 @@
             call.id(),
             CallerDialect.toRunner(call.exchange.headers(), ours),
             call.exchange.body(),
-            call.route.repetition().isStream(),
+            call.route.repeatPolicy().isStream(),
             new Follower(call, running));
   }
 
@@ -620,7 +621,7 @@
         "request",
         call.id(),
         "fingerprint",
-        RequestFingerprint.text(call.fingerprint().value()),
+        RequestFingerprint.format(call.fingerprint().value()),
         "caller",
         call.exchange.callerIp(),
         "runner",
@@ -690,13 +691,13 @@
     boolean again =
         RetryRule.mayOfferAgain(
             ending,
-            call.route.repetition(),
+            call.route.repeatPolicy(),
             call.sends,
             call.runs,
             call.route.maxAttempts(),
             call.endMillis() - now);
     if (RetryRule.drawsOnBudget(ending)) {
-      call.retries.reachedRunner();
+      call.retries.recordRunnerReached();
     }
     if (again && retries.maySendAgain(call, now)) {
       place(call, now);
@@ -723,7 +724,7 @@
   private void giveUp(Call call, String why, long retryMillis) {
     long now = clock.getAsLong();
     cancelAll(call, "given up");
-    Optional<Hold> hold = quarantine.hold(call, now);
+    Optional<ActiveQuarantine> hold = quarantine.hold(call, now);
     boolean started = call.exchange.isStarted();
     if (started) {
       call.exchange.breakOff(why);
@@ -756,8 +757,8 @@
   private void watchRunning(Call call, long nowMillis) {
     Call.Running newest = call.running.get(call.running.size() - 1);
     long silent = nowMillis - Math.max(newest.startedMillis, call.relay.lastPieceMillis());
-    Repetition repetition = call.route.repetition();
-    if (repetition == Repetition.IDEMPOTENT) {
+    RepeatPolicy repetition = call.route.repeatPolicy();
+    if (repetition == RepeatPolicy.IDEMPOTENT) {
       long patience = (long) (call.route.targetLatencyMillis() * HEDGE_PART);
       if (call.running.size() == 1
           && silent >= patience
@@ -765,10 +766,10 @@
           && !quarantine.isSuspect(call, nowMillis)) {
         hedge(call, nowMillis);
       }
-    } else if (repetition == Repetition.RESUMABLE_STREAM
-        && silent >= STREAM_SILENCE_MILLIS + call.route.pauseMillis()
+    } else if (repetition == RepeatPolicy.RESUMABLE_STREAM
+        && silent >= STREAM_SILENCE_MILLIS + call.route.maxEventGapMillis()
         && call.runs + 1 < call.route.maxAttempts()) {
-      call.retries.reachedRunner();
+      call.retries.recordRunnerReached();
       if (retries.mayMove(call, nowMillis)) {
         moveSilent(call, newest, nowMillis);
       }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/RetryGate.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/RetryGate.java
@@ -29,7 +29,7 @@
 
   /** Counts a request and returns its account. */
   RetryAccount opened(String service, long nowMillis) {
-    budget.request(service, nowMillis);
+    budget.recordRequest(service, nowMillis);
     return new RetryAccount(budget, service);
   }
 
@@ -46,12 +46,13 @@
 
   /** Takes what the next send of a request draws on the budget; false if it must not be made. */
   boolean pay(Call call, long nowMillis) {
-    return call.retries.pay(fleet.hosts(nowMillis), nowMillis) || denied(call, "sent", nowMillis);
+    return call.retries.tryAcquireSend(fleet.hosts(nowMillis), nowMillis)
+        || denied(call, "sent", nowMillis);
   }
 
   /** Takes a second send beside one that runs; false if it must not be made. */
   boolean payHedge(Call call, long nowMillis) {
-    return budget.tryRetry(call.service, fleet.hosts(nowMillis), nowMillis);
+    return budget.tryAcquireRetry(call.service, fleet.hosts(nowMillis), nowMillis);
   }
 
   private boolean denied(Call call, String when, long nowMillis) {
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/StreamRelay.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/StreamRelay.java
@@ -42,17 +42,17 @@
       return false;
     }
     lastPieceMillis = nowMillis;
-    boolean none = events.wholeEvents() == 0;
+    boolean none = events.completeEvents() == 0;
     byte[] complete = events.accept(BufferUtil.toArray(piece));
     if (complete.length > 0) {
       exchange.piece(ByteBuffer.wrap(complete));
     }
-    return none && events.wholeEvents() > 0;
+    return none && events.completeEvents() > 0;
   }
 
   /** Completes the answer. */
   synchronized void end() {
-    byte[] rest = events.rest();
+    byte[] rest = events.drainRemainder();
     if (rest.length > 0) {
       exchange.piece(ByteBuffer.wrap(rest));
     }
@@ -64,7 +64,7 @@
   }
 
   synchronized int wholeEvents() {
-    return events.wholeEvents();
+    return events.completeEvents();
   }
 
   synchronized long lastPieceMillis() {
--- a/sequoia-node/src/main/java/org/sequoiahub/node/caller/CallerServer.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/caller/CallerServer.java
@@ -111,7 +111,7 @@
 
   /** Applies limits to present and future connections. */
   public void apply(CallerLimits now) {
-    callerConfiguration.setRequestHeaderSize(now.headerBytes());
+    callerConfiguration.setRequestHeaderSize(now.maxHeaderBytes());
     long idle = Math.max(MIN_IDLE_MILLIS, now.idleTimeoutMillis() + IDLE_MARGIN_MILLIS);
     callers.setIdleTimeout(idle);
     callers.getConnectedEndPoints().forEach(endPoint -> endPoint.setIdleTimeout(idle));
@@ -198,7 +198,7 @@
     private void accept(Request request, Response response, Callback callback) {
       new BodyReader(
               request,
-              limits.get().bodyBytes(),
+              limits.get().maxBodyBytes(),
               body -> requests.accept(new CallerExchange(request, response, callback, body)),
               () -> tooLong(request, response, callback),
               callback::failed)
--- a/sequoia-node/src/main/java/org/sequoiahub/node/holder/HolderChoice.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/holder/HolderChoice.java
@@ -59,8 +59,8 @@
     boolean rolling = false;
     for (Member<HostState> member : members.reachable(nowMillis)) {
       HostState state = member.state();
-      rolling |= member.leaving() && nowMillis - member.heardMillis() < ROLLING_MILLIS;
-      if (members.isSound(member.host(), nowMillis) && state != null) {
+      rolling |= member.leaving() && nowMillis - member.lastSeenMillis() < ROLLING_MILLIS;
+      if (members.isHealthy(member.host(), nowMillis) && state != null) {
         domains.put(member.host(), state.getFailureDomain());
         starts.put(member.host(), member.incarnation());
       }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/holder/HolderService.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/holder/HolderService.java
@@ -501,7 +501,7 @@
   private boolean shouldClaim(RunnerEntry runner, long nowMillis) {
     Optional<Holdings.Holding> holding = holdings.find(runner.id());
     if (holding.isPresent()
-        && members.isSound(holding.get().host(), nowMillis)
+        && members.isHealthy(holding.get().host(), nowMillis)
         && nowMillis - holding.get().toldMillis() < HOLDER_SILENT_MILLIS) {
       return false;
     }
@@ -719,7 +719,7 @@
     long sequence = residency.sequence();
     residency.sent(order, nowMillis);
     if (order.operation() == Order.Operation.LOAD) {
-      loadGuard.ordered(order.target(), order.version(), entry.runner.idHash(), nowMillis);
+      loadGuard.recordOrder(order.target(), order.version(), entry.runner.idHash(), nowMillis);
     }
     log.info(
         "order",
@@ -754,7 +754,7 @@
       int transit) {
     long now = clock.getAsLong();
     if (reply == OrderReply.UNKNOWN && order.operation() == Order.Operation.LOAD) {
-      loadGuard.unanswered(order.target(), order.version(), ordered.idHash(), now);
+      loadGuard.recordUnansweredOrder(order.target(), order.version(), ordered.idHash(), now);
     }
     residency.replied(order, reply, transit, now);
     if (reply != OrderReply.ACCEPTED && reply != OrderReply.DONE) {
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/AliveMarks.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/AliveMarks.java
@@ -58,7 +58,7 @@
       HostState state = member.state();
       if (state != null) {
         digest.addAlive(mark(member, state));
-        digest.addAliveAgesMs((int) Math.max(0, nowMillis - member.heardMillis()));
+        digest.addAliveAgesMs((int) Math.max(0, nowMillis - member.lastSeenMillis()));
       }
     }
     if (!all) {
@@ -72,7 +72,7 @@
     for (int i = 0; i < count; i++) {
       String host = hosts.get(digest.getAlive(i));
       if (host != null) {
-        members.stillHeard(host, heardMillis(digest.getAliveAgesMs(i), nowMillis));
+        members.updateLastSeen(host, heardMillis(digest.getAliveAgesMs(i), nowMillis));
       }
     }
   }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/CallerAddresses.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/CallerAddresses.java
@@ -4,11 +4,11 @@
 
 import java.util.ArrayList;
 import java.util.List;
-import org.sequoiahub.core.member.ArrivalRate;
-import org.sequoiahub.core.member.CallerHosts;
-import org.sequoiahub.core.member.CallerHosts.Candidate;
+import org.sequoiahub.core.member.CallerHostSelector;
+import org.sequoiahub.core.member.CallerHostSelector.Candidate;
 import org.sequoiahub.core.member.Members;
 import org.sequoiahub.core.member.Members.Member;
+import org.sequoiahub.core.member.PeakArrivalRate;
 import org.sequoiahub.schema.peer.HostState;
 import org.sequoiahub.usersplatform.HostSettings;
 
@@ -24,7 +24,7 @@
   private final HostSettings settings;
   private final Members<HostState> members;
   private final FleetShape shape;
-  private final ArrivalRate arrivals = new ArrivalRate(DEMAND_SECONDS);
+  private final PeakArrivalRate arrivals = new PeakArrivalRate(DEMAND_SECONDS);
 
   /** Creates the addresses of a host that has had no request yet. */
   public CallerAddresses(HostSettings settings, Members<HostState> members, FleetShape shape) {
@@ -35,7 +35,7 @@
 
   /** Counts a request that a caller sent to this host. */
   public void arrived(long nowMillis) {
-    arrivals.arrived(nowMillis);
+    arrivals.recordArrival(nowMillis);
   }
 
   /** Returns the requests that came to this host in the busiest of the last seconds. */
@@ -71,7 +71,7 @@
         }
       }
     }
-    List<Candidate> named = shape.isLarge() ? CallerHosts.named(present, demand) : present;
+    List<Candidate> named = shape.isLarge() ? CallerHostSelector.select(present, demand) : present;
     return named.stream().limit(ANSWER_ADDRESSES).map(Candidate::address).toList();
   }
 
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/DigestBuilder.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/DigestBuilder.java
@@ -131,8 +131,8 @@
         HostWord.newBuilder()
             .setHost(member.host())
             .setIncarnation(member.incarnation())
-            .setNumber(member.number())
-            .setAgeMs((int) Math.max(0, nowMillis - member.heardMillis()))
+            .setNumber(member.sequence())
+            .setAgeMs((int) Math.max(0, nowMillis - member.lastSeenMillis()))
             .setState(brief));
   }
 
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/DigestExchange.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/DigestExchange.java
@@ -7,7 +7,7 @@
 import java.util.function.BiConsumer;
 import java.util.function.Supplier;
 import org.sequoiahub.core.allowance.FleetSpending;
-import org.sequoiahub.core.allowance.ToldSpending;
+import org.sequoiahub.core.allowance.SpendingReport;
 import org.sequoiahub.core.dispatch.FleetLoad;
 import org.sequoiahub.core.holding.Holdings;
 import org.sequoiahub.core.member.Members;
@@ -148,7 +148,8 @@
     Map<String, FleetLoad.Use> sums = loads.sums(shape::isNear, nowMillis);
     if (!spending.isUnused()) {
       digest.setSpending(
-          StateCodec.encodeSpending(spending.sums(shape::isNear, shape.groupSize(), nowMillis)));
+          StateCodec.encodeSpending(
+              spending.aggregateReport(shape::isNear, shape.groupSize(), nowMillis)));
     }
     Digest common = digest.build();
     for (Member<HostState> delegate : delegates) {
@@ -167,7 +168,7 @@
     near.addHoldings(digest, holdings, holder -> true, nowMillis);
     DigestBuilder.addLoads(digest, loads.sums(source -> true, nowMillis), runner -> false);
     if (!spending.isUnused()) {
-      digest.setSpending(StateCodec.encodeSpending(spending.whole(nowMillis)));
+      digest.setSpending(StateCodec.encodeSpending(spending.fleetReport(nowMillis)));
     }
     byte[] bytes = datagrams.get().setDigest(digest).build().toByteArray();
     shape.nearOthers(nowMillis).forEach(member -> sender.accept(member.ip(), bytes));
@@ -206,7 +207,7 @@
     for (HostWord word : digest.getWordsList()) {
       HostState state = word.getState();
       boolean news =
-          members.heardOf(
+          members.receiveForwarded(
               word.getHost(),
               state.getIp(),
               word.getIncarnation(),
@@ -250,10 +251,10 @@
 
   private void spendingTold(String teller, Digest digest, long nowMillis) {
     boolean whole = digest.getGroup().isEmpty();
-    String source = whole ? FleetSpending.WHOLE : GROUP_SOURCE + digest.getGroup();
+    String source = whole ? FleetSpending.FLEET_TOTAL : GROUP_SOURCE + digest.getGroup();
     if (whole ? !shape.isDelegate() : coversOthers(source)) {
-      ToldSpending told = StateCodec.decodeSpending(digest.getSpending());
-      spending.told(source, teller, told, nowMillis);
+      SpendingReport told = StateCodec.decodeSpending(digest.getSpending());
+      spending.applyReport(source, teller, told, nowMillis);
     }
   }
 
@@ -263,20 +264,20 @@
    */
   void spendingTold(String host, long incarnation, HostState state, long nowMillis) {
     if (state.hasSpending() && coversOthers(host)) {
-      ToldSpending told = StateCodec.decodeSpending(state.getSpending());
-      spending.told(host, teller(host, incarnation), told, nowMillis);
+      SpendingReport told = StateCodec.decodeSpending(state.getSpending());
+      spending.applyReport(host, teller(host, incarnation), told, nowMillis);
     }
   }
 
   /** Forgets what other sources tell of by now. */
   void upkeep(long nowMillis) {
-    spending.upkeep(this::coversOthers, nowMillis);
+    spending.removeObsoleteSources(this::coversOthers, nowMillis);
     marks.refresh(nowMillis);
   }
 
   /** What delegates tell of the whole fleet stays for a while, as what was spent before. */
   private boolean coversOthers(String source) {
-    if (source.equals(FleetSpending.WHOLE)) {
+    if (source.equals(FleetSpending.FLEET_TOTAL)) {
       return true;
     }
     if (!shape.isLarge()) {
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/FleetShape.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/FleetShape.java
@@ -67,7 +67,7 @@
     Map<String, String> sound = new HashMap<>(groups);
     sound
         .keySet()
-        .removeIf(host -> !host.equals(settings.host()) && !members.isSound(host, nowMillis));
+        .removeIf(host -> !host.equals(settings.host()) && !members.isHealthy(host, nowMillis));
     delegates = Delegates.of(sound, host -> strengths.getOrDefault(host, 0));
     // Two groups that take each other for dead, as after a cut between them, would never speak
     // again if each told living delegates only; so those that would be delegates are told too.
@@ -152,7 +152,7 @@
     Set<String> living = new HashSet<>();
     for (Member<HostState> member : members.reachable(nowMillis)) {
       String group = groups.getOrDefault(member.host(), group());
-      if (members.isSound(member.host(), nowMillis)) {
+      if (members.isHealthy(member.host(), nowMillis)) {
         living.add(group);
       }
       silent.computeIfAbsent(group, g -> new ArrayList<>()).add(member);
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/News.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/News.java
@@ -1,7 +1,7 @@
 package org.sequoiahub.node.peer;
 
 import org.jspecify.annotations.Nullable;
-import org.sequoiahub.core.quarantine.RunnerEnd;
+import org.sequoiahub.core.quarantine.RunnerTermination;
 
 /**
  * One thing to tell other hosts of a request: a runner's end under it, or a good answer since.
@@ -11,9 +11,9 @@
  * @param atMillis when the good answer was complete; 0 for an end
  * @param toAll whether to tell it beyond this host's own group
  */
-record News(@Nullable RunnerEnd end, long request, long atMillis, boolean toAll) {
+record News(@Nullable RunnerTermination end, long request, long atMillis, boolean toAll) {
 
-  static News ended(RunnerEnd end, boolean toAll) {
+  static News ended(RunnerTermination end, boolean toAll) {
     return new News(end, end.request(), 0, toAll);
   }
 
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/PeerHeartbeats.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/PeerHeartbeats.java
@@ -171,7 +171,9 @@
   private void tickLarge(long nowMillis) {
     long since = nowMillis - sentMillis;
     long heartbeat =
-        Math.max(LEAST_HEARTBEAT_MILLIS, Math.min(MOST_HEARTBEAT_MILLIS, members.periodMillis()));
+        Math.max(
+            LEAST_HEARTBEAT_MILLIS,
+            Math.min(MOST_HEARTBEAT_MILLIS, members.heartbeatPeriodMillis()));
     if (since >= heartbeat || (changed && since >= DELEGATE_PERIOD_MILLIS)) {
       tell(shape.nearDelegates(), true, nowMillis);
     }
@@ -182,7 +184,7 @@
     int peers = members.reachable(nowMillis).size();
     long period = Math.max(MIN_PERIOD_MILLIS, (long) peers * MILLIS / STATES_PER_SECOND);
     long since = nowMillis - sentMillis;
-    if (since >= members.periodMillis() || (changed && since >= period)) {
+    if (since >= members.heartbeatPeriodMillis() || (changed && since >= period)) {
       tellAll(nowMillis);
     }
   }
@@ -197,16 +199,16 @@
     changed = false;
     seeds.stream()
         .filter(ip -> !ip.equals(settings.ip()))
-        .forEach(ip -> members.named(ip, nowMillis));
+        .forEach(ip -> members.addCandidate(ip, nowMillis));
     boolean withHoldings = holdingsChanged || nowMillis - holdingsSentMillis >= HOLDINGS_MILLIS;
     if (withHoldings) {
       holdingsChanged = false;
       holdingsSentMillis = nowMillis;
     }
-    boolean complete = whole || nowMillis - completeMillis >= members.periodMillis();
+    boolean complete = whole || nowMillis - completeMillis >= members.heartbeatPeriodMillis();
     HostState.Builder state = ownState.state(withHoldings, complete);
     if (!spending.isUnused()) {
-      state.setSpending(StateCodec.encodeSpending(spending.ownPart(nowMillis)));
+      state.setSpending(StateCodec.encodeSpending(spending.localReport(nowMillis)));
     }
     if (complete) {
       completeMillis = nowMillis;
@@ -214,7 +216,7 @@
     }
     byte[] bytes = datagram().setState(state).build().toByteArray();
     told.forEach(member -> sender.accept(member.ip(), bytes));
-    members.toTry(nowMillis).forEach(ip -> sender.accept(ip, bytes));
+    members.candidatesDue(nowMillis).forEach(ip -> sender.accept(ip, bytes));
   }
 
   /** Returns a datagram of this host, to be given a body. */
@@ -229,9 +231,9 @@
   public void received(String ip, PeerDatagram datagram, long nowMillis) {
     HostState state = datagram.getState();
     boolean known = members.find(datagram.getHost()).isPresent();
-    boolean wasAlive = members.isSound(datagram.getHost(), nowMillis);
+    boolean wasAlive = members.isHealthy(datagram.getHost(), nowMillis);
     boolean news =
-        members.heard(
+        members.receive(
             datagram.getHost(),
             ip,
             datagram.getIncarnation(),
@@ -244,7 +246,7 @@
     }
     for (HostAddress named : state.getGossipList()) {
       if (!named.getIp().equals(settings.ip())) {
-        members.named(named.getIp(), nowMillis);
+        members.addCandidate(named.getIp(), nowMillis);
       }
     }
     if (!wasAlive && !state.getLeaving()) {
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/RunnerEndExchange.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/RunnerEndExchange.java
@@ -12,8 +12,8 @@
 import org.sequoiahub.core.member.Members;
 import org.sequoiahub.core.member.Members.Member;
 import org.sequoiahub.core.quarantine.RequestQuarantine;
-import org.sequoiahub.core.quarantine.RunnerEnd;
-import org.sequoiahub.core.quarantine.RunnerEndListener;
+import org.sequoiahub.core.quarantine.RunnerTermination;
+import org.sequoiahub.core.quarantine.RunnerTerminationListener;
 import org.sequoiahub.schema.peer.ClearedRequest;
 import org.sequoiahub.schema.peer.HostState;
 import org.sequoiahub.schema.peer.PeerDatagram;
@@ -29,7 +29,7 @@
  * that are held back are told to one host drawn at random every second besides, so that nobody
  * stays without them.
  */
-public final class RunnerEndExchange implements RunnerEndListener {
+public final class RunnerEndExchange implements RunnerTerminationListener {
 
   /** Datagrams of news are this far apart at least (ms), and more if many hosts are told. */
   private static final long PERIOD_MILLIS = 20;
@@ -90,20 +90,20 @@
   }
 
   @Override
-  public void ended(RunnerEnd end, long nowMillis) {
+  public void onTermination(RunnerTermination end, long nowMillis) {
     add(end, true, nowMillis);
   }
 
   @Override
-  public void cleared(long request, long atMillis, long nowMillis) {
+  public void onCleared(long request, long atMillis, long nowMillis) {
     urgent.add(News.cleared(request, atMillis, true), nowMillis);
   }
 
   /** Adds an end to what is to be told, with those that it follows: they may be pushed out. */
-  private void add(RunnerEnd end, boolean toAll, long nowMillis) {
-    if (quarantine.isRepeated(end.request())) {
+  private void add(RunnerTermination end, boolean toAll, long nowMillis) {
+    if (quarantine.hasRepeatedTerminations(end.request())) {
       quarantine
-          .endsUnder(end.request())
+          .terminations(end.request())
           .forEach(known -> urgent.add(News.ended(known, toAll), nowMillis));
     } else {
       ordinary.add(News.ended(end, toAll), nowMillis);
@@ -167,7 +167,7 @@
     }
     RunnerEnds.Builder ends = RunnerEnds.newBuilder();
     for (News each : news) {
-      RunnerEnd end = each.end();
+      RunnerTermination end = each.end();
       if (end != null) {
         ends.addEnds(StateCodec.encodeEnd(end, nowMillis));
       } else {
@@ -185,12 +185,12 @@
     List<Member<HostState>> reachable = members.reachable(nowMillis);
     if (!reachable.isEmpty()) {
       String ip = reachable.get(random.nextInt(reachable.size())).ip();
-      tell(ip, quarantine.heldBackEnds(nowMillis), nowMillis);
+      tell(ip, quarantine.quarantinedTerminations(nowMillis), nowMillis);
     }
   }
 
   /** Tells a host of ends, others each time if they are more than a datagram holds. */
-  private void tell(String ip, List<RunnerEnd> known, long nowMillis) {
+  private void tell(String ip, List<RunnerTermination> known, long nowMillis) {
     List<News> told = new ArrayList<>();
     for (int i = 0; i < Math.min(MAX_ITEMS, known.size()); i++) {
       told.add(News.ended(known.get(Math.floorMod(turn++, known.size())), false));
@@ -206,7 +206,7 @@
             || before.incarnation != incarnation
             || nowMillis - before.atMillis >= SILENCE_MILLIS;
     if (missed) {
-      tell(ip, quarantine.repeatedEnds(), nowMillis);
+      tell(ip, quarantine.repeatedTerminations(), nowMillis);
       heard.keySet().removeIf(name -> members.find(name).isEmpty() && !name.equals(host));
     }
   }
@@ -217,19 +217,19 @@
     boolean passesOn = shape.isLarge() && shape.isDelegate();
     for (ClearedRequest cleared : told.getClearedList()) {
       long at = nowMillis - Integer.toUnsignedLong(cleared.getAgoMs());
-      if (quarantine.cleared(cleared.getRequest(), at) && passesOn) {
+      if (quarantine.clear(cleared.getRequest(), at) && passesOn) {
         urgent.add(News.cleared(cleared.getRequest(), at, fromNear), nowMillis);
       }
     }
     List<News> refuted = new ArrayList<>();
     for (org.sequoiahub.schema.peer.RunnerEnd message : told.getEndsList()) {
-      RunnerEnd end = StateCodec.decodeEnd(message, nowMillis);
-      boolean news = quarantine.ended(end, nowMillis);
+      RunnerTermination end = StateCodec.decodeEnd(message, nowMillis);
+      boolean news = quarantine.recordTermination(end, nowMillis);
       if (news && passesOn) {
         add(end, fromNear, nowMillis);
       } else if (!news) {
         quarantine
-            .refutedAt(end)
+            .successAfter(end)
             .ifPresent(at -> refuted.add(News.cleared(end.request(), at, false)));
       }
     }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/StateCodec.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/StateCodec.java
@@ -4,13 +4,13 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
-import org.sequoiahub.core.allowance.ToldSpending;
+import org.sequoiahub.core.allowance.SpendingReport;
 import org.sequoiahub.core.call.Target;
 import org.sequoiahub.core.dispatch.FleetLoad;
 import org.sequoiahub.core.holding.Demand;
 import org.sequoiahub.core.holding.HeldItem;
 import org.sequoiahub.core.holding.Holdings;
-import org.sequoiahub.core.quarantine.RunnerEnd;
+import org.sequoiahub.core.quarantine.RunnerTermination;
 import org.sequoiahub.schema.peer.AdapterDemand;
 import org.sequoiahub.schema.peer.AdapterUse;
 import org.sequoiahub.schema.peer.HeldAdapter;
@@ -65,13 +65,13 @@
   }
 
   /** Encodes what was spent of allowances. */
-  public static Spending encodeSpending(ToldSpending told) {
+  public static Spending encodeSpending(SpendingReport told) {
     Spending.Builder message =
         Spending.newBuilder()
             .setNewestSlot(told.newestSlot())
-            .setSlots(told.slots())
-            .setAgoMs((int) told.agoMillis())
-            .setHosts(told.hosts());
+            .setSlots(told.slotCount())
+            .setAgoMs((int) told.newestSlotAgeMillis())
+            .setHosts(told.hostCount());
     told.spent()
         .forEach(
             (workspace, slots) ->
@@ -81,12 +81,12 @@
   }
 
   /** Decodes what was spent of allowances; more slots than hosts tell are cut off. */
-  static ToldSpending decodeSpending(Spending message) {
+  static SpendingReport decodeSpending(Spending message) {
     Map<String, List<Long>> spent = new HashMap<>();
     message
         .getWorkspacesList()
         .forEach(workspace -> spent.put(workspace.getWorkspace(), workspace.getSpentList()));
-    return new ToldSpending(
+    return new SpendingReport(
         message.getNewestSlot(),
         Math.max(0, Math.min(message.getSlots(), MAX_SLOTS)),
         Integer.toUnsignedLong(message.getAgoMs()),
@@ -149,22 +149,22 @@
   }
 
   /** Encodes a runner's end under a request. */
-  static org.sequoiahub.schema.peer.RunnerEnd encodeEnd(RunnerEnd end, long nowMillis) {
+  static org.sequoiahub.schema.peer.RunnerEnd encodeEnd(RunnerTermination end, long nowMillis) {
     return org.sequoiahub.schema.peer.RunnerEnd.newBuilder()
         .setRequest(end.request())
         .setRunner(end.runner())
         .setStartedAgoMs((int) Math.max(0, nowMillis - end.startedMillis()))
         .setEndedAgoMs((int) Math.max(0, nowMillis - end.endedMillis()))
-        .setBegun(end.begun())
+        .setBegun(end.responseStarted())
         .setConfirmed(end.confirmed())
         .build();
   }
 
   /** Decodes a runner's end under a request; an impossible order of times is put right. */
-  static RunnerEnd decodeEnd(org.sequoiahub.schema.peer.RunnerEnd message, long nowMillis) {
+  static RunnerTermination decodeEnd(org.sequoiahub.schema.peer.RunnerEnd message, long nowMillis) {
     long ended = nowMillis - Integer.toUnsignedLong(message.getEndedAgoMs());
     long started = nowMillis - Integer.toUnsignedLong(message.getStartedAgoMs());
-    return new RunnerEnd(
+    return new RunnerTermination(
         message.getRequest(),
         message.getRunner(),
         Math.min(started, ended),
--- a/sequoia-node/src/main/java/org/sequoiahub/node/store/StoreRegistry.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/store/StoreRegistry.java
@@ -97,7 +97,7 @@
         }
       }
       entries.forEach(this::noteWhetherItMatters);
-      book.replace(entries, unreadable, revision, nowMillis);
+      book.applySnapshot(entries, unreadable, revision, nowMillis);
       missing(items, revision).forEach(this::noteRemoval);
     } else {
       items.forEach(item -> operatorChange(item, false, nowMillis));
@@ -130,7 +130,7 @@
     boolean same =
         before != null
             && now != null
-            && !book.vanished(change.id())
+            && !book.hasVanished(change.id())
             && before.incarnation().equals(now.incarnation())
             && before.address().equals(now.address())
             && before.leaving() == now.leaving();
@@ -150,7 +150,7 @@
       for (Change entry : entries) {
         news |= apply(entry, nowMillis);
       }
-      book.completeTo(revision);
+      book.markCompleteTo(revision);
     } else {
       for (StoredItem item : items) {
         news |= operatorChange(item, false, nowMillis);
@@ -273,7 +273,7 @@
    */
   public void completeTo(long operatorsRevision, long runnersRevision) {
     operatorsCompleteTo = Math.max(operatorsCompleteTo, operatorsRevision);
-    book.completeTo(runnersRevision);
+    book.markCompleteTo(runnersRevision);
   }
 
   /** Returns the operators' records that are newer than {@code revision}. */
--- a/sequoia-node/src/test/java/org/sequoiahub/node/holder/HolderWorld.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/holder/HolderWorld.java
@@ -28,8 +28,8 @@
 import org.sequoiahub.core.quarantine.LoadGuard;
 import org.sequoiahub.core.quarantine.QuarantineSettings;
 import org.sequoiahub.core.quarantine.RequestQuarantine;
-import org.sequoiahub.core.quarantine.RunnerEnd;
-import org.sequoiahub.core.quarantine.RunnerEndListener;
+import org.sequoiahub.core.quarantine.RunnerTermination;
+import org.sequoiahub.core.quarantine.RunnerTerminationListener;
 import org.sequoiahub.core.retry.RetryBudgetSettings;
 import org.sequoiahub.core.routing.EngineSpec;
 import org.sequoiahub.core.routing.ModelSpec;
@@ -48,13 +48,13 @@
 final class HolderWorld {
 
   /** No runner ends by a load here. */
-  private static final RunnerEndListener UNHEARD =
-      new RunnerEndListener() {
+  private static final RunnerTerminationListener UNHEARD =
+      new RunnerTerminationListener() {
         @Override
-        public void ended(RunnerEnd end, long nowMillis) {}
+        public void onTermination(RunnerTermination end, long nowMillis) {}
 
         @Override
-        public void cleared(long request, long atMillis, long nowMillis) {}
+        public void onCleared(long request, long atMillis, long nowMillis) {}
       };
 
   static final int HOSTS = 5;
