--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/AliveMarksTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/AliveMarksTest.java
@@ -25,7 +25,7 @@
   private static void heard(
       Members<HostState> members, long incarnation, boolean leaving, long nowMillis) {
     HostState state = HostState.newBuilder().setReady(true).setLeaving(leaving).build();
-    members.heard("host", "ip", incarnation, nowMillis, leaving, state, nowMillis);
+    members.receive("host", "ip", incarnation, nowMillis, leaving, state, nowMillis);
   }
 
   private void pass(long nowMillis) {
@@ -36,7 +36,7 @@
   }
 
   private long heardMillis() {
-    return receivers.find("host").orElseThrow().heardMillis();
+    return receivers.find("host").orElseThrow().lastSeenMillis();
   }
 
   @Nested
@@ -49,7 +49,7 @@
         heard(tellers, 1, false, now);
         pass(now);
       }
-      assertThat(receivers.isSound("host", 10_000)).isTrue();
+      assertThat(receivers.isHealthy("host", 10_000)).isTrue();
       assertThat(heardMillis()).isEqualTo(9_900);
     }
   }
@@ -64,7 +64,7 @@
     void areAllMarkedByTwoDigests() {
       for (int number = 0; number < HOSTS; number++) {
         HostState state = HostState.newBuilder().setReady(true).build();
-        tellers.heard("host-" + number, "ip-" + number, 1, 1, false, state, 0);
+        tellers.receive("host-" + number, "ip-" + number, 1, 1, false, state, 0);
       }
       List<Member<HostState>> all = tellers.reachable(0);
       Set<Integer> marked = new HashSet<>();
@@ -97,7 +97,7 @@
         pass(now);
       }
       assertThat(heardMillis()).isEqualTo(0);
-      assertThat(receivers.isSound("host", 10_000)).isFalse();
+      assertThat(receivers.isHealthy("host", 10_000)).isFalse();
       assertThat(receivers.alive(10_000)).isEmpty();
     }
   }
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/AllowanceWorld.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/AllowanceWorld.java
@@ -36,7 +36,7 @@
   /** The decision of the product. */
   static final Policy LATE_SUMS =
       (world, host, workspace, cost) ->
-          host.allowances.take(workspace, cost, world.now()).granted();
+          host.allowances.tryAcquire(workspace, cost, world.now()).granted();
 
   final PeerWorld peers;
   private final Policy policy;
@@ -74,7 +74,7 @@
 
   private void configure() {
     for (PeerWorld.Host host : peers.running()) {
-      host.allowances.configured(java.util.List.of(workspace), peers.now());
+      host.allowances.updateAllowances(java.util.List.of(workspace), peers.now());
     }
   }
 
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/CallerAddressesTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/CallerAddressesTest.java
@@ -59,7 +59,7 @@
               .setReady(ready)
               .setRequestsPerSecond(requestsPerSecond)
               .build();
-      members.heard("host-" + number, "ip-" + number, 1, nowMillis, false, state, nowMillis);
+      members.receive("host-" + number, "ip-" + number, 1, nowMillis, false, state, nowMillis);
     }
     shape.refresh(nowMillis);
   }
@@ -104,7 +104,7 @@
       long later = NOW + 15_000;
       for (int number = 9; number <= 76; number++) {
         HostState state = requireNonNull(members.find("host-" + number).orElseThrow().state());
-        members.heard("host-" + number, "ip-" + number, 1, later, false, state, later);
+        members.receive("host-" + number, "ip-" + number, 1, later, false, state, later);
       }
       shape.refresh(later);
       List<String> named = addresses.named(true, later);
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/PeerWorld.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/PeerWorld.java
@@ -12,7 +12,7 @@
 import java.util.function.BiPredicate;
 import java.util.function.Function;
 import org.jspecify.annotations.Nullable;
-import org.sequoiahub.core.allowance.AllowanceKeeper;
+import org.sequoiahub.core.allowance.AllowanceLimiter;
 import org.sequoiahub.core.allowance.AllowanceSettings;
 import org.sequoiahub.core.allowance.FleetSpending;
 import org.sequoiahub.core.dispatch.FleetLoad;
@@ -21,7 +21,7 @@
 import org.sequoiahub.core.member.Members;
 import org.sequoiahub.core.quarantine.QuarantineSettings;
 import org.sequoiahub.core.quarantine.RequestQuarantine;
-import org.sequoiahub.core.quarantine.RunnerEnd;
+import org.sequoiahub.core.quarantine.RunnerTermination;
 import org.sequoiahub.core.retry.RetryBudgetSettings;
 import org.sequoiahub.runtime.log.EventLog;
 import org.sequoiahub.schema.peer.HostState;
@@ -114,8 +114,8 @@
     final FleetLoad loads = new FleetLoad();
     final Holdings holdings = new Holdings();
     final FleetSpending spending = new FleetSpending(ALLOWANCES.windowMillis());
-    final AllowanceKeeper allowances =
-        new AllowanceKeeper(spending, ALLOWANCES, size > 1, random::nextDouble, now);
+    final AllowanceLimiter allowances =
+        new AllowanceLimiter(spending, ALLOWANCES, size > 1, random::nextDouble, now);
     final Set<String> words = new HashSet<>();
     final FleetShape shape;
     final PeerHeartbeats heartbeats;
@@ -177,21 +177,22 @@
 
     /** A runner ends under a request of this host's; the others are told. */
     void runnerEnded(long request, long runner, long startedMillis, long endedMillis) {
-      RunnerEnd end = new RunnerEnd(request, runner, startedMillis, endedMillis, false, true);
-      if (quarantine.ended(end, now)) {
-        runnerEnds.ended(end, now);
+      RunnerTermination end =
+          new RunnerTermination(request, runner, startedMillis, endedMillis, false, true);
+      if (quarantine.recordTermination(end, now)) {
+        runnerEnds.onTermination(end, now);
       }
     }
 
     /** A request of this host's has a good answer. */
     void succeeded(long request) {
-      if (quarantine.cleared(request, now)) {
-        runnerEnds.cleared(request, now, now);
+      if (quarantine.clear(request, now)) {
+        runnerEnds.onCleared(request, now, now);
       }
     }
 
     boolean holdsBack(long request) {
-      return quarantine.hold(request, now).isPresent();
+      return quarantine.activeQuarantine(request, now).isPresent();
     }
 
     private void word(String from, HostState state) {
@@ -318,8 +319,8 @@
         }
         host.heartbeats.tick(now);
         host.runnerEnds.tick(now);
-        host.members.forget(now);
-        host.allowances.upkeep(now);
+        host.members.removeExpired(now);
+        host.allowances.assumeSilentSpending(now);
         host.records.tick(now);
       }
     }
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/RecordWorld.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/RecordWorld.java
@@ -81,7 +81,7 @@
       EventLog log = new EventLog("test", "host-" + host.number);
       this.registry =
           new StoreRegistry(
-              new RecordDecoder(KeyHasher.drawn(new SecureRandom())),
+              new RecordDecoder(KeyHasher.withRandomSecret(new SecureRandom())),
               runners,
               table -> versions.add(table.version()),
               () -> host.heartbeats.changed(),
