--- a/sequoia-core/src/main/java/org/sequoiahub/core/quarantine/ActiveQuarantine.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/quarantine/ActiveQuarantine.java
@@ -3,10 +3,10 @@
 import java.util.List;
 
 /**
- * Why and until when a request is held back.
+ * The quarantine that currently keeps a request from being sent to a runner.
  *
- * @param terminations the ends that decided it, the oldest first
- * @param untilMillis when it may be tried again, on this host's monotonic clock
+ * @param terminations the terminations that led to it, oldest first
+ * @param untilMillis when the request may be tried again, on this host's monotonic clock
  */
 public record ActiveQuarantine(List<RunnerTermination> terminations, long untilMillis) {
 
--- a/sequoia-core/src/main/java/org/sequoiahub/core/quarantine/LoadGuard.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/quarantine/LoadGuard.java
@@ -10,34 +10,44 @@
 import java.util.function.LongPredicate;
 
 /**
- * Holds back the loads of adapters under which runners end.
+ * Quarantines loads of adapters during which runners terminate.
  *
- * <p>An adapter that an engine cannot digest may end the process that loads it. The requests that
- * wait for it then move to another runner, whose holder is mostly another host and orders the load
- * again; the sign is runners that end one after the other, each just after the same order. So a
- * load counts like a request: {@link RequestQuarantine} keeps its ends and holds it back.
+ * <p>An adapter that an engine cannot process may terminate the process that loads it. The requests
+ * that wait for it then move to another runner, whose holder is usually another host and orders the
+ * load again; the symptom is a sequence of runners that terminate, each just after the same order.
+ * A load is therefore treated like a request: {@link RequestQuarantine} records its terminations
+ * and decides about its quarantine.
  *
- * <p>Not safe for use by several threads. All times are of one monotonic clock.
+ * <p>Not thread-safe. All times are of the same monotonic clock.
  */
 public final class LoadGuard {
 
   /**
-   * A runner that ends later than this after the order did not end by the load (ms): a load takes
-   * 250 ms, and a few times as long while many are on their way.
+   * The longest time from a load order to a termination that the load can have caused (ms). A load
+   * takes 250 ms, and a few times as long while many are in flight.
    */
   private static final long MAX_LOAD_MILLIS = 3_000;
 
-  /** The end of a runner is known this long after it at the latest (ms), by its lapsed entry. */
+  /**
+   * The longest time until the termination of a runner is detected, at the latest by its expired
+   * entry (ms).
+   */
   private static final long MAX_DETECTION_MILLIS = 8_000;
 
-  /** Loads that are remembered at most; a holder of six runners orders 45 a second. */
+  /**
+   * The maximum number of orders that are tracked; a holder of six runners orders 45 loads a
+   * second.
+   */
   private static final int MAX_TRACKED_LOADS = 1_024;
 
   private final RequestQuarantine quarantine;
   private final RunnerTerminationListener listener;
   private final Deque<Load> recentLoads = new ArrayDeque<>();
 
-  /** Worked out once: demands are looked at many times a second, and few adapters are asked for. */
+  /**
+   * Fingerprints by target and version. Computing them once suffices: demands are evaluated many
+   * times a second, for few adapters.
+   */
   private final Map<String, Long> fingerprints = RequestQuarantine.boundedMap(MAX_TRACKED_LOADS);
 
   private record Load(long fingerprint, long runner, long orderedMillis) {}
@@ -45,8 +55,8 @@
   /**
    * Creates a guard.
    *
-   * @param quarantine keeps the ends, of loads and requests alike
-   * @param listener told of ends that were not known here
+   * @param quarantine records the terminations of loads and requests alike
+   * @param listener notified of terminations that were not known to this host
    */
   public LoadGuard(RequestQuarantine quarantine, RunnerTerminationListener listener) {
     this.quarantine = requireNonNull(quarantine, "quarantine must not be null");
@@ -58,14 +68,17 @@
     return activeQuarantine(target, version, nowMillis).isEmpty();
   }
 
-  /** Returns why a load is held back; empty if it may be ordered. */
+  /** Returns the quarantine of a load; empty if it may be ordered. */
   public Optional<ActiveQuarantine> activeQuarantine(String target, int version, long nowMillis) {
     return quarantine.isEmpty()
         ? Optional.empty()
         : quarantine.activeQuarantine(fingerprint(target, version), nowMillis);
   }
 
-  /** Records that a request that uses an adapter had a good answer: a runner lived with it. */
+  /**
+   * Records that a request that uses an adapter had a successful response, so that a runner
+   * survived its load.
+   */
   public void recordSuccess(String target, int version, long nowMillis) {
     if (!quarantine.isEmpty()) {
       long load = fingerprint(target, version);
@@ -93,15 +106,18 @@
   }
 
   /**
-   * Records that an order had no reply: its connection broke, as it does when the runner ends by
-   * it. That counts for a short time, unless the runner turns out to have ended.
+   * Records that an order received no reply because its connection broke, as happens when the load
+   * terminates the runner.
+   *
+   * <p>This counts as an unconfirmed termination, and only for a short time unless the runner is
+   * found to have terminated.
    */
   public void recordUnansweredOrder(String target, int version, long runner, long nowMillis) {
     long load = fingerprint(target, version);
-    for (Load ordered : recentLoads) {
-      if (ordered.fingerprint == load && ordered.runner == runner) {
+    for (Load recent : recentLoads) {
+      if (recent.fingerprint == load && recent.runner == runner) {
         recordTermination(
-            new RunnerTermination(load, runner, ordered.orderedMillis, nowMillis, false, false),
+            new RunnerTermination(load, runner, recent.orderedMillis, nowMillis, false, false),
             nowMillis);
         return;
       }
@@ -109,30 +125,33 @@
   }
 
   /**
-   * Looks for runners that ended soon after an order.
+   * Records the terminations of runners that followed an order.
    *
-   * @param hasEnded whether the runner with this hash is known to have ended
+   * @param hasTerminated whether the runner with this hash is known to have terminated
    */
-  public void detectTerminations(LongPredicate hasEnded, long nowMillis) {
+  public void detectTerminations(LongPredicate hasTerminated, long nowMillis) {
     for (Iterator<Load> loads = recentLoads.iterator(); loads.hasNext(); ) {
       Load load = loads.next();
-      boolean ended = hasEnded.test(load.runner);
-      boolean old = nowMillis - load.orderedMillis >= MAX_DETECTION_MILLIS;
-      if (ended || old) {
+      boolean terminated = hasTerminated.test(load.runner);
+      boolean expired = nowMillis - load.orderedMillis >= MAX_DETECTION_MILLIS;
+      if (terminated || expired) {
         loads.remove();
       }
-      if (ended && !old) {
+      if (terminated && !expired) {
         recordTerminationAfter(load, nowMillis);
       }
     }
   }
 
-  /** A request that was there too tells the moment; else it is known only that it is over. */
+  /**
+   * Uses the time at which a request on the same runner failed; without one, only the fact of the
+   * termination is known, and the present time is used.
+   */
   private void recordTerminationAfter(Load load, long nowMillis) {
     long endedMillis = quarantine.terminationMillis(load.runner).orElse(nowMillis);
-    boolean known = endedMillis != nowMillis;
+    boolean timeKnown = endedMillis != nowMillis;
     if (endedMillis < load.orderedMillis
-        || (known && endedMillis - load.orderedMillis > MAX_LOAD_MILLIS)) {
+        || (timeKnown && endedMillis - load.orderedMillis > MAX_LOAD_MILLIS)) {
       return;
     }
     recordTermination(
@@ -141,9 +160,9 @@
         nowMillis);
   }
 
-  private void recordTermination(RunnerTermination end, long nowMillis) {
-    if (quarantine.recordTermination(end, nowMillis)) {
-      listener.onTermination(end, nowMillis);
+  private void recordTermination(RunnerTermination termination, long nowMillis) {
+    if (quarantine.recordTermination(termination, nowMillis)) {
+      listener.onTermination(termination, nowMillis);
     }
   }
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/quarantine/RequestFingerprint.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/quarantine/RequestFingerprint.java
@@ -11,17 +11,18 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * A number by which every host knows a request again that is brought a second time.
+ * A 64-bit fingerprint by which every host recognizes a repeated request.
  *
- * <p>It covers what the upstream works on and leaves out what changes from one attempt to the next:
- * the request's id, its deadline, the last event that the caller has, and the address that it came
- * from, as callers come from several. A model request is its model and its body: the same prompt
- * ends an engine by whatever path it came. The body itself is neither kept nor told to other hosts.
+ * <p>It covers what the upstream processes and leaves out what differs between attempts: the
+ * request id, the deadline, the last event that the caller received, and the caller's address, as
+ * callers use several. The fingerprint of a model request covers the model and the body: the same
+ * prompt terminates an engine whatever path it was sent to. The body itself is neither kept nor
+ * sent to other hosts.
  *
- * <p>Its upper half is a checksum, which costs 1 microsecond for a body of 14 kB, and suffices to
- * say of nearly all requests that nothing is known against them. Its lower half, of a SHA-256,
- * takes 0.5 to 1.8 ms for the same body with the compiler that hosts run with (measured beside
- * other work), and is worked out only where the checksum is known or a runner ended.
+ * <p>The upper half is a CRC-32C checksum. It costs 1 microsecond for a body of 14 kB and suffices
+ * to rule out for nearly all requests that terminations are on record. The lower half is part of a
+ * SHA-256, which takes 0.5 to 1.8 ms for the same body with the compiler settings that hosts run
+ * with. It is computed only if the checksum is on record or a runner terminated.
  */
 public final class RequestFingerprint {
 
@@ -69,12 +70,12 @@
     return new RequestFingerprint(NO_BODY, LOAD, target, Integer.toString(version));
   }
 
-  /** Returns the cheap half. */
+  /** Returns the upper half of the fingerprint, which is cheap to compute. */
   public int checksum() {
     return checksum;
   }
 
-  /** Returns the whole number, which is worked out when it is first asked for. */
+  /** Returns the whole fingerprint, which is computed on the first call. */
   public long value() {
     Long known = value;
     if (known == null) {
@@ -84,12 +85,12 @@
     return known;
   }
 
-  /** Returns the cheap half of a fingerprint that was told as a number. */
+  /** Returns the checksum half of a fingerprint, equal to {@link #checksum()} of its request. */
   public static int checksumOf(long value) {
     return (int) (value >>> Integer.SIZE);
   }
 
-  /** Returns a fingerprint as logs show it. */
+  /** Formats a fingerprint for logs, as 16 hexadecimal digits. */
   public static String format(long value) {
     return String.format("%016x", value);
   }
@@ -104,7 +105,7 @@
     return (int) sum.getValue();
   }
 
-  /** Each part with its length, so that no two lists of parts have the same bytes. */
+  /** Hashes each part with its length, so that no two lists of parts yield the same input. */
   private long lowerHalf() {
     Hasher hasher = Hashing.sha256().newHasher();
     for (byte[] part : parts) {
--- a/sequoia-core/src/main/java/org/sequoiahub/core/quarantine/RequestQuarantine.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/quarantine/RequestQuarantine.java
@@ -14,62 +14,73 @@
 import java.util.stream.Stream;
 
 /**
- * Decides which requests are held back because runners end under them.
+ * Decides which requests are quarantined because runners terminate while they process them.
  *
- * <p>Some requests end the process of every runner that begins to run them. Each attempt looks like
- * any other lost answer to the host that made it, and the caller brings the request again, under a
- * new id and to any host; the sign is runners that end one after the other. No single call can
- * bound that, so every host keeps the ends that all hosts saw, by the request's fingerprint.
+ * <p>Some requests terminate the process of every runner that starts to process them. To the host
+ * that made it, each attempt looks like any other lost response, and the caller repeats the request
+ * under a new id and to any host; the symptom is a sequence of runners that terminate. No single
+ * call can bound that, so every host keeps the terminations that all hosts observed, by the
+ * request's fingerprint.
  *
- * <p>A runner takes all its requests with it, so an end alone proves nothing against any of them.
- * This keeps the innocent out:
+ * <p>A runner that terminates fails all requests in flight on it, so a single termination proves
+ * nothing against any of them. The following rules protect innocent requests:
  *
  * <ul>
- *   <li>Ends count only one after the other: an attempt counts if it was sent after the counted end
- *       before it. Copies of a request that are in flight at several runners when a failure domain
- *       is lost count once.
- *   <li>An end counts half if the answer had begun.
- *   <li>A good answer clears a request: it has run and the runner lived. What had one lately needs
- *       twice as many ends, so that what callers ask again and again is not held back by all hosts
- *       at once, after which no good answer could clear it.
- *   <li>A broken connection counts for {@link QuarantineSettings#unconfirmedRetentionMillis} only,
- *       unless the runner turns out to have ended.
+ *   <li>Only sequential terminations count: an attempt counts if it was sent after the preceding
+ *       counted termination. Copies of a request that are in flight on several runners when a
+ *       failure domain is lost count once.
+ *   <li>A termination counts half if the response had started.
+ *   <li>A successful response clears a request, as a runner has survived processing it. A request
+ *       that recently had one needs twice as many terminations; otherwise all hosts might
+ *       quarantine a frequently repeated request at the same time, after which no successful
+ *       response could clear it.
+ *   <li>A broken connection counts only for {@link QuarantineSettings#unconfirmedRetentionMillis},
+ *       unless the runner is found to have terminated.
  * </ul>
  *
- * <p>A request is held back for {@link QuarantineSettings#quarantineMillis} after the last end.
- * Then it may be tried: a good answer clears it, one more end brings the hold back.
+ * <p>A request is quarantined for {@link QuarantineSettings#quarantineMillis} after the last
+ * termination. It may then be tried: a successful response clears it, one more termination restores
+ * the quarantine.
  *
- * <p>Not safe for use by several threads. All times are of one monotonic clock.
+ * <p>Not thread-safe. All times are of the same monotonic clock.
  */
 public final class RequestQuarantine {
 
   private final QuarantineSettings settings;
 
-  /** Ends of the requests under which one runner ended: hundreds after the loss of a domain. */
+  /**
+   * Terminations by request, of requests during which a single runner terminated; the loss of a
+   * failure domain adds hundreds of these.
+   */
   private final Map<Long, List<RunnerTermination>> singleTerminations;
 
   /**
-   * Ends of the requests under which several runners ended, one after the other: apart from the
-   * others, which would push them out.
+   * Terminations by request, of requests during which several runners terminated in sequence. They
+   * are kept apart from single terminations, which would evict them.
    */
   private final Map<Long, List<RunnerTermination>> repeatedTerminations;
 
-  /** When requests that were suspect had a good answer, so that older ends are not taken anew. */
+  /**
+   * When suspect requests had a successful response, so that earlier terminations are not recorded
+   * again.
+   */
   private final Map<Long, Long> clearedMillis;
 
   /**
-   * When requests had a good answer at this host, by the cheap half of their fingerprint. Each good
-   * answer is noted, so it must cost little; a request that shares its half with another one only
-   * needs more ends to be held back.
+   * When requests last had a successful response at this host, by checksum. Every successful
+   * response is recorded, so this must be cheap; a request that shares its checksum with another
+   * one merely needs more terminations to be quarantined.
    */
   private final Map<Integer, Long> lastSuccessMillis;
 
-  /** The cheap halves of the fingerprints that something is or was known against. */
+  /**
+   * Checksums of the requests that have or had terminations on record; may contain obsolete ones.
+   */
   private final Set<Integer> knownChecksums = new HashSet<>();
 
   private boolean historyLost;
 
-  /** Creates a quarantine that holds nothing back. */
+  /** Creates an empty quarantine. */
   public RequestQuarantine(QuarantineSettings settings) {
     this.settings = requireNonNull(settings, "settings must not be null");
     this.singleTerminations = boundedMap(settings.maxRequests());
@@ -78,7 +89,10 @@
     this.lastSuccessMillis = boundedMap(settings.maxRequests());
   }
 
-  /** A map that forgets the entry that was put first when it is full. */
+  /**
+   * Returns a map that evicts the entry that was inserted first when it exceeds {@code max}
+   * entries.
+   */
   static <K, V> Map<K, V> boundedMap(int max) {
     return new LinkedHashMap<>() {
       @Override
@@ -88,55 +102,64 @@
     };
   }
 
-  /** Takes in a runner's end under a request; false if it was known or has been refuted. */
-  public boolean recordTermination(RunnerTermination end, long nowMillis) {
-    if (isSuperseded(end) || !isRetained(end, nowMillis)) {
+  /**
+   * Records a termination during a request.
+   *
+   * @return whether the record changed; false if the termination was known, has expired or is
+   *     superseded by a successful response
+   */
+  public boolean recordTermination(RunnerTermination termination, long nowMillis) {
+    if (isSuperseded(termination) || !isRetained(termination, nowMillis)) {
       return false;
     }
-    List<RunnerTermination> known = knownTerminations(end.request());
+    List<RunnerTermination> known = knownTerminations(termination.request());
     List<RunnerTermination> merged = new ArrayList<>(known);
     for (RunnerTermination other : known) {
-      if (other.runner() == end.runner()) {
-        if (other.confirmed() || !end.confirmed()) {
+      if (other.runner() == termination.runner()) {
+        if (other.confirmed() || !termination.confirmed()) {
           return false;
         }
         merged.remove(other);
       }
     }
-    merged.add(end);
+    merged.add(termination);
     merged.sort(Comparator.comparingLong(RunnerTermination::endedMillis));
     if (merged.size() > settings.maxTerminationsPerRequest()) {
       merged.remove(0);
     }
-    store(end.request(), merged, nowMillis);
+    store(termination.request(), merged, nowMillis);
     return true;
   }
 
   /**
-   * Notes that a request had a good answer at this host; cheap, as it is called for each.
+   * Records that a request had a successful response at this host. Cheap, as it is called for every
+   * one.
    *
-   * @param screen the cheap half of its fingerprint
+   * @param checksum the checksum of the request's fingerprint
    */
-  public void recordSuccess(int screen, long nowMillis) {
-    lastSuccessMillis.remove(screen);
-    lastSuccessMillis.put(screen, nowMillis);
+  public void recordSuccess(int checksum, long nowMillis) {
+    lastSuccessMillis.remove(checksum);
+    lastSuccessMillis.put(checksum, nowMillis);
   }
 
-  /** Returns whether something may be known against a request with this half of a fingerprint. */
-  public boolean mightContain(int screen) {
-    return knownChecksums.contains(screen);
+  /**
+   * Returns whether terminations may be on record for a request with this checksum; if false, there
+   * are none.
+   */
+  public boolean mightContain(int checksum) {
+    return knownChecksums.contains(checksum);
   }
 
   /**
-   * Records that a request had a good answer at any host: the ends before say nothing against it.
+   * Discards the terminations of a request that precede a successful response at any host.
    *
-   * @param atMillis when the answer was complete
-   * @return whether anything was known against the request
+   * @param atMillis when the response was complete
+   * @return whether there were any
    */
   public boolean clear(long request, long atMillis) {
     List<RunnerTermination> known = knownTerminations(request);
     List<RunnerTermination> later =
-        known.stream().filter(end -> end.endedMillis() > atMillis).toList();
+        known.stream().filter(termination -> termination.endedMillis() > atMillis).toList();
     if (later.size() == known.size()) {
       return false;
     }
@@ -149,85 +172,100 @@
     return true;
   }
 
-  /** Returns when a request had a good answer that refutes an end; empty if none does. */
-  public Optional<Long> successAfter(RunnerTermination end) {
-    Long at = clearedMillis.get(end.request());
-    return at == null || at < end.endedMillis() ? Optional.empty() : Optional.of(at);
+  /**
+   * Returns when the request had a successful response at or after a termination; empty if it had
+   * none.
+   */
+  public Optional<Long> successAfter(RunnerTermination termination) {
+    Long successMillis = clearedMillis.get(termination.request());
+    return successMillis == null || successMillis < termination.endedMillis()
+        ? Optional.empty()
+        : Optional.of(successMillis);
   }
 
-  private boolean isSuperseded(RunnerTermination end) {
-    return successAfter(end).isPresent();
+  private boolean isSuperseded(RunnerTermination termination) {
+    return successAfter(termination).isPresent();
   }
 
-  /** Returns why a request is held back; empty if it may be sent to a runner. */
+  /** Returns the quarantine of a request; empty if it may be sent to a runner. */
   public Optional<ActiveQuarantine> activeQuarantine(long request, long nowMillis) {
-    List<RunnerTermination> chain = sequentialTerminations(knownTerminations(request), nowMillis);
-    int points = chain.stream().mapToInt(QuarantineSettings::points).sum();
+    List<RunnerTermination> sequence =
+        sequentialTerminations(knownTerminations(request), nowMillis);
+    int points = sequence.stream().mapToInt(QuarantineSettings::points).sum();
     if (points < threshold(request, nowMillis)) {
       return Optional.empty();
     }
-    long until = chain.get(chain.size() - 1).endedMillis() + settings.quarantineMillis();
-    return nowMillis < until ? Optional.of(new ActiveQuarantine(chain, until)) : Optional.empty();
+    long until = sequence.get(sequence.size() - 1).endedMillis() + settings.quarantineMillis();
+    return nowMillis < until
+        ? Optional.of(new ActiveQuarantine(sequence, until))
+        : Optional.empty();
   }
 
   private int threshold(long request, long nowMillis) {
-    Long good = lastSuccessMillis.get(RequestFingerprint.checksumOf(request));
-    if (good != null && nowMillis - good < settings.knownGoodMillis()) {
+    Long lastSuccess = lastSuccessMillis.get(RequestFingerprint.checksumOf(request));
+    if (lastSuccess != null && nowMillis - lastSuccess < settings.knownGoodMillis()) {
       return settings.thresholdKnownGood();
     }
     return historyLost ? settings.thresholdAfterHistoryLoss() : settings.threshold();
   }
 
   /**
-   * Sets whether the fleet may have forgotten ends, as all its hosts started again since.
+   * Sets whether the fleet may have lost records of terminations because all hosts have restarted.
    *
-   * <p>What was held back before would otherwise take as many runners again as it took at first.
+   * <p>Without a lower threshold, a request that was quarantined before would terminate as many
+   * runners as it did at first.
    */
   public void historyLost(boolean lost) {
     historyLost = lost;
   }
 
-  /** Returns whether a runner ended under a request lately. */
+  /** Returns whether a termination that still counts is on record for the request. */
   public boolean isSuspect(long request, long nowMillis) {
-    return knownTerminations(request).stream().anyMatch(end -> isRetained(end, nowMillis));
+    return knownTerminations(request).stream()
+        .anyMatch(termination -> isRetained(termination, nowMillis));
   }
 
-  /** Returns whether several runners ended under a request, one after the other. */
+  /** Returns whether several runners terminated in sequence while they processed the request. */
   public boolean hasRepeatedTerminations(long request) {
     return repeatedTerminations.containsKey(request);
   }
 
-  /** Returns the ends that are known under a request. */
+  /** Returns the recorded terminations during a request, oldest first. */
   public List<RunnerTermination> terminations(long request) {
     return knownTerminations(request);
   }
 
-  /** Returns when a runner ended under any request; empty if none is known to have run there. */
+  /**
+   * Returns when a runner terminated, according to the earliest record of any request; empty if
+   * there is no record of it.
+   */
   public Optional<Long> terminationMillis(long runner) {
     return Stream.concat(
             singleTerminations.values().stream(), repeatedTerminations.values().stream())
         .flatMap(List::stream)
-        .filter(end -> end.runner() == runner)
+        .filter(termination -> termination.runner() == runner)
         .map(RunnerTermination::endedMillis)
         .min(Long::compare);
   }
 
-  /** Returns whether nothing is known against any request. */
+  /** Returns whether no terminations are on record. */
   public boolean isEmpty() {
     return singleTerminations.isEmpty() && repeatedTerminations.isEmpty();
   }
 
-  /** Returns how many requests something is known against. */
+  /** Returns the number of requests with terminations on record. */
   public int size() {
     return singleTerminations.size() + repeatedTerminations.size();
   }
 
-  /** Returns the ends of the requests under which several runners ended one after the other. */
+  /**
+   * Returns the terminations of all requests during which several runners terminated in sequence.
+   */
   public List<RunnerTermination> repeatedTerminations() {
     return repeatedTerminations.values().stream().flatMap(List::stream).toList();
   }
 
-  /** Returns the ends of the requests that are held back. */
+  /** Returns the terminations of all requests that are quarantined now. */
   public List<RunnerTermination> quarantinedTerminations(long nowMillis) {
     return repeatedTerminations.entrySet().stream()
         .filter(entry -> activeQuarantine(entry.getKey(), nowMillis).isPresent())
@@ -236,37 +274,51 @@
   }
 
   /**
-   * Marks the ends as proved of which it has become known that the runner's process is gone.
+   * Confirms the terminations of runners whose process is known to be gone.
    *
-   * @param hasEnded whether the runner with this hash is known to have ended
+   * @param hasTerminated whether the runner with this hash is known to have terminated
    */
-  public void confirmTerminations(LongPredicate hasEnded) {
-    for (Map<Long, List<RunnerTermination>> rank :
+  public void confirmTerminations(LongPredicate hasTerminated) {
+    for (Map<Long, List<RunnerTermination>> terminationsByRequest :
         List.of(singleTerminations, repeatedTerminations)) {
-      rank.replaceAll(
-          (request, ends) -> {
-            boolean any = ends.stream().anyMatch(end -> isProvedBy(end, hasEnded));
-            return any ? confirmed(ends, hasEnded) : ends;
+      terminationsByRequest.replaceAll(
+          (request, terminations) -> {
+            boolean any =
+                terminations.stream()
+                    .anyMatch(termination -> isConfirmedBy(termination, hasTerminated));
+            return any ? confirmed(terminations, hasTerminated) : terminations;
           });
     }
   }
 
-  private static boolean isProvedBy(RunnerTermination end, LongPredicate hasEnded) {
-    return !end.confirmed() && hasEnded.test(end.runner());
+  private static boolean isConfirmedBy(RunnerTermination termination, LongPredicate hasTerminated) {
+    return !termination.confirmed() && hasTerminated.test(termination.runner());
   }
 
   private static List<RunnerTermination> confirmed(
-      List<RunnerTermination> ends, LongPredicate hasEnded) {
-    return ends.stream().map(end -> isProvedBy(end, hasEnded) ? end.asConfirmed() : end).toList();
+      List<RunnerTermination> terminations, LongPredicate hasTerminated) {
+    return terminations.stream()
+        .map(
+            termination ->
+                isConfirmedBy(termination, hasTerminated) ? termination.asConfirmed() : termination)
+        .toList();
   }
 
-  /** Forgets ends that no longer count. */
+  /** Removes terminations and successful responses that no longer count. */
   public void removeExpired(long nowMillis) {
-    for (Map<Long, List<RunnerTermination>> rank :
+    for (Map<Long, List<RunnerTermination>> terminationsByRequest :
         List.of(singleTerminations, repeatedTerminations)) {
-      rank.values().removeIf(ends -> ends.stream().noneMatch(end -> isRetained(end, nowMillis)));
+      terminationsByRequest
+          .values()
+          .removeIf(
+              terminations ->
+                  terminations.stream()
+                      .noneMatch(termination -> isRetained(termination, nowMillis)));
     }
-    clearedMillis.values().removeIf(at -> nowMillis - at >= settings.confirmedRetentionMillis());
+    clearedMillis
+        .values()
+        .removeIf(
+            successMillis -> nowMillis - successMillis >= settings.confirmedRetentionMillis());
     if (knownChecksums.size() > 2 * size()) {
       knownChecksums.clear();
       singleTerminations
@@ -279,37 +331,39 @@
   }
 
   private List<RunnerTermination> knownTerminations(long request) {
-    List<RunnerTermination> ends = repeatedTerminations.get(request);
-    return ends == null ? singleTerminations.getOrDefault(request, List.of()) : ends;
+    List<RunnerTermination> terminations = repeatedTerminations.get(request);
+    return terminations == null
+        ? singleTerminations.getOrDefault(request, List.of())
+        : terminations;
   }
 
-  private void store(long request, List<RunnerTermination> ends, long nowMillis) {
+  private void store(long request, List<RunnerTermination> terminations, long nowMillis) {
     singleTerminations.remove(request);
     repeatedTerminations.remove(request);
-    boolean several = sequentialTerminations(ends, nowMillis).size() > 1;
-    (several ? repeatedTerminations : singleTerminations).put(request, List.copyOf(ends));
+    boolean repeated = sequentialTerminations(terminations, nowMillis).size() > 1;
+    (repeated ? repeatedTerminations : singleTerminations).put(request, List.copyOf(terminations));
     knownChecksums.add(RequestFingerprint.checksumOf(request));
   }
 
-  private boolean isRetained(RunnerTermination end, long nowMillis) {
-    long counted =
-        end.confirmed()
+  private boolean isRetained(RunnerTermination termination, long nowMillis) {
+    long retentionMillis =
+        termination.confirmed()
             ? settings.confirmedRetentionMillis()
             : settings.unconfirmedRetentionMillis();
-    return nowMillis - end.endedMillis() < counted;
+    return nowMillis - termination.endedMillis() < retentionMillis;
   }
 
-  /** Returns the ends that count one after the other, the oldest first. */
+  /** Returns the sequential terminations that still count, oldest first. */
   private List<RunnerTermination> sequentialTerminations(
-      List<RunnerTermination> ends, long nowMillis) {
-    List<RunnerTermination> chain = new ArrayList<>();
+      List<RunnerTermination> terminations, long nowMillis) {
+    List<RunnerTermination> sequence = new ArrayList<>();
     long lastMillis = Long.MIN_VALUE;
-    for (RunnerTermination end : ends) {
-      if (isRetained(end, nowMillis) && end.startedMillis() >= lastMillis) {
-        chain.add(end);
-        lastMillis = end.endedMillis();
+    for (RunnerTermination termination : terminations) {
+      if (isRetained(termination, nowMillis) && termination.startedMillis() >= lastMillis) {
+        sequence.add(termination);
+        lastMillis = termination.endedMillis();
       }
     }
-    return chain;
+    return sequence;
   }
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/quarantine/RunnerTermination.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/quarantine/RunnerTermination.java
@@ -3,16 +3,19 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * One runner's end while it ran a request. Times are of this host's monotonic clock.
+ * The termination of a runner while it processed a request.
+ *
+ * <p>Times are of this host's monotonic clock.
  *
  * @param request the fingerprint of the request
  * @param runner the hash of the runner's incarnation
- * @param startedMillis when the request was sent to that runner
- * @param endedMillis when its connection broke, or when it was given up as silent
- * @param responseStarted whether the runner had begun to answer: the request did not end it at its
- *     start
- * @param confirmed whether the end of the process is proved; a broken connection alone is only a
- *     sign of it
+ * @param startedMillis when the request was sent to the runner
+ * @param endedMillis when the connection broke, or when the attempt was abandoned because the
+ *     runner was silent
+ * @param responseStarted whether the runner had started to respond, so that the request did not
+ *     terminate it at the start of processing
+ * @param confirmed whether the process is known to have terminated; a broken connection alone does
+ *     not confirm that
  */
 public record RunnerTermination(
     long request,
@@ -31,7 +34,7 @@
         endedMillis);
   }
 
-  /** Returns the same end as a proved one. */
+  /** Returns this termination as a confirmed one. */
   public RunnerTermination asConfirmed() {
     return new RunnerTermination(
         request, runner, startedMillis, endedMillis, responseStarted, true);
--- a/sequoia-core/src/main/java/org/sequoiahub/core/quarantine/RunnerTerminationListener.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/quarantine/RunnerTerminationListener.java
@@ -1,11 +1,18 @@
 package org.sequoiahub.core.quarantine;
 
-/** Told what this host has seen of requests under which runners end, for the other hosts. */
+/**
+ * Listener for changes of this host's quarantine records, used to propagate them to the other
+ * hosts.
+ */
 public interface RunnerTerminationListener {
 
-  /** Receives a runner's end under a request that was not known here. */
-  void onTermination(RunnerTermination end, long nowMillis);
+  /** Called when a termination was recorded that this host did not know. */
+  void onTermination(RunnerTermination termination, long nowMillis);
 
-  /** Receives that a request which was suspect had a good answer. */
+  /**
+   * Called when a request that had terminations on record received a successful response.
+   *
+   * @param atMillis when the response was complete
+   */
   void onCleared(long request, long atMillis, long nowMillis);
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/quarantine/package-info.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/quarantine/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Requests that are held back because runner processes ended while they ran them (a "query of
- * death"), judged by what all hosts saw.
+ * Quarantine of requests during which runner processes terminated (a "query of death"), decided
+ * from the terminations that all hosts observed.
  */
 @NullMarked
 package org.sequoiahub.core.quarantine;
--- a/sequoia-core/src/test/java/org/sequoiahub/core/quarantine/QuarantineSimulation.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/quarantine/QuarantineSimulation.java
@@ -12,21 +12,21 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Hosts, runners and callers in virtual time, with the quarantine of each host and datagrams
- * between them that are late and get lost.
+ * Simulates hosts, runners and callers in virtual time, with a quarantine on each host and
+ * datagrams between them that are delayed and lost.
  *
- * <p>Callers send streams of their own, ask one and the same thing many times over, and bring
- * requests again that failed. Some requests end each runner that runs them.
+ * <p>Callers send unique streams, repeat a few identical requests, and retry requests that failed.
+ * Some requests terminate each runner that processes them.
  */
 final class QuarantineSimulation {
 
   /**
-   * What is played.
+   * Parameters of a simulation.
    *
-   * @param quarantineEnabled whether the hosts hold requests back
-   * @param historyLost whether all hosts have just started again
-   * @param deadlyRequests requests that end runners
-   * @param sendsPerCall runners that one call may be sent to
+   * @param quarantineEnabled whether the hosts quarantine requests
+   * @param historyLost whether all hosts have just restarted
+   * @param deadlyRequests the number of requests that terminate runners
+   * @param sendsPerCall the number of runners that one call may be sent to
    * @param domainLostAtMillis when the runners of one failure domain are lost; negative for never
    */
   record Scenario(
@@ -36,14 +36,14 @@
       int sendsPerCall,
       long domainLostAtMillis) {}
 
-  /** What came of it. */
+  /** Counts of a simulation. */
   static final class Results {
     long innocents;
     long innocentsQuarantined;
     long pollsQuarantined;
     long innocentAttemptsLost;
     long deadlyRuns;
-    long deadlyRunsPastBound;
+    long deadlyRunsPastDeadline;
 
     void add(Results other) {
       innocents += other.innocents;
@@ -51,49 +51,55 @@
       pollsQuarantined += other.pollsQuarantined;
       innocentAttemptsLost += other.innocentAttemptsLost;
       deadlyRuns += other.deadlyRuns;
-      deadlyRunsPastBound += other.deadlyRunsPastBound;
+      deadlyRunsPastDeadline += other.deadlyRunsPastDeadline;
     }
   }
 
   private static final int HOSTS = 7;
   private static final int RUNNERS = 8;
   private static final int DOMAINS = 4;
-  private static final long LENGTH_MILLIS = 60_000;
+  private static final long DURATION_MILLIS = 60_000;
 
-  /** The users' bound: so long after the third end a request may be sent on no more (ms). */
-  private static final long BOUND_MILLIS = 3_000;
+  /**
+   * The required limit: the time after the third termination from which a request may no longer be
+   * sent to a runner (ms).
+   */
+  private static final long QUARANTINE_DEADLINE_MILLIS = 3_000;
 
   private static final double STREAMS_PER_MILLI = 0.03;
   private static final double POLLS_PER_MILLI = 0.02;
   private static final long STREAM_MILLIS = 2_000;
   private static final long POLL_MILLIS = 80;
 
-  /** Requests that are asked again and again; their fingerprints are below all unique ones. */
+  /**
+   * The number of requests that are repeated all the time; their fingerprints are below all unique
+   * ones.
+   */
   private static final int POLLS = 5;
 
   private static final long FIRST_UNIQUE = 1_000;
   private static final long FIRST_UNIQUE_FINGERPRINT = FIRST_UNIQUE << Integer.SIZE;
 
-  /** The store drops a silent runner's entry, and hosts read it (ms). */
-  private static final long LAPSE_MILLIS = 4_600;
+  /** The time until hosts read that the store has dropped a silent runner's entry (ms). */
+  private static final long ENTRY_EXPIRY_MILLIS = 4_600;
 
-  private final Scenario load;
+  private final Scenario scenario;
   private final Random random;
   private final List<RequestQuarantine> hosts = new ArrayList<>();
   private final List<Runner> runners = new ArrayList<>();
   private final PriorityQueue<Event> events =
       new PriorityQueue<>(
           Comparator.comparingLong(Event::atMillis).thenComparingLong(Event::number));
-  private final Map<Long, Long> endedAt = new HashMap<>();
-  private final Map<Long, List<Long>> endsUnder = new HashMap<>();
-  private final Results figures = new Results();
+  private final Map<Long, Long> terminatedMillis = new HashMap<>();
+  private final Map<Long, List<Long>> terminationsByRequest = new HashMap<>();
+  private final Results results = new Results();
   private long now;
   private long number;
   private long nextRequest = FIRST_UNIQUE;
 
-  private record Event(long atMillis, long number, Runnable what) {}
+  private record Event(long atMillis, long number, Runnable action) {}
 
-  /** One process of a runner. */
+  /** A process of a runner. */
   private final class Runner {
     final long hash = random.nextLong();
     final int domain;
@@ -107,34 +113,34 @@
 
   private record Attempt(Arrival arrival, int host, long startedMillis) {}
 
-  /** A caller's request; a caller brings it again if it fails. */
+  /** A caller's request, which the caller repeats if it fails. */
   private final class Arrival {
     final long request;
     final boolean deadly;
     final long runMillis;
 
-    /** When the answer begins; plain answers come whole. */
+    /** When the response starts; a plain response has no separate start. */
     final long firstEventMillis;
 
-    int timesLeft;
+    int attemptsLeft;
     int sends;
 
-    Arrival(long request, boolean deadly, long runMillis, int timesLeft) {
+    Arrival(long request, boolean deadly, long runMillis, int attemptsLeft) {
       this.request = request;
       this.deadly = deadly;
       this.runMillis = runMillis;
       boolean stream = request >= FIRST_UNIQUE_FINGERPRINT;
       this.firstEventMillis = stream ? 100 + random.nextInt(400) : Long.MAX_VALUE;
-      this.timesLeft = timesLeft;
+      this.attemptsLeft = attemptsLeft;
     }
   }
 
-  QuarantineSimulation(long seed, Scenario load) {
+  QuarantineSimulation(long seed, Scenario scenario) {
     this.random = new Random(seed);
-    this.load = load;
+    this.scenario = scenario;
     for (int host = 0; host < HOSTS; host++) {
       RequestQuarantine quarantine = new RequestQuarantine(QuarantineSettings.DEFAULT);
-      quarantine.historyLost(load.historyLost);
+      quarantine.historyLost(scenario.historyLost);
       hosts.add(quarantine);
     }
     for (int runner = 0; runner < RUNNERS; runner++) {
@@ -145,25 +151,25 @@
   Results run() {
     after(exponential(STREAMS_PER_MILLI), this::stream);
     after(exponential(POLLS_PER_MILLI), this::poll);
-    for (int i = 0; i < load.deadlyRequests; i++) {
+    for (int i = 0; i < scenario.deadlyRequests; i++) {
       long request = (-1L - i) << Integer.SIZE;
-      after(8_000 + random.nextInt(4_000), () -> bringDeadly(request));
+      after(8_000 + random.nextInt(4_000), () -> sendDeadly(request));
     }
-    if (load.domainLostAtMillis >= 0) {
-      after(load.domainLostAtMillis, this::loseDomain);
+    if (scenario.domainLostAtMillis >= 0) {
+      after(scenario.domainLostAtMillis, this::loseDomain);
     }
-    after(500, this::upkeep);
+    after(500, this::maintain);
     while (!events.isEmpty()) {
       Event next = events.poll();
       now = next.atMillis;
-      next.what.run();
+      next.action.run();
     }
-    return figures;
+    return results;
   }
 
-  private void after(long millis, Runnable what) {
-    if (now + millis < LENGTH_MILLIS) {
-      events.add(new Event(now + millis, number++, what));
+  private void after(long millis, Runnable action) {
+    if (now + millis < DURATION_MILLIS) {
+      events.add(new Event(now + millis, number++, action));
     }
   }
 
@@ -171,7 +177,7 @@
     return 1 + (long) (-Math.log(1 - random.nextDouble()) / perMilli);
   }
 
-  /** Each with halves of its own. */
+  /** Returns a fingerprint whose halves are both unique. */
   private long nextUnique() {
     long next = nextRequest++;
     return (next << Integer.SIZE) | next;
@@ -179,40 +185,40 @@
 
   private void stream() {
     arrive(new Arrival(nextUnique(), false, 1 + exponential(1.0 / STREAM_MILLIS), 2));
-    figures.innocents++;
+    results.innocents++;
     after(exponential(STREAMS_PER_MILLI), this::stream);
   }
 
   private void poll() {
     long request = (long) random.nextInt(POLLS) << Integer.SIZE;
     arrive(new Arrival(request, false, POLL_MILLIS / 2 + random.nextInt(80), 2));
-    figures.innocents++;
+    results.innocents++;
     after(exponential(POLLS_PER_MILLI), this::poll);
   }
 
-  private void bringDeadly(long request) {
+  private void sendDeadly(long request) {
     arrive(new Arrival(request, true, 50 + random.nextInt(90), 1));
-    after(300 + random.nextInt(1_200), () -> bringDeadly(request));
+    after(300 + random.nextInt(1_200), () -> sendDeadly(request));
   }
 
   private void arrive(Arrival arrival) {
-    arrival.timesLeft--;
+    arrival.attemptsLeft--;
     arrival.sends = 0;
-    place(arrival, random.nextInt(HOSTS));
+    send(arrival, random.nextInt(HOSTS));
   }
 
-  private void place(Arrival arrival, int host) {
-    if (load.quarantineEnabled
+  private void send(Arrival arrival, int host) {
+    if (scenario.quarantineEnabled
         && hosts.get(host).activeQuarantine(arrival.request, now).isPresent()) {
       if (!arrival.deadly) {
-        figures.innocentsQuarantined++;
-        figures.pollsQuarantined += arrival.request < FIRST_UNIQUE_FINGERPRINT ? 1 : 0;
+        results.innocentsQuarantined++;
+        results.pollsQuarantined += arrival.request < FIRST_UNIQUE_FINGERPRINT ? 1 : 0;
       }
       return;
     }
     Runner chosen = leastLoaded();
     if (chosen == null) {
-      again(arrival);
+      retryLater(arrival);
       return;
     }
     arrival.sends++;
@@ -235,10 +241,10 @@
   }
 
   private void countDeadlyRun(long request) {
-    figures.deadlyRuns++;
-    List<Long> ends = endsUnder.getOrDefault(request, List.of());
-    if (ends.size() >= 3 && now > ends.get(2) + BOUND_MILLIS) {
-      figures.deadlyRunsPastBound++;
+    results.deadlyRuns++;
+    List<Long> ends = terminationsByRequest.getOrDefault(request, List.of());
+    if (ends.size() >= 3 && now > ends.get(2) + QUARANTINE_DEADLINE_MILLIS) {
+      results.deadlyRunsPastDeadline++;
     }
   }
 
@@ -247,67 +253,69 @@
       return;
     }
     if (attempt.arrival.deadly) {
-      endsUnder.computeIfAbsent(attempt.arrival.request, key -> new ArrayList<>()).add(now);
+      terminationsByRequest
+          .computeIfAbsent(attempt.arrival.request, key -> new ArrayList<>())
+          .add(now);
       runner.running.add(attempt);
-      end(runner);
+      terminate(runner);
       return;
     }
     long request = attempt.arrival.request;
     hosts.get(attempt.host).recordSuccess(RequestFingerprint.checksumOf(request), now);
     if (hosts.get(attempt.host).clear(request, now)) {
       long at = now;
-      tellOthers(attempt.host, other -> other.clear(request, at));
+      sendToOthers(attempt.host, other -> other.clear(request, at));
     }
   }
 
-  /** The runner's process ends; its hosts see all connections break within some ms. */
-  private void end(Runner runner) {
+  /** Terminates the runner's process; the hosts see their connections break within 10 ms. */
+  private void terminate(Runner runner) {
     runner.up = false;
-    endedAt.put(runner.hash, now);
+    terminatedMillis.put(runner.hash, now);
     for (Attempt attempt : runner.running) {
       if (!attempt.arrival.deadly) {
-        figures.innocentAttemptsLost++;
+        results.innocentAttemptsLost++;
       }
-      after(1 + random.nextInt(10), () -> broken(runner, attempt));
+      after(1 + random.nextInt(10), () -> connectionBroke(runner, attempt));
     }
-    int place = runners.indexOf(runner);
-    after(2_000 + random.nextInt(3_000), () -> runners.set(place, new Runner(runner.domain)));
+    int index = runners.indexOf(runner);
+    after(2_000 + random.nextInt(3_000), () -> runners.set(index, new Runner(runner.domain)));
   }
 
-  private void broken(Runner runner, Attempt attempt) {
+  private void connectionBroke(Runner runner, Attempt attempt) {
     Arrival arrival = attempt.arrival;
-    boolean begun = now - attempt.startedMillis >= arrival.firstEventMillis;
-    RunnerTermination end =
+    boolean responseStarted = now - attempt.startedMillis >= arrival.firstEventMillis;
+    RunnerTermination termination =
         new RunnerTermination(
-            arrival.request, runner.hash, attempt.startedMillis, now, begun, false);
-    if (hosts.get(attempt.host).recordTermination(end, now)) {
-      tellOthers(attempt.host, other -> other.recordTermination(end, now));
+            arrival.request, runner.hash, attempt.startedMillis, now, responseStarted, false);
+    if (hosts.get(attempt.host).recordTermination(termination, now)) {
+      sendToOthers(attempt.host, other -> other.recordTermination(termination, now));
     }
-    if (arrival.sends < load.sendsPerCall) {
-      place(arrival, attempt.host);
+    if (arrival.sends < scenario.sendsPerCall) {
+      send(arrival, attempt.host);
     } else {
-      again(arrival);
+      retryLater(arrival);
     }
   }
 
-  private void again(Arrival arrival) {
-    if (arrival.timesLeft > 0) {
+  private void retryLater(Arrival arrival) {
+    if (arrival.attemptsLeft > 0) {
       after(20 + random.nextInt(400), () -> arrive(arrival));
     }
   }
 
-  /** One datagram in fifty is lost and made up for by its repetition. */
-  private void tellOthers(int from, Consumer<RequestQuarantine> word) {
+  /** Delivers an update to the other hosts; one datagram in fifty is lost and repeated later. */
+  private void sendToOthers(int from, Consumer<RequestQuarantine> update) {
     for (int host = 0; host < HOSTS; host++) {
       RequestQuarantine other = hosts.get(host);
       if (host != from) {
-        long late = random.nextInt(50) == 0 ? 200 : 0;
-        after(1 + random.nextInt(25) + late, () -> word.accept(other));
+        long delayMillis = random.nextInt(50) == 0 ? 200 : 0;
+        after(1 + random.nextInt(25) + delayMillis, () -> update.accept(other));
       }
     }
   }
 
-  /** All runners of one domain go within 50 ms. */
+  /** Terminates all runners of one domain within 50 ms. */
   private void loseDomain() {
     int lost = random.nextInt(DOMAINS);
     for (Runner runner : List.copyOf(runners)) {
@@ -316,23 +324,23 @@
             1 + random.nextInt(50),
             () -> {
               if (runner.up) {
-                end(runner);
+                terminate(runner);
               }
             });
       }
     }
   }
 
-  private void upkeep() {
-    LongPredicate lapsed =
+  private void maintain() {
+    LongPredicate hasExpired =
         runner -> {
-          Long at = endedAt.get(runner);
-          return at != null && now - at >= LAPSE_MILLIS;
+          Long at = terminatedMillis.get(runner);
+          return at != null && now - at >= ENTRY_EXPIRY_MILLIS;
         };
     for (RequestQuarantine host : hosts) {
-      host.confirmTerminations(lapsed);
+      host.confirmTerminations(hasExpired);
       host.removeExpired(now);
     }
-    after(500, this::upkeep);
+    after(500, this::maintain);
   }
 }
--- a/sequoia-core/src/test/java/org/sequoiahub/core/quarantine/RequestFingerprintTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/quarantine/RequestFingerprintTest.java
@@ -12,38 +12,42 @@
   }
 
   @Test
-  void generationsAreToldApartByModelAndPrompt() {
-    long one = RequestFingerprint.ofGeneration("m/a1", bytes("prompt")).value();
-    assertThat(RequestFingerprint.ofGeneration("m/a1", bytes("prompt")).value()).isEqualTo(one);
-    assertThat(RequestFingerprint.ofGeneration("m/a2", bytes("prompt")).value()).isNotEqualTo(one);
-    assertThat(RequestFingerprint.ofGeneration("m/a1", bytes("prompt ")).value()).isNotEqualTo(one);
+  void generationsDifferByModelAndPrompt() {
+    long expected = RequestFingerprint.ofGeneration("m/a1", bytes("prompt")).value();
+    assertThat(RequestFingerprint.ofGeneration("m/a1", bytes("prompt")).value())
+        .isEqualTo(expected);
+    assertThat(RequestFingerprint.ofGeneration("m/a2", bytes("prompt")).value())
+        .isNotEqualTo(expected);
+    assertThat(RequestFingerprint.ofGeneration("m/a1", bytes("prompt ")).value())
+        .isNotEqualTo(expected);
   }
 
   @Test
-  void plainRequestsAreToldApartByEachPart() {
-    long one = RequestFingerprint.ofPlain("GET", "h", "/a?b=1", bytes("")).value();
-    assertThat(RequestFingerprint.ofPlain("GET", "h", "/a?b=1", bytes("")).value()).isEqualTo(one);
+  void plainRequestsDifferByEachPart() {
+    long expected = RequestFingerprint.ofPlain("GET", "h", "/a?b=1", bytes("")).value();
+    assertThat(RequestFingerprint.ofPlain("GET", "h", "/a?b=1", bytes("")).value())
+        .isEqualTo(expected);
     assertThat(RequestFingerprint.ofPlain("PUT", "h", "/a?b=1", bytes("")).value())
-        .isNotEqualTo(one);
+        .isNotEqualTo(expected);
     assertThat(RequestFingerprint.ofPlain("GET", "i", "/a?b=1", bytes("")).value())
-        .isNotEqualTo(one);
+        .isNotEqualTo(expected);
     assertThat(RequestFingerprint.ofPlain("GET", "h", "/a?b=2", bytes("")).value())
-        .isNotEqualTo(one);
+        .isNotEqualTo(expected);
     assertThat(RequestFingerprint.ofPlain("GET", "h", "/a?b=1", bytes("x")).value())
-        .isNotEqualTo(one);
+        .isNotEqualTo(expected);
   }
 
   @Test
-  void bytesThatMoveFromOnePartToTheNextMakeAnother() {
+  void movingBytesBetweenPartsChangesTheFingerprint() {
     assertThat(RequestFingerprint.ofPlain("GET", "ha", "/b", bytes("")).value())
         .isNotEqualTo(RequestFingerprint.ofPlain("GET", "h", "a/b", bytes("")).value());
     assertThat(RequestFingerprint.ofGeneration("m", bytes("ab")).value())
         .isNotEqualTo(RequestFingerprint.ofGeneration("ma", bytes("b")).value());
   }
 
-  /** Hosts ask by the cheap half first, so it must be the same that the whole one holds. */
+  /** Hosts look up the checksum first, so it must equal the upper half of the whole fingerprint. */
   @Test
-  void cheapHalfIsPartOfTheWhole() {
+  void checksumIsUpperHalfOfTheValue() {
     byte[] body = bytes("prompt");
     assertThat(RequestFingerprint.ofGeneration("m/a1", body).checksum())
         .isEqualTo(
--- a/sequoia-core/src/test/java/org/sequoiahub/core/quarantine/RequestQuarantinePropertiesTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/quarantine/RequestQuarantinePropertiesTest.java
@@ -16,21 +16,22 @@
   private static final long REQUEST = 7;
   private static final QuarantineSettings SETTINGS = QuarantineSettings.DEFAULT;
 
-  /** Hosts learn of ends in different orders, and must come to the same. */
+  /** Hosts receive terminations in different orders and must reach the same decision. */
   @Property(tries = 2_000)
-  void theOrderInWhichEndsAreLearntDoesNotMatter(
+  void decisionDoesNotDependOnTheOrderOfTerminations(
       @ForAll @Size(max = 12) List<@IntRange(max = 2_000) Integer> starts, @ForAll long seed) {
-    List<RunnerTermination> ends = new ArrayList<>();
+    List<RunnerTermination> terminations = new ArrayList<>();
     for (int start : starts) {
       long length = 50 + start % 300;
-      ends.add(
-          new RunnerTermination(REQUEST, ends.size(), start, start + length, start % 3 == 0, true));
+      terminations.add(
+          new RunnerTermination(
+              REQUEST, terminations.size(), start, start + length, start % 3 == 0, true));
     }
     RequestQuarantine inOrder = new RequestQuarantine(SETTINGS);
-    ends.forEach(end -> inOrder.recordTermination(end, 3_000));
-    Collections.shuffle(ends, new Random(seed));
+    terminations.forEach(termination -> inOrder.recordTermination(termination, 3_000));
+    Collections.shuffle(terminations, new Random(seed));
     RequestQuarantine shuffled = new RequestQuarantine(SETTINGS);
-    ends.forEach(end -> shuffled.recordTermination(end, 3_000));
+    terminations.forEach(termination -> shuffled.recordTermination(termination, 3_000));
     assertThat(shuffled.activeQuarantine(REQUEST, 3_000).map(ActiveQuarantine::untilMillis))
         .isEqualTo(inOrder.activeQuarantine(REQUEST, 3_000).map(ActiveQuarantine::untilMillis));
   }
--- a/sequoia-core/src/test/java/org/sequoiahub/core/quarantine/RequestQuarantineTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/quarantine/RequestQuarantineTest.java
@@ -16,57 +16,58 @@
 
   private final RequestQuarantine quarantine = new RequestQuarantine(SETTINGS);
 
-  private boolean ended(long runner, long started, long ended, boolean confirmed) {
+  private boolean recordTermination(
+      long runner, long startedMillis, long endedMillis, boolean confirmed) {
     return quarantine.recordTermination(
-        new RunnerTermination(REQUEST, runner, started, ended, false, confirmed), ended);
+        new RunnerTermination(REQUEST, runner, startedMillis, endedMillis, false, confirmed),
+        endedMillis);
   }
 
-  private void threeEnds() {
-    ended(1, 0, 100, true);
-    ended(2, 200, 300, true);
-    ended(3, 400, 500, true);
+  private void terminateThreeRunners() {
+    recordTermination(1, 0, 100, true);
+    recordTermination(2, 200, 300, true);
+    recordTermination(3, 400, 500, true);
   }
 
   @Nested
   class Counting {
     @Test
-    void threeEndsOneAfterTheOtherHoldTheRequestBack() {
-      ended(1, 0, 100, true);
-      ended(2, 200, 300, true);
+    void threeSequentialTerminationsQuarantineTheRequest() {
+      recordTermination(1, 0, 100, true);
+      recordTermination(2, 200, 300, true);
       assertThat(quarantine.activeQuarantine(REQUEST, 301)).isEqualTo(Optional.empty());
-      ended(3, 400, 500, true);
-      ActiveQuarantine hold = quarantine.activeQuarantine(REQUEST, 501).orElseThrow();
-      assertThat(hold.terminations()).hasSize(3);
-      assertThat(hold.untilMillis()).isEqualTo(500 + SETTINGS.quarantineMillis());
+      recordTermination(3, 400, 500, true);
+      ActiveQuarantine active = quarantine.activeQuarantine(REQUEST, 501).orElseThrow();
+      assertThat(active.terminations()).hasSize(3);
+      assertThat(active.untilMillis()).isEqualTo(500 + SETTINGS.quarantineMillis());
     }
 
     /**
-     * Symptom: a request that many callers ask is refused for minutes after a failure domain was
-     * lost.
+     * Guards against a popular request that is rejected for minutes after the loss of a failure
+     * domain.
      *
-     * <p>Events: copies of it were in flight at four runners when these went within 30 ms.
-     *
-     * <p>Cause: the ends of one failure counted as four.
+     * <p>Copies of it were in flight on four runners that terminated within 30 ms, and this one
+     * failure counted as four terminations.
      */
     @Test
-    void copiesInFlightTogetherCountOnce() {
+    void copiesInFlightAtTheSameTimeCountOnce() {
       for (int runner = 0; runner < 4; runner++) {
-        ended(runner, 40 + runner, 100 + 10 * runner, true);
+        recordTermination(runner, 40 + runner, 100 + 10 * runner, true);
       }
       assertThat(quarantine.activeQuarantine(REQUEST, 200)).isEqualTo(Optional.empty());
     }
 
     @Test
-    void theSameEndToldTwiceCountsOnce() {
-      assertThat(ended(1, 0, 100, true)).isTrue();
-      assertThat(ended(1, 0, 104, true)).isFalse();
-      assertThat(ended(1, 200, 300, false)).isFalse();
+    void terminationReportedTwiceCountsOnce() {
+      assertThat(recordTermination(1, 0, 100, true)).isTrue();
+      assertThat(recordTermination(1, 0, 104, true)).isFalse();
+      assertThat(recordTermination(1, 200, 300, false)).isFalse();
     }
   }
 
   @Nested
-  class AnswersThatHadBegun {
-    private void endsMidway(int count) {
+  class StartedResponses {
+    private void terminateAfterResponseStart(int count) {
       for (int runner = 0; runner < count; runner++) {
         long started = 1_000L * runner;
         quarantine.recordTermination(
@@ -77,9 +78,9 @@
 
     @Test
     void countHalf() {
-      endsMidway(5);
+      terminateAfterResponseStart(5);
       assertThat(quarantine.activeQuarantine(REQUEST, 6_000)).isEqualTo(Optional.empty());
-      endsMidway(6);
+      terminateAfterResponseStart(6);
       assertThat(quarantine.activeQuarantine(REQUEST, 6_000)).isNotEqualTo(Optional.empty());
     }
   }
@@ -87,42 +88,41 @@
   @Nested
   class KnownGood {
     /**
-     * Symptom: a request that a caller asks again and again is refused for minutes.
-     *
-     * <p>Events: it was in flight at three runners that ended under another one; then all hosts
-     * held it back, so that it never had a good answer again.
+     * Guards against a frequently repeated request that is rejected for minutes.
      *
-     * <p>Cause: its earlier good answers were forgotten.
+     * <p>It was in flight on three runners that terminated because of another request. All hosts
+     * then quarantined it, so it never had a successful response again: its earlier ones were
+     * forgotten.
      */
     @Test
-    void needsTwiceAsMuch() {
+    void needsTwiceAsManyTerminations() {
       quarantine.recordSuccess(RequestFingerprint.checksumOf(REQUEST), 0);
-      threeEnds();
+      terminateThreeRunners();
       assertThat(quarantine.activeQuarantine(REQUEST, 501)).isEqualTo(Optional.empty());
       for (int runner = 4; runner <= 6; runner++) {
-        ended(runner, 200 * runner, 200 * runner + 100, true);
+        recordTermination(runner, 200 * runner, 200 * runner + 100, true);
       }
       assertThat(quarantine.activeQuarantine(REQUEST, 1_400)).isNotEqualTo(Optional.empty());
     }
   }
 
   @Nested
-  class Proof {
+  class Confirmation {
     @Test
     void brokenConnectionsAloneCountForSecondsOnly() {
-      ended(1, 0, 100, false);
-      ended(2, 200, 300, false);
-      ended(3, 400, 500, false);
+      recordTermination(1, 0, 100, false);
+      recordTermination(2, 200, 300, false);
+      recordTermination(3, 400, 500, false);
       assertThat(quarantine.activeQuarantine(REQUEST, 501)).isNotEqualTo(Optional.empty());
       long later = 100 + SETTINGS.unconfirmedRetentionMillis();
       assertThat(quarantine.activeQuarantine(REQUEST, later)).isEqualTo(Optional.empty());
     }
 
     @Test
-    void provedEndsCountOn() {
-      ended(1, 0, 100, false);
-      ended(2, 200, 300, false);
-      ended(3, 400, 500, false);
+    void confirmedTerminationsContinueToCount() {
+      recordTermination(1, 0, 100, false);
+      recordTermination(2, 200, 300, false);
+      recordTermination(3, 400, 500, false);
       quarantine.confirmTerminations(runner -> true);
       long later = 100 + SETTINGS.unconfirmedRetentionMillis();
       assertThat(quarantine.activeQuarantine(REQUEST, later)).isNotEqualTo(Optional.empty());
@@ -130,18 +130,19 @@
   }
 
   @Nested
-  class LostMemory {
+  class LostHistory {
     /**
-     * Symptom: a request that was held back ends three more runners after all hosts were down.
+     * Guards against a quarantined request that terminates three more runners after all hosts were
+     * down.
      *
-     * <p>Cause: nothing is kept on a host beyond its process.
+     * <p>A host keeps no records beyond its process.
      */
     @Test
-    void twoEndsAreEnoughWhileItMayHaveBeenHeldBackBefore() {
+    void twoTerminationsSufficeWhileHistoryIsLost() {
       quarantine.historyLost(true);
-      ended(1, 0, 100, true);
+      recordTermination(1, 0, 100, true);
       assertThat(quarantine.activeQuarantine(REQUEST, 101)).isEqualTo(Optional.empty());
-      ended(2, 200, 300, true);
+      recordTermination(2, 200, 300, true);
       assertThat(quarantine.activeQuarantine(REQUEST, 301)).isNotEqualTo(Optional.empty());
       quarantine.historyLost(false);
       assertThat(quarantine.activeQuarantine(REQUEST, 302)).isEqualTo(Optional.empty());
@@ -151,28 +152,28 @@
   @Nested
   class Release {
     @Test
-    void goodAnswerClearsWhatWasBefore() {
-      ended(1, 0, 100, true);
-      ended(2, 200, 300, true);
+    void successfulResponseClearsEarlierTerminations() {
+      recordTermination(1, 0, 100, true);
+      recordTermination(2, 200, 300, true);
       assertThat(quarantine.clear(REQUEST, 350)).isTrue();
-      ended(3, 400, 500, true);
+      recordTermination(3, 400, 500, true);
       assertThat(quarantine.activeQuarantine(REQUEST, 501)).isEqualTo(Optional.empty());
-      // Told once more by a host that does not know of the answer.
-      assertThat(ended(1, 0, 100, true)).isFalse();
+      // Reported again by a host that does not know of the response.
+      assertThat(recordTermination(1, 0, 100, true)).isFalse();
     }
 
     @Test
-    void afterTheHoldOneMoreEndBringsItBack() {
-      threeEnds();
+    void oneTerminationAfterExpiryRestoresTheQuarantine() {
+      terminateThreeRunners();
       long until = 500 + SETTINGS.quarantineMillis();
       assertThat(quarantine.activeQuarantine(REQUEST, until)).isEqualTo(Optional.empty());
-      ended(4, until, until + 50, true);
+      recordTermination(4, until, until + 50, true);
       assertThat(quarantine.activeQuarantine(REQUEST, until + 51)).isNotEqualTo(Optional.empty());
     }
 
     @Test
-    void nothingIsKeptForEver() {
-      threeEnds();
+    void terminationsExpire() {
+      terminateThreeRunners();
       quarantine.removeExpired(500 + SETTINGS.confirmedRetentionMillis());
       assertThat(quarantine.isEmpty()).isTrue();
     }
@@ -180,10 +181,10 @@
 
   @Nested
   class Bounds {
-    /** A caller that sends a million different requests, all of which lose their runner. */
+    /** A caller sends a million different requests, each of which loses its runner. */
     @Test
-    void memoryIsBoundedAndWhatCountsMostStays() {
-      threeEnds();
+    void memoryIsBoundedAndRepeatedTerminationsStay() {
+      terminateThreeRunners();
       for (int request = 100; request < 1_000_100; request++) {
         quarantine.recordTermination(
             new RunnerTermination(request, request, 600, 700, false, true), 700);
@@ -194,89 +195,95 @@
   }
 
   /**
-   * Plays minutes of eight runners under 50 requests a second: streams of their own, five requests
-   * that are asked again and again, requests that end runners and are brought again every 0.3 to
-   * 1.5 s, and the loss of a failure domain in the middle of that.
+   * Simulates minutes of eight runners under 50 requests a second: unique streams, five requests
+   * that are repeated all the time, requests that terminate runners and are repeated every 0.3 to
+   * 1.5 s, and the loss of a failure domain in between.
    *
-   * <p>One deadly request, one send a call, 100 minutes. Before, without a quarantine: 5,580
-   * runners ended, 4,996 of them later than 3 s after the third, with 69,337 attempts of others.
-   * After: 300, none of them late, with 2,436.
+   * <p>Without a quarantine, a single deadly request terminates runners for as long as it is
+   * repeated; with it, each deadly request terminates three.
    */
   @Nested
-  class GuiltyAndInnocent {
+  class DeadlyAndInnocentRequests {
     private static final int SEEDS = 100;
     private static final long NEVER = -1;
-    private static final long AMID_THE_ENDS = 11_000;
+    private static final long DURING_TERMINATIONS = 11_000;
 
-    private Results play(Scenario load) {
+    private Results simulate(Scenario scenario) {
       Results sum = new Results();
       for (long seed = 1; seed <= SEEDS; seed++) {
-        sum.add(new QuarantineSimulation(seed, load).run());
+        sum.add(new QuarantineSimulation(seed, scenario).run());
       }
-      assertWithMessage("deadly requests sent on past the bound, %s", load)
-          .that(sum.deadlyRunsPastBound)
+      assertWithMessage("deadly requests sent after the time limit, %s", scenario)
+          .that(sum.deadlyRunsPastDeadline)
           .isEqualTo(0);
       return sum;
     }
 
-    /** Three ends each, and few more where copies were in flight when the third came. */
-    private void assertThreeEnds(Results figures, int deadly) {
-      double each = (double) figures.deadlyRuns / SEEDS / deadly;
+    /**
+     * Expects three terminations per request, and few more where copies were in flight at the
+     * third.
+     */
+    private void assertThreeTerminationsEach(Results results, int deadly) {
+      double each = (double) results.deadlyRuns / SEEDS / deadly;
       assertThat(each).isAtLeast(3.0);
       assertThat(each).isAtMost(3.1);
     }
 
     @Test
-    void lossOfDomainHoldsNothingBack() {
+    void lossOfDomainQuarantinesNothing() {
       for (int sends = 1; sends <= 3; sends++) {
-        Results figures = play(new Scenario(true, false, 0, sends, AMID_THE_ENDS));
-        assertThat(figures.innocentAttemptsLost).isAtLeast(SEEDS);
-        assertThat(figures.innocentsQuarantined).isEqualTo(0);
+        Results results = simulate(new Scenario(true, false, 0, sends, DURING_TERMINATIONS));
+        assertThat(results.innocentAttemptsLost).isAtLeast(SEEDS);
+        assertThat(results.innocentsQuarantined).isEqualTo(0);
       }
     }
 
-    /** The aim: at most one innocent request in 10,000. */
+    /** At most one innocent request in 10,000 may be quarantined. */
     @Test
     void oneDeadlyRequest() {
       for (int sends = 1; sends <= 3; sends++) {
-        for (long lostAt : new long[] {NEVER, AMID_THE_ENDS}) {
-          Results figures = play(new Scenario(true, false, 1, sends, lostAt));
-          assertThreeEnds(figures, 1);
-          assertThat(figures.innocentsQuarantined * 10_000).isAtMost(figures.innocents);
-          assertThat(figures.pollsQuarantined).isEqualTo(0);
+        for (long lostAt : new long[] {NEVER, DURING_TERMINATIONS}) {
+          Results results = simulate(new Scenario(true, false, 1, sends, lostAt));
+          assertThreeTerminationsEach(results, 1);
+          assertThat(results.innocentsQuarantined * 10_000).isAtMost(results.innocents);
+          assertThat(results.pollsQuarantined).isEqualTo(0);
         }
       }
     }
 
-    /** The aim: at most one innocent request in 200, though nine runners end within seconds. */
+    /**
+     * At most one innocent request in 200 may be quarantined, although nine runners terminate
+     * within seconds.
+     */
     @Test
     void threeDeadlyRequestsAtOnce() {
       for (int sends = 1; sends <= 3; sends++) {
-        Results figures = play(new Scenario(true, false, 3, sends, AMID_THE_ENDS));
-        assertThreeEnds(figures, 3);
-        assertThat(figures.innocentsQuarantined * 200).isAtMost(figures.innocents);
-        assertThat(figures.pollsQuarantined).isEqualTo(0);
+        Results results = simulate(new Scenario(true, false, 3, sends, DURING_TERMINATIONS));
+        assertThreeTerminationsEach(results, 3);
+        assertThat(results.innocentsQuarantined * 200).isAtMost(results.innocents);
+        assertThat(results.pollsQuarantined).isEqualTo(0);
       }
     }
 
     /**
-     * The aim: at most one innocent request in 1,000, for the minutes after all hosts were down.
+     * The limit is one innocent request in 1,000 in the minutes after all hosts were down; the test
+     * requires a tenth of it.
      */
     @Test
-    void oneDeadlyRequestAfterLossOfMemory() {
+    void oneDeadlyRequestAfterLossOfHistory() {
       for (int sends = 1; sends <= 3; sends++) {
-        Results figures = play(new Scenario(true, true, 1, sends, NEVER));
-        assertThat((double) figures.deadlyRuns / SEEDS).isAtMost(2.1);
-        assertThat(figures.innocentsQuarantined * 10_000).isAtMost(figures.innocents);
-        assertThat(figures.pollsQuarantined).isEqualTo(0);
+        Results results = simulate(new Scenario(true, true, 1, sends, NEVER));
+        assertThat((double) results.deadlyRuns / SEEDS).isAtMost(2.1);
+        assertThat(results.innocentsQuarantined * 10_000).isAtMost(results.innocents);
+        assertThat(results.pollsQuarantined).isEqualTo(0);
       }
     }
 
-    /** What the figures are compared with: the hosts forget each call. */
+    /** The control: without a quarantine, runners terminate one after the other. */
     @Test
-    void withoutQuarantineRunnersEndOneAfterTheOther() {
-      Results figures = new QuarantineSimulation(1, new Scenario(false, false, 1, 1, NEVER)).run();
-      assertThat(figures.deadlyRunsPastBound).isAtLeast(30);
+    void runnersTerminateOneAfterTheOtherWithoutQuarantine() {
+      Results results = new QuarantineSimulation(1, new Scenario(false, false, 1, 1, NEVER)).run();
+      assertThat(results.deadlyRunsPastDeadline).isAtLeast(30);
     }
   }
 }
