--- a/sequoia-core/src/main/java/org/sequoiahub/core/retry/RetryAccount.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/retry/RetryAccount.java
@@ -3,10 +3,10 @@
 import static java.util.Objects.requireNonNull;
 
 /**
- * Whether the next send of one request draws on the retry budget.
+ * Decides for one request whether its next send consumes a retry of the budget.
  *
- * <p>The budget is taken when a request is sent again, not when that is decided: it may wait for a
- * runner in between, and many that waited may be sent at once.
+ * <p>A retry is acquired when the request is sent again, not when the retry is decided: the request
+ * may wait for a runner in between, and many waiting requests may be sent at once.
  */
 public final class RetryAccount {
 
@@ -20,17 +20,26 @@
     this.service = requireNonNull(service, "service must not be null");
   }
 
-  /** Records that a send reached a runner: the next one is a retry. */
+  /** Records that a send reached a runner, so that the next one is a retry. */
   public void recordRunnerReached() {
     nextSendIsRetry = true;
   }
 
-  /** Returns whether the next send could be made now. */
+  /**
+   * Returns whether {@link #tryAcquireSend} would succeed now.
+   *
+   * @param hosts how many hosts share the budget; see {@link SharedRetryBudget#tryAcquireRetry}
+   */
   public boolean maySend(int hosts, long nowMillis) {
     return !nextSendIsRetry || budget.canRetry(service, hosts, nowMillis);
   }
 
-  /** Takes what the next send draws on the budget; false if it must not be made. */
+  /**
+   * Acquires what the next send consumes of the budget, if anything.
+   *
+   * @param hosts how many hosts share the budget; see {@link SharedRetryBudget#tryAcquireRetry}
+   * @return false if the request must not be sent, as no retry is left
+   */
   public boolean tryAcquireSend(int hosts, long nowMillis) {
     if (nextSendIsRetry && !budget.tryAcquireRetry(service, hosts, nowMillis)) {
       return false;
--- a/sequoia-core/src/main/java/org/sequoiahub/core/retry/RetryBudget.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/retry/RetryBudget.java
@@ -3,10 +3,10 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * Allows retries only as a share of first attempts.
+ * Limits retries to a ratio of first attempts.
  *
- * <p>When everything fails, unbounded retries multiply the load on what is left; the sign is an
- * attempt rate far above the request rate. A share bounds that factor whatever fails.
+ * <p>When everything fails, unlimited retries multiply the load on the remaining capacity; the
+ * symptom is an attempt rate far above the request rate. A ratio bounds that factor whatever fails.
  */
 public final class RetryBudget {
 
@@ -19,19 +19,19 @@
   /**
    * Creates a budget.
    *
-   * @param share retries for each first attempt, from 0 to 1
+   * @param ratio the retries earned by each first attempt, from 0 to 1
    */
-  public RetryBudget(double share) {
-    checkArgument(share >= 0 && share <= 1, "share must be from 0 to 1, was %s", share);
-    this.ratio = share;
+  public RetryBudget(double ratio) {
+    checkArgument(ratio >= 0 && ratio <= 1, "ratio must be from 0 to 1, was %s", ratio);
+    this.ratio = ratio;
   }
 
-  /** Counts a first attempt. */
+  /** Counts a first attempt, which earns a fraction of a retry. */
   public void recordFirstAttempt() {
     available = Math.min(MAX_RETRIES, available + ratio);
   }
 
-  /** Takes one retry from the budget; false if none is left. */
+  /** Acquires one retry; returns false if none is left. */
   public boolean tryAcquireRetry() {
     if (ratio == 0 || available < 1) {
       return false;
--- a/sequoia-core/src/main/java/org/sequoiahub/core/retry/RetryBudgetSettings.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/retry/RetryBudgetSettings.java
@@ -5,13 +5,13 @@
 /**
  * How many retries all hosts together may send to the runners of one service.
  *
- * @param ratio retries allowed for each request
- * @param allowance retries allowed besides
- * @param windowMillis the time over which both are counted
+ * @param ratio the retries allowed for each request
+ * @param allowance the retries allowed in addition
+ * @param windowMillis the window in which requests and retries are counted
  */
 public record RetryBudgetSettings(double ratio, double allowance, long windowMillis) {
 
-  /** Checks the figures. */
+  /** Checks the arguments. */
   public RetryBudgetSettings {
     checkArgument(ratio >= 0, "ratio must not be negative, was %s", ratio);
     checkArgument(allowance >= 0, "allowance must not be negative, was %s", allowance);
--- a/sequoia-core/src/main/java/org/sequoiahub/core/retry/SharedRetryBudget.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/retry/SharedRetryBudget.java
@@ -9,23 +9,29 @@
 import java.util.Set;
 
 /**
- * This host's part of a retry budget that all hosts share, for each service.
+ * This host's share of a retry budget per service that all hosts keep together.
  *
- * <p>When everything fails, retries multiply the load on what is left; the sign is more arrivals at
- * runners than requests. Nobody counts for all hosts: each keeps to a share of the requests that it
- * took itself, plus an equal part of the fixed allowance.
+ * <p>When everything fails, retries multiply the load on the remaining capacity; the symptom is
+ * more arrivals at runners than requests. There is no central counter: each host keeps to the ratio
+ * of the requests that it received itself, plus an equal share of the fixed allowance.
  *
- * <p>A process that ends takes what it knew with it, and the next one may spend again in the same
- * window. So a process that may have a predecessor draws on a part of the budget of its own while
- * it is younger than a window. It earns of that part what its own requests and its age give: any
- * number of restarts in one window add up to no more than the part.
+ * <p>A process that terminates loses its counts, and its successor might spend the same budget
+ * again within the same window. A process that may have a predecessor therefore uses a separate
+ * fraction of the budget while it is younger than a window. It earns that fraction by its own
+ * requests and its age, so that any number of restarts in one window add up to no more than the
+ * fraction.
  */
 public final class SharedRetryBudget {
 
-  /** Part of the budget for processes that know all that their host spent in the window. */
+  /**
+   * The fraction of the budget for processes that know everything their host spent in the window.
+   */
   private static final double FULL_HISTORY_FRACTION = 0.65;
 
-  /** Part of the budget for processes that do not; the rest covers retries that arrive late. */
+  /**
+   * The fraction of the budget for processes that don't know what their host spent before; what
+   * remains of the budget covers retries that arrive late.
+   */
   private static final double PARTIAL_HISTORY_FRACTION = 0.3;
 
   private static final int BUCKETS = 10;
@@ -40,9 +46,10 @@
    * Creates a budget.
    *
    * @param startedMillis when this process started
-   * @param firstOfHost whether no process of this host ran before
+   * @param firstProcessOfHost whether no process ran on this host before
    */
-  public SharedRetryBudget(RetryBudgetSettings settings, long startedMillis, boolean firstOfHost) {
+  public SharedRetryBudget(
+      RetryBudgetSettings settings, long startedMillis, boolean firstProcessOfHost) {
     this.settings = requireNonNull(settings, "settings must not be null");
     checkArgument(
         settings.windowMillis() >= BUCKETS,
@@ -51,18 +58,19 @@
         settings.windowMillis());
     this.bucketMillis = settings.windowMillis() / BUCKETS;
     this.startedMillis = startedMillis;
-    this.firstProcessOfHost = firstOfHost;
+    this.firstProcessOfHost = firstProcessOfHost;
   }
 
-  /** Counts a request of a service. */
+  /** Counts a request to a service. */
   public void recordRequest(String service, long nowMillis) {
     window(service, nowMillis).requests[0]++;
   }
 
   /**
-   * Takes one retry; false if none is left.
+   * Acquires one retry.
    *
    * @param hosts how many hosts share the budget, this one included; 0 if that is not known
+   * @return false if no retry is left
    */
   public boolean tryAcquireRetry(String service, int hosts, long nowMillis) {
     if (!canRetry(service, hosts, nowMillis)) {
@@ -78,24 +86,24 @@
     return usage.taken() + 1 <= usage.allowed();
   }
 
-  /** Returns the retries taken and allowed in the present window. */
+  /** Returns the retries taken and allowed in the current window. */
   public Usage usage(String service, int hosts, long nowMillis) {
     checkArgument(hosts >= 0, "hosts must not be negative, was %s", hosts);
     Window window = window(service, nowMillis);
     return new Usage(window.retries(), allowed(window, hosts, nowMillis));
   }
 
-  /** Returns the services for which something was counted. */
+  /** Returns the services for which requests or retries were counted. */
   public Set<String> services() {
     return Set.copyOf(windows.keySet());
   }
 
-  /** Retries taken and allowed. */
+  /** The retries taken and allowed in the current window. */
   public record Usage(long taken, double allowed) {}
 
   private double allowed(Window window, int hosts, long nowMillis) {
     double earned = settings.ratio() * window.requests();
-    // A host that sees no other may be one of many that see none.
+    // A host that sees no other host may be one of many that see none, so it gets no allowance.
     double share = hosts == 0 ? 0 : settings.allowance() / hosts;
     long age = nowMillis - startedMillis;
     if (firstProcessOfHost || age > settings.windowMillis() + bucketMillis) {
@@ -111,7 +119,10 @@
     return window;
   }
 
-  /** Counts of the last window, the newest bucket first; one bucket more than a window holds. */
+  /**
+   * Counts of requests and retries in the last window, in buckets with the newest first. A window
+   * of ten buckets touches eleven, as it starts within the oldest one.
+   */
   private static final class Window {
     private final long[] requests = new long[BUCKETS + 1];
     private final long[] retries = new long[BUCKETS + 1];
@@ -121,21 +132,24 @@
       this.bucket = bucket;
     }
 
-    void advanceTo(long present) {
-      for (; bucket < present && present - bucket <= BUCKETS; bucket++) {
+    void advanceTo(long currentBucket) {
+      for (; bucket < currentBucket && currentBucket - bucket <= BUCKETS; bucket++) {
         System.arraycopy(requests, 0, requests, 1, BUCKETS);
         System.arraycopy(retries, 0, retries, 1, BUCKETS);
         requests[0] = 0;
         retries[0] = 0;
       }
-      if (bucket < present) {
+      if (bucket < currentBucket) {
         Arrays.fill(requests, 0);
         Arrays.fill(retries, 0);
-        bucket = present;
+        bucket = currentBucket;
       }
     }
 
-    /** Requests of whole buckets only: a window that is cut short must not allow more. */
+    /**
+     * Returns the requests without those of the oldest bucket, of which only a part lies in the
+     * window: requests before the window must not allow retries.
+     */
     long requests() {
       long sum = 0;
       for (int i = 0; i < BUCKETS; i++) {
@@ -144,6 +158,7 @@
       return sum;
     }
 
+    /** Returns the retries, including those of the oldest bucket. */
     long retries() {
       long sum = 0;
       for (long count : retries) {
--- a/sequoia-core/src/main/java/org/sequoiahub/core/retry/package-info.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/retry/package-info.java
@@ -1,4 +1,4 @@
-/** When a failed attempt may be repeated. */
+/** Budgets that limit how many failed attempts may be retried. */
 @NullMarked
 package org.sequoiahub.core.retry;
 
--- a/sequoia-core/src/test/java/org/sequoiahub/core/retry/RetryBudgetRestartTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/retry/RetryBudgetRestartTest.java
@@ -15,15 +15,18 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-/** Retries of all hosts stay within the budget although processes end and start again. */
+/**
+ * Tests that the retries of all hosts stay within the budget although processes terminate and
+ * restart.
+ */
 class RetryBudgetRestartTest {
 
-  /** Requests a second of seven hosts. */
+  /** Requests per second of each of seven hosts. */
   private static final List<Integer> RATES = Collections.nCopies(7, 16);
 
   private static final int DOWN_MILLIS = 600;
 
-  /** Each host retries as often as it may. */
+  /** Every request fails, so that each host retries as often as it may. */
   private static final double GREEDY = 1;
 
   private static RetryBudgetSimulation world(long seed, List<Integer> requestsPerSecond) {
@@ -33,7 +36,7 @@
         (first, now) -> new SharedRetryBudget(RetryBudgetSimulation.SETTINGS, now, first));
   }
 
-  /** What happens to some hosts. */
+  /** What happens to some of the hosts. */
   enum Kind {
     KILL_ONE,
     KILL_ALL,
@@ -58,7 +61,7 @@
   }
 
   @Property(tries = 300, seed = "20261215")
-  void holdsUnderAnyRestarts(
+  void budgetHoldsUnderAnyRestarts(
       @ForAll @Size(min = 1, max = 9) List<@IntRange(min = 0, max = 40) Integer> requestsPerSecond,
       @ForAll("steps") List<Step> steps,
       @ForAll long seed) {
@@ -83,11 +86,12 @@
     assertThat(world.worstExcess()).isAtMost(0.0);
   }
 
-  private static void restart(RetryBudgetSimulation world, int from, int to, double failing) {
+  private static void restart(
+      RetryBudgetSimulation world, int from, int to, double failingFraction) {
     for (int host = from; host < to; host++) {
       world.kill(host);
     }
-    world.advanceTime(DOWN_MILLIS, failing);
+    world.advanceTime(DOWN_MILLIS, failingFraction);
     for (int host = from; host < to; host++) {
       world.start(host);
     }
@@ -98,9 +102,9 @@
 
     private final RetryBudgetSimulation world = world(7, RATES);
 
-    /** Guards against processes that spend their host's part anew after each start. */
+    /** Guards against processes that spend their host's share again after each start. */
     @Test
-    void killedAllAtOnceFiveTimesInOneWindow() {
+    void allKilledAtOnceFiveTimesInOneWindow() {
       world.advanceTime(15_000, GREEDY);
       for (int kill = 0; kill < 5; kill++) {
         restart(world, 0, 7, GREEDY);
@@ -120,29 +124,33 @@
       assertThat(world.worstExcess()).isAtMost(0.0);
     }
 
-    /** Guards against a budget that is kept by refusing the retries that callers need. */
+    /** Guards against a budget that is kept by denying the retries that callers need. */
     @Test
-    void mostRetriesAreServedBesideRestarts() {
-      for (double failing : new double[] {0.04, 0.08, 0.12, 0.16}) {
-        RetryBudgetSimulation calm = world(7, RATES);
-        calm.advanceTime(30_000, failing);
+    void mostRetriesAreServedDuringRestarts() {
+      for (double failingFraction : new double[] {0.04, 0.08, 0.12, 0.16}) {
+        RetryBudgetSimulation steady = world(7, RATES);
+        steady.advanceTime(30_000, failingFraction);
         RetryBudgetSimulation rolling = world(7, RATES);
-        rolling.advanceTime(15_000, failing);
+        rolling.advanceTime(15_000, failingFraction);
         for (int host = 0; host < 7; host++) {
-          restart(rolling, host, host + 1, failing);
-          rolling.advanceTime(2_000, failing);
+          restart(rolling, host, host + 1, failingFraction);
+          rolling.advanceTime(2_000, failingFraction);
         }
-        RetryBudgetSimulation lost = world(7, RATES);
-        lost.advanceTime(15_000, failing);
-        restart(lost, 0, 7, failing);
-        lost.advanceTime(10_000, failing);
+        RetryBudgetSimulation allRestarted = world(7, RATES);
+        allRestarted.advanceTime(15_000, failingFraction);
+        restart(allRestarted, 0, 7, failingFraction);
+        allRestarted.advanceTime(10_000, failingFraction);
         System.out.printf(
-            "part of retries served where %.2f fail: calm %.3f, hosts in turn %.3f, all %.3f%n",
-            failing, calm.servedFraction(), rolling.servedFraction(), lost.servedFraction());
-        if (failing <= 0.08) {
-          assertThat(calm.servedFraction()).isAtLeast(0.99);
+            "fraction of retries served if %.2f fail: steady %.3f, rolling restart %.3f,"
+                + " all restarted %.3f%n",
+            failingFraction,
+            steady.servedFraction(),
+            rolling.servedFraction(),
+            allRestarted.servedFraction());
+        if (failingFraction <= 0.08) {
+          assertThat(steady.servedFraction()).isAtLeast(0.99);
           assertThat(rolling.servedFraction()).isAtLeast(0.9);
-          assertThat(lost.servedFraction()).isAtLeast(0.8);
+          assertThat(allRestarted.servedFraction()).isAtLeast(0.8);
         }
       }
     }
--- a/sequoia-core/src/test/java/org/sequoiahub/core/retry/RetryBudgetSimulation.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/retry/RetryBudgetSimulation.java
@@ -8,24 +8,24 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Hosts that retry as often as they may, in virtual time; their processes end and start again. What
- * runners count is checked as the users count it.
+ * Simulates in virtual time hosts that retry as often as they may and whose processes terminate and
+ * restart. Arrivals at runners are checked against the budget in the way the operators count them.
  */
 final class RetryBudgetSimulation {
 
-  /** The users' figures. */
+  /** The operators' settings. */
   static final RetryBudgetSettings SETTINGS = new RetryBudgetSettings(0.2, 54, 10_000);
 
   private static final String SERVICE = "s";
   private static final int TICK_MILLIS = 50;
 
-  /** A process that has just started sees only itself for so long. */
+  /** How long a process sees only itself after its start. */
   private static final int JOIN_MILLIS = 800;
 
-  /** A host counts for another for so long after it was heard. */
+  /** How long a host counts for another one after it was last seen. */
   private static final long RETAIN_MILLIS = 20_000;
 
-  /** From a host's decision to the runner's count. */
+  /** The longest time from a host's decision to the runner's count. */
   private static final int MAX_DELAY_MILLIS = 30;
 
   private final Random random;
@@ -36,7 +36,7 @@
   private long now = 100_000;
   private long denied;
 
-  /** Starts a process. */
+  /** Starts a process of a host. */
   @FunctionalInterface
   interface Starter {
     SharedRetryBudget start(boolean first, long nowMillis);
@@ -45,7 +45,7 @@
   private static final class Host {
     @Nullable SharedRetryBudget budget;
     long startedMillis;
-    final Map<Host, Long> heardMillis = new HashMap<>();
+    final Map<Host, Long> lastSeenMillis = new HashMap<>();
     double requestsPerSecond;
     boolean isolated;
   }
@@ -53,7 +53,7 @@
   /**
    * Creates hosts whose first processes start now.
    *
-   * @param starter starts a process of a host, the first one or a later one, at a moment
+   * @param starter starts the first or a later process of a host
    */
   RetryBudgetSimulation(long seed, List<Integer> requestsPerSecond, Starter starter) {
     this.random = new Random(seed);
@@ -67,12 +67,12 @@
     return hosts.size();
   }
 
-  /** Returns which part of the retries that were wanted was sent. */
+  /** Returns the fraction of the wanted retries that was sent. */
   double servedFraction() {
     return (double) arrivals.size() / (arrivals.size() + denied);
   }
 
-  /** Adds a host that cannot know whether it ran before. */
+  /** Adds a host that doesn't know whether a process ran on it before. */
   void join(int requestsPerSecond) {
     add(requestsPerSecond, false);
   }
@@ -86,7 +86,7 @@
 
   void kill(int host) {
     hosts.get(host).budget = null;
-    hosts.get(host).heardMillis.clear();
+    hosts.get(host).lastSeenMillis.clear();
   }
 
   void start(int host) {
@@ -98,40 +98,41 @@
     hosts.get(host).startedMillis = now;
   }
 
-  /** From now on a host hears of no other, and none of it. */
+  /** Sets whether a host is isolated: it sees no other host, and no other host sees it. */
   void isolate(int host, boolean isolated) {
     hosts.get(host).isolated = isolated;
   }
 
   /**
-   * Lets time pass.
+   * Advances the virtual time.
    *
-   * @param failing the part of the requests whose first send fails; 1 for as many retries as may be
+   * @param failingFraction the fraction of the requests whose first send fails; 1 for as many
+   *     retries as the budget allows
    */
-  void advanceTime(long millis, double failing) {
+  void advanceTime(long millis, double failingFraction) {
     for (long end = now + millis; now < end; now += TICK_MILLIS) {
       for (Host host : hosts) {
         SharedRetryBudget budget = host.budget;
         if (budget != null) {
-          tick(host, budget, failing);
+          tick(host, budget, failingFraction);
         }
       }
     }
   }
 
-  private void tick(Host host, SharedRetryBudget budget, double failing) {
-    int seen = seen(host);
+  private void tick(Host host, SharedRetryBudget budget, double failingFraction) {
+    int visibleHosts = visibleHosts(host);
     int retries = 0;
     double expected = host.requestsPerSecond * TICK_MILLIS / 1_000;
     int arrived = (int) expected + (random.nextDouble() < expected % 1 ? 1 : 0);
     for (int request = 0; request < arrived; request++) {
       budget.recordRequest(SERVICE, now);
       requests.add(now);
-      retries += random.nextDouble() < failing ? 1 : 0;
+      retries += random.nextDouble() < failingFraction ? 1 : 0;
     }
-    boolean greedy = failing >= 1;
+    boolean greedy = failingFraction >= 1;
     for (int retry = 0; greedy || retry < retries; retry++) {
-      if (budget.tryAcquireRetry(SERVICE, seen, now)) {
+      if (budget.tryAcquireRetry(SERVICE, visibleHosts, now)) {
         arrivals.add(now + random.nextInt(MAX_DELAY_MILLIS));
       } else if (greedy) {
         return;
@@ -141,25 +142,26 @@
     }
   }
 
-  /** Returns how many hosts a host knows, itself included; 0 if it knows of no other. */
-  private int seen(Host host) {
-    int seen = 1;
+  /** Returns how many hosts a host sees, itself included; 0 if it sees no other one. */
+  private int visibleHosts(Host host) {
+    int visibleHosts = 1;
     for (Host other : hosts) {
-      boolean heard = other.budget != null && !host.isolated && !other.isolated;
-      if (other != host && heard && now - host.startedMillis >= JOIN_MILLIS) {
-        host.heardMillis.put(other, now);
+      boolean reachable = other.budget != null && !host.isolated && !other.isolated;
+      if (other != host && reachable && now - host.startedMillis >= JOIN_MILLIS) {
+        host.lastSeenMillis.put(other, now);
       }
-      seen += now - host.heardMillis.getOrDefault(other, -RETAIN_MILLIS) < RETAIN_MILLIS ? 1 : 0;
+      visibleHosts +=
+          now - host.lastSeenMillis.getOrDefault(other, -RETAIN_MILLIS) < RETAIN_MILLIS ? 1 : 0;
     }
-    return seen == 1 && hosts.size() > 1 ? 0 : seen;
+    return visibleHosts == 1 && hosts.size() > 1 ? 0 : visibleHosts;
   }
 
-  /** Returns by how much arrivals exceed what the users allow, in the worst window; 0 if none. */
+  /** Returns by how much arrivals exceed the budget in the worst window; 0 if they never do. */
   double worstExcess() {
     double worst = 0;
     for (long from : arrivals) {
       long inWindow = count(arrivals, from, from + SETTINGS.windowMillis());
-      long asked =
+      long requested =
           Math.max(
               count(requests, from, from + SETTINGS.windowMillis()),
               Math.max(
@@ -168,7 +170,7 @@
                       requests,
                       from - SETTINGS.windowMillis() / 2,
                       from + SETTINGS.windowMillis() / 2)));
-      worst = Math.max(worst, inWindow - SETTINGS.ratio() * asked - SETTINGS.allowance());
+      worst = Math.max(worst, inWindow - SETTINGS.ratio() * requested - SETTINGS.allowance());
     }
     return worst;
   }
--- a/sequoia-core/src/test/java/org/sequoiahub/core/retry/SharedRetryBudgetTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/retry/SharedRetryBudgetTest.java
@@ -20,15 +20,14 @@
       new RetryBudgetSettings(RATIO, ALLOWANCE, WINDOW);
 
   /**
-   * Symptom: more arrivals at runners than the fleet's budget allows in some window.
+   * Guards against more arrivals at runners than the fleet's budget allows in some window.
    *
-   * <p>Events: several hosts take requests unevenly and every attempt fails, so each host retries
-   * as often as it may, for longer than a window.
-   *
-   * <p>Cause looked for: parts of the budget that add up to more than the whole.
+   * <p>Several hosts receive requests unevenly and every attempt fails, so each host retries as
+   * often as it may, for longer than a window. The shares of the hosts must not add up to more than
+   * the budget.
    */
   @Property(tries = 300, seed = "20261211")
-  void partsOfAllHostsStayWithinWhole(
+  void sharesOfAllHostsStayWithinTheBudget(
       @ForAll @Size(min = 1, max = 9)
           List<@IntRange(min = 0, max = 40) Integer> requestsPerSecond) {
     int hosts = requestsPerSecond.size();
@@ -56,7 +55,7 @@
   @Nested
   class Use {
     @Test
-    void idleServiceHasItsPartOfTheAllowance() {
+    void idleServiceHasItsShareOfTheAllowance() {
       SharedRetryBudget budget = new SharedRetryBudget(SETTINGS, 0, true);
       int taken = 0;
       while (budget.tryAcquireRetry("s", 9, 1_000)) {
@@ -66,7 +65,7 @@
     }
 
     @Test
-    void servicesDoNotShare() {
+    void servicesHaveSeparateBudgets() {
       SharedRetryBudget budget = new SharedRetryBudget(SETTINGS, 0, true);
       while (budget.tryAcquireRetry("s", 1, 1_000)) {
         assertThat(budget.usage("s", 1, 1_000).taken()).isAtMost(54);
@@ -75,7 +74,7 @@
     }
 
     @Test
-    void retriesComeBackAfterWindow() {
+    void retriesAreAvailableAgainAfterAWindow() {
       SharedRetryBudget budget = new SharedRetryBudget(SETTINGS, 0, true);
       while (budget.tryAcquireRetry("s", 1, 1_000)) {
         assertThat(budget.usage("s", 1, 1_000).taken()).isAtMost(54);
