--- a/sequoia-core/src/main/java/org/sequoiahub/core/allowance/AllowanceLimiter.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/allowance/AllowanceLimiter.java
@@ -14,33 +14,34 @@
 import org.sequoiahub.core.workspace.Workspace;
 
 /**
- * Decides whether a workspace may spend, by what all hosts together have spent.
+ * Decides whether a workspace may spend, from what all hosts together have spent.
  *
- * <p>Each decision fills a token bucket anew from the start of the window, slot by slot. What other
- * hosts told late thus counts at the time at which it was spent.
+ * <p>Each decision replays a token bucket from the start of the window, slot by slot, so that late
+ * reports of other hosts count at the time of the spending.
  *
- * <p>A request is granted while anything is left and may leave a debt, which is paid back. In debt,
- * fewer are granted the deeper it is, down to the whole burst: were all granted or all refused, the
- * hosts would swing between both together, as they learn of each other late. Small requests are
- * refused last: they cost the workspace little, and most of its callers wait for them.
+ * <p>A request is granted while any units are left and may leave a debt, which is repaid. The
+ * deeper the debt, the fewer requests are granted, down to a debt of the whole burst: if all were
+ * granted or all rejected, the hosts would oscillate together, as they learn of each other's
+ * spending late. Small requests are rejected last: they cost the workspace little, and most of its
+ * callers wait for them.
  *
- * <p>What is not known yet is assumed: a source goes on spending as it did before it was heard
- * last. That makes up for the time that words are on their way. If it stays silent, it may be cut
- * off with callers of its own, so that it is taken to spend also its share of what was left: parts
- * of a fleet that cannot hear each other then stay near the allowance together.
+ * <p>Spending that is not reported yet is assumed: a source continues to spend as it did before its
+ * last report, which compensates for reports in transit. A source that remains silent may be
+ * partitioned together with callers of its own, so it is assumed to spend its share of the unused
+ * allowance as well. The parts of a partitioned fleet then stay near the allowance together.
  */
 public final class AllowanceLimiter {
 
-  /** A source that was not heard for so many slots (1 s) is silent. */
+  /** The number of slots without a report after which a source is silent (1 s). */
   private static final long SILENT_AFTER_SLOTS = 4;
 
-  /** A host that knows of no other spends this part of an allowance until it does. */
+  /** The fraction of an allowance that a host may spend until it knows of another one. */
   private static final double UNKNOWN_FLEET_FRACTION = 0.02;
 
-  /** Shortest time after which a refused request may come back (ms). */
+  /** The shortest time after which a rejected request may be retried (ms). */
   private static final long MIN_RETRY_MILLIS = 100;
 
-  /** Part of the burst that is left to small requests when large ones are refused. */
+  /** The fraction of the burst that remains for small requests when large ones are rejected. */
   private static final double SMALL_REQUEST_RESERVE = 0.5;
 
   private static final double MILLIS_PER_SECOND = 1_000;
@@ -54,24 +55,24 @@
   private final Map<String, List<Change>> changes = new HashMap<>();
   private long assumedThroughSlot = Long.MIN_VALUE;
 
-  /** An allowance that came into force with a slot. */
+  /** An allowance that took effect with a slot. */
   private record Change(long slot, Allowance allowance) {}
 
   /**
-   * A decision.
+   * The decision about a request.
    *
    * @param granted whether the request may be served
-   * @param level units that were left before this request; negative for a debt
-   * @param retryAfterMillis when anything will be left again, if nothing is
+   * @param level the units that were left before this request; negative for a debt
+   * @param retryAfterMillis if rejected, the time until any units are left again; otherwise 0
    */
   public record Decision(boolean granted, double level, long retryAfterMillis) {}
 
   /**
-   * Creates a keeper.
+   * Creates a limiter.
    *
-   * @param othersExpected whether there are other hosts, heard or not
-   * @param draw draws numbers evenly from 0 (inclusive) to 1 (exclusive)
-   * @param startedMillis when this host began to count: before, it knows of nothing
+   * @param othersExpected whether there are other hosts, reporting or not
+   * @param draw supplies uniformly distributed numbers from 0 (inclusive) to 1 (exclusive)
+   * @param startedMillis when this host began to count; it has no records of the time before
    */
   public AllowanceLimiter(
       FleetSpending spending,
@@ -86,25 +87,28 @@
     this.startSlot = SpendingSlots.index(startedMillis);
   }
 
-  /** Puts the workspaces' allowances in force; what was spent before counts by those before. */
+  /**
+   * Applies the configured allowances; earlier spending counts against the allowances of its time.
+   */
   public void updateAllowances(Collection<Workspace> workspaces, long nowMillis) {
     long slot = SpendingSlots.index(nowMillis);
     for (Workspace workspace : workspaces) {
-      List<Change> known = changes.computeIfAbsent(workspace.name(), n -> new ArrayList<>());
+      List<Change> history = changes.computeIfAbsent(workspace.name(), n -> new ArrayList<>());
       boolean same =
-          !known.isEmpty() && known.get(known.size() - 1).allowance.equals(workspace.allowance());
+          !history.isEmpty()
+              && history.get(history.size() - 1).allowance.equals(workspace.allowance());
       if (!same) {
-        // The first one that is known is taken to have been in force all along.
-        known.add(new Change(known.isEmpty() ? Long.MIN_VALUE : slot, workspace.allowance()));
+        // The first known allowance is assumed to have been in effect before.
+        history.add(new Change(history.isEmpty() ? Long.MIN_VALUE : slot, workspace.allowance()));
       }
-      while (known.size() > 1 && known.get(1).slot < slot - windowSlots()) {
-        known.remove(0);
+      while (history.size() > 1 && history.get(1).slot < slot - windowSlots()) {
+        history.remove(0);
       }
     }
   }
 
   /**
-   * Takes what a request costs from its workspace's allowance, if anything is left.
+   * Charges the cost of a request to its workspace's allowance, unless the request is rejected.
    *
    * @throws IllegalArgumentException if {@code cost} is negative
    */
@@ -114,12 +118,13 @@
     if (!allowance.isLimited()) {
       return new Decision(true, Double.POSITIVE_INFINITY, 0);
     }
-    double unheard = silentHostFraction();
-    double level = level(workspace.name(), allowance, 1 - unheard, nowMillis);
-    MeanCost mean = meanCosts.computeIfAbsent(workspace.name(), name -> new MeanCost());
-    mean.record(cost);
-    double needed = Math.min(cost, allowance.burst()) * unheard;
-    double debt = allowance.burst() * (1 - unheard) * allowedDebtFraction(mean.relativeCost(cost));
+    double silentFraction = silentHostFraction();
+    double level = level(workspace.name(), allowance, 1 - silentFraction, nowMillis);
+    MeanCost meanCost = meanCosts.computeIfAbsent(workspace.name(), name -> new MeanCost());
+    meanCost.record(cost);
+    double needed = Math.min(cost, allowance.burst()) * silentFraction;
+    double debt =
+        allowance.burst() * (1 - silentFraction) * allowedDebtFraction(meanCost.relativeCost(cost));
     if (level <= needed - debt) {
       long wait = (long) Math.ceil((needed - level) / allowance.perSecond() * MILLIS_PER_SECOND);
       return new Decision(false, level, Math.max(MIN_RETRY_MILLIS, wait));
@@ -129,63 +134,64 @@
   }
 
   /**
-   * Returns the part of the burst that a request may find as a debt: of the largest up to a half,
-   * drawn anew each time, of the smallest nearly all.
+   * Returns the fraction of the burst up to which a request may find the workspace in debt: at most
+   * half for the largest requests, drawn anew each time, and nearly all for the smallest.
    */
   private double allowedDebtFraction(double relativeCost) {
-    double most = 1 - SMALL_REQUEST_RESERVE * relativeCost;
-    return most * (1 - draw.getAsDouble() * relativeCost);
+    double maxFraction = 1 - SMALL_REQUEST_RESERVE * relativeCost;
+    return maxFraction * (1 - draw.getAsDouble() * relativeCost);
   }
 
   /**
-   * Returns the part of the hosts that cannot be heard. So much of a request must be left before it
-   * is granted: parts of the fleet that each leave a debt then leave one request's debt together.
+   * Returns the fraction of hosts that are silent. That fraction of a request's cost must be left
+   * before the request is granted: parts of the fleet that each leave a debt then leave one
+   * request's debt together.
    */
   private double silentHostFraction() {
-    int unheard = 0;
+    int silentHosts = 0;
     for (Source source : spending.sources()) {
-      unheard += source.assumedRates == null ? 0 : spending.representedHosts(source);
+      silentHosts += source.assumedRates == null ? 0 : spending.representedHosts(source);
     }
-    return (double) unheard / spending.hostCount();
+    return (double) silentHosts / spending.hostCount();
   }
 
-  /** Gives back what a request cost that has not run. */
+  /** Refunds the cost of a request that has not run. */
   public void refund(Workspace workspace, long cost, long takenMillis) {
     if (workspace.allowance().isLimited()) {
       spending.add(workspace.name(), -cost, takenMillis);
     }
   }
 
-  /** Counts what silent sources are taken to spend, so that this host tells of it, too. */
+  /** Adds the assumed spending of silent sources, so that this host reports it too. */
   public void assumeSilentSpending(long nowMillis) {
-    long present = SpendingSlots.index(nowMillis);
-    if (present == assumedThroughSlot) {
+    long currentSlot = SpendingSlots.index(nowMillis);
+    if (currentSlot == assumedThroughSlot) {
       return;
     }
-    assumedThroughSlot = present;
+    assumedThroughSlot = currentSlot;
     for (Source source : spending.sources()) {
-      if (present - source.newestReportedSlot > SILENT_AFTER_SLOTS) {
+      if (currentSlot - source.newestReportedSlot > SILENT_AFTER_SLOTS) {
         Map<String, Double> rates = source.assumedRates;
         if (rates == null) {
-          assumeUntil(source, ratesPerHost(source, false), present - 1);
+          assumeUntil(source, ratesPerHost(source, false), currentSlot - 1);
           rates = ratesPerHost(source, true);
           source.assumedRates = rates;
         }
-        assumeUntil(source, rates, present);
+        assumeUntil(source, rates, currentSlot);
       }
     }
   }
 
   /**
-   * Returns what each host that a source tells of is taken to spend in a slot, by workspace.
+   * Returns what each host of a source is assumed to spend per slot, by workspace.
    *
-   * @param withUnused whether it may take its share of what the fleet left unused, as well
+   * @param withUnused whether its share of the fleet's unused allowance is included
    */
   private Map<String, Double> ratesPerHost(Source source, boolean withUnused) {
     Map<String, Double> rates = new HashMap<>();
     changes.forEach(
-        (workspace, known) -> {
-          if (known.get(known.size() - 1).allowance.isLimited()) {
+        (workspace, history) -> {
+          if (history.get(history.size() - 1).allowance.isLimited()) {
             double share = withUnused ? unused(source, workspace) / spending.hostCount() : 0;
             rates.put(workspace, ratePerHost(source, workspace) + share);
           }
@@ -193,17 +199,17 @@
     return rates;
   }
 
-  private void assumeUntil(Source source, Map<String, Double> ratesPerHost, long present) {
-    int others = spending.representedHosts(source);
-    for (long slot = source.newestFilledSlot + 1; slot <= present; slot++) {
+  private void assumeUntil(Source source, Map<String, Double> ratesPerHost, long currentSlot) {
+    int hosts = spending.representedHosts(source);
+    for (long slot = source.newestFilledSlot + 1; slot <= currentSlot; slot++) {
       for (Map.Entry<String, Double> rate : ratesPerHost.entrySet()) {
-        spending.setAssumed(source, rate.getKey(), slot, rate.getValue() * others);
+        spending.setAssumed(source, rate.getKey(), slot, rate.getValue() * hosts);
       }
     }
-    source.newestFilledSlot = Math.max(source.newestFilledSlot, present);
+    source.newestFilledSlot = Math.max(source.newestFilledSlot, currentSlot);
   }
 
-  /** Returns what each host that a source tells of spent before it was heard last, by slot. */
+  /** Returns what each host of a source spent per slot before its last report. */
   private double ratePerHost(Source source, String workspace) {
     int hosts =
         Math.max(1, spending.isFleetTotal(source) ? source.hostCount - 1 : source.hostCount);
@@ -211,15 +217,15 @@
     return spent / FleetSpending.RATE_SLOTS / hosts;
   }
 
-  /** Returns what the fleet left unused before a source was heard last, by slot. */
+  /** Returns what the fleet left unused per slot before a source's last report. */
   private double unused(Source source, String workspace) {
     long end = source.newestReportedSlot;
     long spent = 0;
     for (long slot = end - FleetSpending.RATE_SLOTS; slot < end; slot++) {
       spent += spending.fleetSpent(workspace, slot);
     }
-    List<Change> known = changes.getOrDefault(workspace, List.of());
-    Allowance allowance = allowanceAt(known, Allowance.UNLIMITED, end);
+    List<Change> history = changes.getOrDefault(workspace, List.of());
+    Allowance allowance = allowanceAt(history, Allowance.UNLIMITED, end);
     double allowed = allowance.perSecond() * SpendingSlots.MILLIS / MILLIS_PER_SECOND;
     return Math.max(0, allowed - (double) spent / FleetSpending.RATE_SLOTS);
   }
@@ -227,53 +233,62 @@
   /**
    * Returns the units that a workspace has left; negative for a debt.
    *
-   * @param burstPart part of the burst that the hosts which can be heard may use: the others have
-   *     theirs to themselves
+   * @param burstFraction the fraction of the burst that the reporting hosts may use; the silent
+   *     hosts use the rest
    */
-  private double level(String workspace, Allowance allowance, double burstPart, long nowMillis) {
-    long present = SpendingSlots.index(nowMillis);
-    long windowStart = present - windowSlots() + 1;
+  private double level(
+      String workspace, Allowance allowance, double burstFraction, long nowMillis) {
+    long currentSlot = SpendingSlots.index(nowMillis);
+    long windowStart = currentSlot - windowSlots() + 1;
     long first = Math.max(windowStart, startSlot);
-    List<Change> known = changes.getOrDefault(workspace, List.of());
-    List<UnreportedRate> late = unreportedRates(workspace);
-    Allowance inForce = allowanceAt(known, allowance, first);
-    // A process that has just started knows nothing of the burst that others may have used.
-    double level = windowStart > startSlot ? inForce.burst() * burstPart : 0;
-    double fleetPart = othersExpected && spending.hostCount() == 1 ? UNKNOWN_FLEET_FRACTION : 1;
-    for (long slot = first; slot <= present; slot++) {
-      Allowance now = allowanceAt(known, allowance, slot);
-      if (!now.equals(inForce)) {
+    List<Change> history = changes.getOrDefault(workspace, List.of());
+    List<UnreportedRate> unreported = unreportedRates(workspace);
+    Allowance inForce = allowanceAt(history, allowance, first);
+    // A process that has just started doesn't know how much of the burst other hosts have used.
+    double level = windowStart > startSlot ? inForce.burst() * burstFraction : 0;
+    double fleetFraction = othersExpected && spending.hostCount() == 1 ? UNKNOWN_FLEET_FRACTION : 1;
+    for (long slot = first; slot <= currentSlot; slot++) {
+      Allowance allowanceNow = allowanceAt(history, allowance, slot);
+      if (!allowanceNow.equals(inForce)) {
         level = Math.max(0, level);
-        inForce = now;
+        inForce = allowanceNow;
       }
-      double part =
-          slot == present
+      double elapsedFraction =
+          slot == currentSlot
               ? (double) (nowMillis - slot * SpendingSlots.MILLIS) / SpendingSlots.MILLIS
               : 1;
-      // Spent first: what a refused request was told of its return must then come true.
-      level -= spending.fleetSpent(workspace, slot) + unreportedSpending(late, slot) * part;
-      level += fleetPart * inForce.perSecond() * SpendingSlots.MILLIS / MILLIS_PER_SECOND * part;
-      level = Math.min(level, Math.max(inForce.burst() * burstPart, 1));
+      // Spending counts before the refill: a request retried after the returned delay is then
+      // granted.
+      level -=
+          spending.fleetSpent(workspace, slot)
+              + unreportedSpending(unreported, slot) * elapsedFraction;
+      level +=
+          fleetFraction
+              * inForce.perSecond()
+              * SpendingSlots.MILLIS
+              / MILLIS_PER_SECOND
+              * elapsedFraction;
+      level = Math.min(level, Math.max(inForce.burst() * burstFraction, 1));
     }
     return level;
   }
 
-  /** What a source is taken to spend in each slot after one, as it was not heard since. */
+  /** What a source is assumed to spend in each slot after its last reported or assumed one. */
   private record UnreportedRate(long afterSlot, double perSlot) {}
 
   private List<UnreportedRate> unreportedRates(String workspace) {
-    List<UnreportedRate> late = new ArrayList<>();
+    List<UnreportedRate> unreported = new ArrayList<>();
     for (Source source : spending.sources()) {
       double rate = ratePerHost(source, workspace) * spending.representedHosts(source);
-      late.add(new UnreportedRate(source.newestFilledSlot, rate));
+      unreported.add(new UnreportedRate(source.newestFilledSlot, rate));
     }
-    return late;
+    return unreported;
   }
 
-  private static double unreportedSpending(List<UnreportedRate> late, long slot) {
+  private static double unreportedSpending(List<UnreportedRate> unreported, long slot) {
     double sum = 0;
-    for (UnreportedRate each : late) {
-      sum += slot > each.afterSlot ? each.perSlot : 0;
+    for (UnreportedRate rate : unreported) {
+      sum += slot > rate.afterSlot ? rate.perSlot : 0;
     }
     return sum;
   }
@@ -282,9 +297,10 @@
     return settings.windowMillis() / SpendingSlots.MILLIS;
   }
 
-  private static Allowance allowanceAt(List<Change> known, Allowance otherwise, long slot) {
-    Allowance found = otherwise;
-    for (Change change : known) {
+  private static Allowance allowanceAt(
+      List<Change> history, Allowance defaultAllowance, long slot) {
+    Allowance found = defaultAllowance;
+    for (Change change : history) {
       if (change.slot <= slot) {
         found = change.allowance;
       }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/allowance/AllowanceSettings.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/allowance/AllowanceSettings.java
@@ -3,13 +3,13 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * How workspaces' use is counted.
+ * Settings for counting the use of workspaces.
  *
- * @param windowMillis for how long what was spent counts against an allowance
+ * @param windowMillis how long spending counts against an allowance
  */
 public record AllowanceSettings(long windowMillis) {
 
-  /** For a platform that names no bounds. */
+  /** The settings for a platform that configures none. */
   public static final AllowanceSettings DEFAULT = new AllowanceSettings(8_000);
 
   /** Checks the arguments. */
--- a/sequoia-core/src/main/java/org/sequoiahub/core/allowance/FleetSpending.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/allowance/FleetSpending.java
@@ -11,84 +11,95 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What each workspace spent in the latest window, over all hosts: this host's own part exactly, the
- * others' as they told it last.
+ * What each workspace spent on all hosts in the latest window: exact for this host, and as last
+ * reported for the others.
  *
- * <p>What is told is the state of a few slots and not a change, so that a datagram which is lost,
- * late or doubled does no harm: the next one tells the same slots again.
+ * <p>A report states the amounts of a few slots rather than changes, so that a datagram that is
+ * lost, late or duplicated does no harm: the next one states the same slots again.
  */
 public final class FleetSpending {
 
   /**
-   * Slots that each word tells (1.25 s): a word may be lost several times in a row before a slot
-   * goes untold.
+   * How many slots each report states (1.25 s), so that several reports may be lost in a row before
+   * a slot remains unreported.
    */
   private static final int REPORTED_SLOTS = 5;
 
-  /** Slots from which a source's rate is taken (2 s): a long prompt is a large lump. */
+  /**
+   * How many slots a source's rate is computed from (2 s); a long prompt is a single large amount.
+   */
   static final int RATE_SLOTS = 8;
 
-  /** A host that tells the sums of the fleet may have heard of this host's part so much later. */
+  /** By how many slots this host's own spending may be missing from a fleet-wide report. */
   private static final long LOCAL_LAG_SLOTS = 1;
 
-  /** The source of sums over the whole fleet, this host included; no host has an empty name. */
+  /**
+   * The source name of totals of the whole fleet, this host included; no host has an empty name.
+   */
   public static final String FLEET_TOTAL = "";
 
-  /** A source that was silent for so long is forgotten (ms). */
+  /** How long a source without reports is kept (ms). */
   private static final long SOURCE_RETENTION_MILLIS = 30_000;
 
-  /** Workspaces and tellers that are kept of one source: a forged word must not fill the memory. */
+  /**
+   * The maximum number of workspaces and of reporters that are kept per source, so that forged
+   * reports cannot exhaust the memory.
+   */
   private static final int MAX_ENTRIES_PER_SOURCE = 4_096;
 
   private final int ringSlots;
   private final Map<String, SpendingSlots> localSpent = new HashMap<>();
   private final Map<String, Source> sources = new HashMap<>();
 
-  /** Another host, or several that one host tells of. */
+  /** Another host, or a group of hosts that one host reports on. */
   static final class Source {
     final Map<String, SpendingSlots> spent = new HashMap<>();
 
-    /** What each teller said last, so that a word which was overtaken is not taken for news. */
+    /** The latest report by reporter, so that a report that was overtaken is not applied. */
     final Map<String, LastReport> lastReports = new HashMap<>();
 
     int hostCount = 1;
 
-    /** The newest slot told of. */
+    /** The newest slot that was reported. */
     long newestReportedSlot = Long.MIN_VALUE;
 
-    /** The newest slot that is told of or assumed. */
+    /** The newest slot that was reported or assumed. */
     long newestFilledSlot = Long.MIN_VALUE;
 
-    /** What each host is taken to spend while silent, in units a slot; null while it is heard. */
+    /**
+     * The units per slot that each host is assumed to spend while the source is silent, by
+     * workspace; null while it reports.
+     */
     @Nullable Map<String, Double> assumedRates;
 
     long lastReportMillis;
   }
 
   /**
-   * A teller's last word.
+   * The latest report of a reporter.
    *
-   * @param offset this host's number of the slot that the teller calls 0
+   * @param offset this host's index of the slot that the reporter calls 0
    */
   private record LastReport(long offset, long newestSlot, long newestSlotAgeMillis) {
 
-    boolean isBefore(SpendingReport told) {
-      return newestSlot < told.newestSlot()
-          || (newestSlot == told.newestSlot() && newestSlotAgeMillis < told.newestSlotAgeMillis());
+    boolean isBefore(SpendingReport report) {
+      return newestSlot < report.newestSlot()
+          || (newestSlot == report.newestSlot()
+              && newestSlotAgeMillis < report.newestSlotAgeMillis());
     }
   }
 
   /**
-   * Creates an account.
+   * Creates an empty account.
    *
-   * @param windowMillis for how long what was spent counts
+   * @param windowMillis how long spending counts
    */
   public FleetSpending(long windowMillis) {
-    // A source may be silent for a window; its rate is taken from the slots before.
+    // A source may be silent for a window; its rate is computed from the slots before.
     this.ringSlots = (int) (windowMillis / SpendingSlots.MILLIS) + RATE_SLOTS + REPORTED_SLOTS;
   }
 
-  /** Adds to this host's own part; a negative amount gives back what was spent at that time. */
+  /** Adds to this host's own spending; a negative amount refunds what was spent at that time. */
   public void add(String workspace, long amount, long atMillis) {
     localSpent
         .computeIfAbsent(workspace, w -> new SpendingSlots(ringSlots))
@@ -96,83 +107,90 @@
   }
 
   /**
-   * Takes in what a host told.
+   * Applies a report, unless a newer one of the same reporter was applied before.
    *
-   * @param source whom it tells of: itself, a group of hosts, or {@link #FLEET_TOTAL}
-   * @param teller the host and which of its processes, as each numbers slots in its own way
+   * @param source what the report covers: the reporter itself, a group of hosts, or {@link
+   *     #FLEET_TOTAL}
+   * @param reporter the host and which of its processes, as each process has slot indexes of its
+   *     own
    */
-  public void applyReport(String source, String teller, SpendingReport told, long nowMillis) {
-    Source known = sources.computeIfAbsent(source, s -> new Source());
-    LastReport before = known.lastReports.get(teller);
-    if (before != null && !before.isBefore(told)) {
+  public void applyReport(String source, String reporter, SpendingReport report, long nowMillis) {
+    Source state = sources.computeIfAbsent(source, s -> new Source());
+    LastReport previous = state.lastReports.get(reporter);
+    if (previous != null && !previous.isBefore(report)) {
       return;
     }
-    long offset = SpendingSlots.index(nowMillis - told.newestSlotAgeMillis()) - told.newestSlot();
-    if (before != null && Math.abs(before.offset - offset) <= 1) {
-      // A delay that varies must not move what was told once to the slot beside.
-      offset = before.offset;
+    long offset =
+        SpendingSlots.index(nowMillis - report.newestSlotAgeMillis()) - report.newestSlot();
+    if (previous != null && Math.abs(previous.offset - offset) <= 1) {
+      // A varying delay must not move amounts that were reported before to the adjacent slot.
+      offset = previous.offset;
     }
-    if (known.lastReports.size() >= MAX_ENTRIES_PER_SOURCE) {
-      known.lastReports.clear();
+    if (state.lastReports.size() >= MAX_ENTRIES_PER_SOURCE) {
+      state.lastReports.clear();
     }
-    known.lastReports.put(
-        teller, new LastReport(offset, told.newestSlot(), told.newestSlotAgeMillis()));
-    known.hostCount = told.hostCount();
-    known.lastReportMillis = nowMillis;
-    long newest = told.newestSlot() + offset;
-    known.assumedRates = null;
-    known.newestReportedSlot = Math.max(known.newestReportedSlot, newest);
-    known.newestFilledSlot = Math.max(known.newestFilledSlot, known.newestReportedSlot);
-    if (known.spent.size() + told.spent().size() > MAX_ENTRIES_PER_SOURCE) {
-      known.spent.keySet().retainAll(told.spent().keySet());
+    state.lastReports.put(
+        reporter, new LastReport(offset, report.newestSlot(), report.newestSlotAgeMillis()));
+    state.hostCount = report.hostCount();
+    state.lastReportMillis = nowMillis;
+    long newest = report.newestSlot() + offset;
+    state.assumedRates = null;
+    state.newestReportedSlot = Math.max(state.newestReportedSlot, newest);
+    state.newestFilledSlot = Math.max(state.newestFilledSlot, state.newestReportedSlot);
+    if (state.spent.size() + report.spent().size() > MAX_ENTRIES_PER_SOURCE) {
+      state.spent.keySet().retainAll(report.spent().keySet());
     }
-    Set<String> workspaces = new HashSet<>(known.spent.keySet());
-    told.spent().keySet().stream().limit(MAX_ENTRIES_PER_SOURCE).forEach(workspaces::add);
+    Set<String> workspaces = new HashSet<>(state.spent.keySet());
+    report.spent().keySet().stream().limit(MAX_ENTRIES_PER_SOURCE).forEach(workspaces::add);
     for (String workspace : workspaces) {
       SpendingSlots slots =
-          known.spent.computeIfAbsent(workspace, w -> new SpendingSlots(ringSlots));
-      List<Long> amounts = told.spent().getOrDefault(workspace, List.of());
-      for (int ago = 0; ago < told.slotCount(); ago++) {
-        long amount = ago < amounts.size() ? Math.max(0, amounts.get(ago)) : 0;
-        slots.set(newest - ago, amount);
+          state.spent.computeIfAbsent(workspace, w -> new SpendingSlots(ringSlots));
+      List<Long> amounts = report.spent().getOrDefault(workspace, List.of());
+      for (int age = 0; age < report.slotCount(); age++) {
+        long amount = age < amounts.size() ? Math.max(0, amounts.get(age)) : 0;
+        slots.set(newest - age, amount);
       }
     }
   }
 
   /**
-   * Forgets sources that have long been silent, and those that others cover.
+   * Removes sources that were silent for long and those that other sources cover.
    *
-   * @param covers whether a source still tells of hosts of which no other one does
+   * @param isNeeded whether a source still reports on hosts that no other source covers
    */
-  public void removeObsoleteSources(Predicate<String> covers, long nowMillis) {
+  public void removeObsoleteSources(Predicate<String> isNeeded, long nowMillis) {
     sources
         .entrySet()
         .removeIf(
             entry ->
                 nowMillis - entry.getValue().lastReportMillis >= SOURCE_RETENTION_MILLIS
-                    || !covers.test(entry.getKey()));
+                    || !isNeeded.test(entry.getKey()));
   }
 
-  /** Returns whether nothing was ever spent under a limit: then there is nothing to tell. */
+  /** Returns whether nothing was ever spent under a limit, so that there is nothing to report. */
   public boolean isUnused() {
     return localSpent.isEmpty() && sources.isEmpty();
   }
 
-  /** Returns this host's own part, for the others. */
+  /** Returns a report of this host's own spending. */
   public SpendingReport localReport(long nowMillis) {
     return aggregateReport(source -> false, 1, nowMillis);
   }
 
-  /** Returns the sums over all hosts, for those that hear of the others from this one. */
+  /**
+   * Returns a report of the spending of all hosts, for hosts that learn of the others through this
+   * one.
+   */
   public SpendingReport fleetReport(long nowMillis) {
     return aggregateReport(source -> true, hostCount(), nowMillis);
   }
 
   /**
-   * Returns the sums over this host and the sources that {@code included} accepts.
+   * Returns a report of the total of this host and the accepted sources.
    *
-   * @param hosts how many hosts are to be covered: what those spend that no source tells of is
-   *     assumed
+   * @param included whether a source is part of the total
+   * @param hosts how many hosts the report is to cover; an assumed amount is added for hosts that
+   *     no source covers
    */
   public SpendingReport aggregateReport(Predicate<String> included, int hosts, long nowMillis) {
     long newest = SpendingSlots.index(nowMillis);
@@ -190,43 +208,46 @@
     }
     int missing = Math.max(0, hosts - covered);
     addAssumed(spent, missing, newest);
-    long ago = nowMillis - newest * SpendingSlots.MILLIS;
-    return new SpendingReport(newest, REPORTED_SLOTS, ago, covered + missing, spent);
+    long age = nowMillis - newest * SpendingSlots.MILLIS;
+    return new SpendingReport(newest, REPORTED_SLOTS, age, covered + missing, spent);
   }
 
-  /** Adds what hosts are taken to spend that were told of before and are not any more. */
+  /** Adds the assumed spending of hosts that were covered by reports before and no longer are. */
   private void addAssumed(Map<String, List<Long>> spent, int missing, long newest) {
-    Source whole = sources.get(FLEET_TOTAL);
-    int untold = unreportedHosts();
-    if (whole == null || missing == 0 || untold == 0) {
+    Source fleetTotal = sources.get(FLEET_TOTAL);
+    int unreported = unreportedHosts();
+    if (fleetTotal == null || missing == 0 || unreported == 0) {
       return;
     }
-    double part = Math.min(1, (double) missing / untold);
-    whole.spent.forEach(
+    double fraction = Math.min(1, (double) missing / unreported);
+    fleetTotal.spent.forEach(
         (workspace, slots) ->
             addTo(
                 spent,
                 workspace,
-                index -> index > whole.newestReportedSlot ? Math.round(slots.get(index) * part) : 0,
+                index ->
+                    index > fleetTotal.newestReportedSlot
+                        ? Math.round(slots.get(index) * fraction)
+                        : 0,
                 newest));
   }
 
   private static void addTo(
       Map<String, List<Long>> spent, String workspace, LongUnaryOperator slots, long newest) {
     List<Long> sums = new ArrayList<>();
-    List<Long> before = spent.get(workspace);
-    long all = 0;
-    for (int ago = 0; ago < REPORTED_SLOTS; ago++) {
-      long amount = slots.applyAsLong(newest - ago);
-      all += amount;
-      sums.add(before == null ? amount : before.get(ago) + amount);
+    List<Long> previous = spent.get(workspace);
+    long total = 0;
+    for (int age = 0; age < REPORTED_SLOTS; age++) {
+      long amount = slots.applyAsLong(newest - age);
+      total += amount;
+      sums.add(previous == null ? amount : previous.get(age) + amount);
     }
-    if (all > 0) {
+    if (total > 0) {
       spent.put(workspace, sums);
     }
   }
 
-  /** Returns what this host itself spent in a slot. */
+  /** Returns what this host spent in a slot. */
   private long localSpent(String workspace, long index) {
     SpendingSlots slots = localSpent.get(workspace);
     return slots == null ? 0 : slots.get(index);
@@ -234,13 +255,13 @@
 
   /** Returns what the fleet is known or assumed to have spent in a slot. */
   long fleetSpent(String workspace, long index) {
-    Source whole = sources.get(FLEET_TOTAL);
-    if (whole != null && index <= whole.newestReportedSlot) {
-      long told = spent(whole, workspace, index);
-      // The newest slots of the whole may lack this host's part.
-      return index > whole.newestReportedSlot - LOCAL_LAG_SLOTS
-          ? told + localSpent(workspace, index)
-          : told;
+    Source fleetTotal = sources.get(FLEET_TOTAL);
+    if (fleetTotal != null && index <= fleetTotal.newestReportedSlot) {
+      long reported = spent(fleetTotal, workspace, index);
+      // The newest slots of the fleet-wide total may lack this host's spending.
+      return index > fleetTotal.newestReportedSlot - LOCAL_LAG_SLOTS
+          ? reported + localSpent(workspace, index)
+          : reported;
     }
     long sum = localSpent(workspace, index);
     for (Source source : sources.values()) {
@@ -249,30 +270,33 @@
     return sum;
   }
 
-  /** Returns the sources. */
+  /** Returns the sources of reports. */
   Iterable<Source> sources() {
     return sources.values();
   }
 
-  /** Takes a silent source to have spent an amount, in place of what it cannot tell. */
+  /** Sets the assumed amount of a silent source for a slot that it has not reported. */
   void setAssumed(Source source, String workspace, long index, double amount) {
-    long whole = Math.round(amount);
-    if (whole > 0) {
-      source.spent.computeIfAbsent(workspace, w -> new SpendingSlots(ringSlots)).set(index, whole);
+    long units = Math.round(amount);
+    if (units > 0) {
+      source.spent.computeIfAbsent(workspace, w -> new SpendingSlots(ringSlots)).set(index, units);
     }
   }
 
-  /** Returns how many hosts there are, as far as they are or were told of. */
+  /** Returns the number of hosts, as far as reports cover or covered them. */
   int hostCount() {
     return 1 + reportedHosts() + unreportedHosts();
   }
 
-  /** Returns how many other hosts a source tells of; of the whole, those of which no other does. */
+  /**
+   * Returns how many other hosts a source represents; for the fleet-wide total, those that no other
+   * source covers.
+   */
   int representedHosts(Source source) {
     return isFleetTotal(source) ? unreportedHosts() : source.hostCount;
   }
 
-  /** Returns whether a source tells of the whole fleet, this host included. */
+  /** Returns whether a source is the fleet-wide total, this host included. */
   boolean isFleetTotal(Source source) {
     return source == sources.get(FLEET_TOTAL);
   }
@@ -285,20 +309,23 @@
     return hosts;
   }
 
-  /** Hosts that only the sums of the whole fleet tell, or told, of. */
+  /** Returns how many hosts only the fleet-wide total covers or covered. */
   private int unreportedHosts() {
-    Source whole = sources.get(FLEET_TOTAL);
-    return whole == null ? 0 : Math.max(0, whole.hostCount - 1 - reportedHosts());
+    Source fleetTotal = sources.get(FLEET_TOTAL);
+    return fleetTotal == null ? 0 : Math.max(0, fleetTotal.hostCount - 1 - reportedHosts());
   }
 
-  /** Returns what the other hosts that a source tells of spent before it was heard last. */
+  /**
+   * Returns what the other hosts of a source spent in the {@link #RATE_SLOTS} slots before its last
+   * report.
+   */
   long spentBeforeLastReport(Source source, String workspace) {
-    // The newest slot told had only begun.
+    // The newest reported slot was still incomplete.
     long end = source.newestReportedSlot;
     long first = end - RATE_SLOTS;
-    long all = sum(source.spent.get(workspace), first, end);
+    long total = sum(source.spent.get(workspace), first, end);
     return Math.max(
-        0, isFleetTotal(source) ? all - sum(localSpent.get(workspace), first, end) : all);
+        0, isFleetTotal(source) ? total - sum(localSpent.get(workspace), first, end) : total);
   }
 
   private static long sum(@Nullable SpendingSlots slots, long first, long end) {
--- a/sequoia-core/src/main/java/org/sequoiahub/core/allowance/SpendingReport.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/allowance/SpendingReport.java
@@ -6,13 +6,14 @@
 import java.util.Map;
 
 /**
- * What a host tells of what was spent lately.
+ * A host's report of what was spent in the latest slots.
  *
- * @param newestSlot the teller's own number of the newest slot told, which has not ended yet
- * @param slotCount how many slots are told, up to that one
- * @param newestSlotAgeMillis how long ago that slot began, when it was told
- * @param hostCount how many hosts spent this, the teller included
- * @param spent by workspace, the newest slot first; a workspace that is absent spent nothing
+ * @param newestSlot the reporter's own index of the newest slot, which is still incomplete
+ * @param slotCount how many slots are reported, up to the newest one
+ * @param newestSlotAgeMillis how long before the report the newest slot began
+ * @param hostCount how many hosts the report covers, the reporter included
+ * @param spent the units spent by workspace, the newest slot first; a workspace that is absent
+ *     spent nothing
  */
 public record SpendingReport(
     long newestSlot,
@@ -23,8 +24,8 @@
 
   /** Checks the arguments. */
   public SpendingReport {
-    checkArgument(slotCount >= 0, "slots must not be negative, was %s", slotCount);
-    checkArgument(hostCount > 0, "hosts must be above 0, was %s", hostCount);
+    checkArgument(slotCount >= 0, "slotCount must not be negative, was %s", slotCount);
+    checkArgument(hostCount > 0, "hostCount must be above 0, was %s", hostCount);
     spent = Map.copyOf(spent);
   }
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/allowance/SpendingSlots.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/allowance/SpendingSlots.java
@@ -3,10 +3,10 @@
 import java.util.Arrays;
 
 /**
- * What one workspace spent in each of the latest spans of time.
+ * A ring buffer of what one workspace spent in each of the latest time slots.
  *
- * <p>A slot is named by its index: the time at its start divided by {@link #MILLIS}. Slots that are
- * older than the ring holds read as 0.
+ * <p>A slot is identified by its index: its start time divided by {@link #MILLIS}. Slots older than
+ * the ring read as 0.
  */
 final class SpendingSlots {
 
@@ -16,7 +16,7 @@
   private final long[] spent;
   private long newestIndex = Long.MIN_VALUE;
 
-  /** Creates a ring of so many slots. */
+  /** Creates a ring of {@code count} slots. */
   SpendingSlots(int count) {
     this.spent = new long[count];
   }
@@ -29,7 +29,7 @@
     return contains(index) ? spent[position(index)] : 0;
   }
 
-  /** Adds to a slot; nothing happens if it is older than the ring holds. */
+  /** Adds to a slot; has no effect if the slot is older than the ring. */
   void add(long index, long amount) {
     advanceTo(index);
     if (contains(index)) {
@@ -37,7 +37,7 @@
     }
   }
 
-  /** Replaces a slot; nothing happens if it is older than the ring holds. */
+  /** Sets a slot; has no effect if the slot is older than the ring. */
   void set(long index, long amount) {
     advanceTo(index);
     if (contains(index)) {
--- a/sequoia-core/src/main/java/org/sequoiahub/core/allowance/package-info.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/allowance/package-info.java
@@ -1,6 +1,6 @@
 /**
- * Bounding what each workspace uses over all hosts together: every host counts what it spends,
- * tells the others, and decides by the sum.
+ * Limits what each workspace uses on all hosts together: every host counts its own spending,
+ * reports it to the other hosts, and decides by the sum.
  */
 @NullMarked
 package org.sequoiahub.core.allowance;
--- a/sequoia-core/src/test/java/org/sequoiahub/core/allowance/FleetSpendingTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/allowance/FleetSpendingTest.java
@@ -20,27 +20,27 @@
   private static final Workspace LIMITED =
       new Workspace("w", 1, new Allowance(1_000, 2_000, Allowance.Unit.TOKENS, 10));
 
-  /** A word and when it arrives. */
-  private record Word(long atMillis, SpendingReport told) {}
+  /** A report and when it arrives. */
+  private record DelayedReport(long atMillis, SpendingReport report) {}
 
-  /** The other host's clock differs from this one's. */
+  /** The difference between the other host's clock and this one's (ms). */
   private static final long OTHER_CLOCK = 7_654_321;
 
   /**
-   * Symptom: a workspace is refused, or granted too much, after datagrams were lost or came twice.
+   * Guards against a workspace that is rejected, or granted too much, after datagrams were lost or
+   * duplicated.
    *
-   * <p>Events: another host tells what it spent every 100 ms; words are late by up to 200 ms,
-   * doubled, out of order, and some are lost.
-   *
-   * <p>Cause looked for: words taken for changes, or slots that move when the delay varies.
+   * <p>Another host reports its spending every 100 ms; reports are delayed by up to 200 ms,
+   * duplicated, reordered and lost. They must not be applied as changes, and a varying delay must
+   * not move slots.
    */
   @Property(tries = 300, seed = "20261203")
-  void lateLostAndDoubledWordsAddUpToWhatWasSpent(
+  void lateLostAndDuplicatedReportsAddUpToTheSpending(
       @ForAll @IntRange(min = 0, max = 1_000_000) int seed) {
     Random random = new Random(seed);
     FleetSpending here = new FleetSpending(8_000);
     FleetSpending there = new FleetSpending(8_000);
-    List<Word> words = new ArrayList<>();
+    List<DelayedReport> reports = new ArrayList<>();
     long spent = 0;
     for (long now = 10_000; now < 16_000; now += 50) {
       if (now < 15_000 && random.nextInt(3) == 0) {
@@ -48,16 +48,16 @@
         spent += 100;
       }
       if (now % 100 == 0 && random.nextInt(5) > 0) {
-        SpendingReport told = there.localReport(now + OTHER_CLOCK);
-        words.add(new Word(now + random.nextInt(200), told));
+        SpendingReport report = there.localReport(now + OTHER_CLOCK);
+        reports.add(new DelayedReport(now + random.nextInt(200), report));
         if (random.nextInt(4) == 0) {
-          words.add(new Word(now + random.nextInt(200), told));
+          reports.add(new DelayedReport(now + random.nextInt(200), report));
         }
       }
-      for (Word word : List.copyOf(words)) {
-        if (word.atMillis <= now) {
-          words.remove(word);
-          here.applyReport("other", "other 1", word.told, now);
+      for (DelayedReport delayed : List.copyOf(reports)) {
+        if (delayed.atMillis <= now) {
+          reports.remove(delayed);
+          here.applyReport("other", "other 1", delayed.report, now);
         }
       }
     }
@@ -68,12 +68,12 @@
     assertThat(known).isEqualTo(spent);
   }
 
-  private static long newest(SpendingReport told) {
-    return requireNonNull(told.spent().get("w")).get(0);
+  private static long newest(SpendingReport report) {
+    return requireNonNull(report.spent().get("w")).get(0);
   }
 
   @Test
-  void sumsCoverThisHostAndThoseIncluded() {
+  void aggregateReportCoversThisHostAndIncludedSources() {
     FleetSpending spending = new FleetSpending(8_000);
     spending.add("w", 5, 10_000);
     FleetSpending other = new FleetSpending(8_000);
@@ -87,9 +87,9 @@
     assertThat(spending.fleetReport(10_000).hostCount()).isEqualTo(3);
   }
 
-  /** What a host tells of the whole fleet holds this host's part, which must not count twice. */
+  /** A fleet-wide report includes this host's spending, which must not count twice. */
   @Test
-  void ownPartCountsOnceInTheWhole() {
+  void localSpendingCountsOnceInTheFleetTotal() {
     FleetSpending here = new FleetSpending(8_000);
     FleetSpending delegate = new FleetSpending(8_000);
     here.add("w", 5, 10_000);
@@ -99,88 +99,90 @@
     assertThat(here.fleetSpent("w", SpendingSlots.index(10_000))).isEqualTo(12);
   }
 
-  /** Forged words with ever new names fill no memory, and do not hide what was spent here. */
+  /**
+   * Forged reports with ever new names must neither exhaust the memory nor hide what was spent
+   * here.
+   */
   @Test
-  void forgedWordsKeepNothingForEver() {
+  void forgedReportsAreBounded() {
     FleetSpending spending = new FleetSpending(8_000);
     spending.add("w", 5, 10_000);
-    for (int word = 0; word < 200; word++) {
+    for (int index = 0; index < 200; index++) {
       Map<String, List<Long>> forged = new HashMap<>();
       for (int name = 0; name < 100; name++) {
-        forged.put("forged-" + word + "-" + name, List.of(-7L, Long.MAX_VALUE));
+        forged.put("forged-" + index + "-" + name, List.of(-7L, Long.MAX_VALUE));
       }
       spending.applyReport(
-          "x", "x " + word, new SpendingReport(word, 2, 0, 1, forged), 10_000 + word);
+          "x", "x " + index, new SpendingReport(index, 2, 0, 1, forged), 10_000 + index);
     }
     assertThat(spending.fleetSpent("w", SpendingSlots.index(10_000))).isEqualTo(5);
     assertThat(spending.fleetReport(10_300).spent().size()).isAtMost(4_097);
   }
 
   @Test
-  void whatDidNotRunIsGivenBack() {
+  void costOfRequestThatDidNotRunIsRefunded() {
     FleetSpending spending = new FleetSpending(8_000);
-    AllowanceLimiter keeper =
+    AllowanceLimiter limiter =
         new AllowanceLimiter(spending, AllowanceSettings.DEFAULT, false, () -> 0.999_999, 0);
-    keeper.updateAllowances(List.of(LIMITED), 0);
-    assertThat(keeper.tryAcquire(LIMITED, 2_500, 20_000).granted()).isTrue();
-    AllowanceLimiter.Decision refused = keeper.tryAcquire(LIMITED, 2_500, 20_000);
-    assertThat(refused.granted()).isFalse();
-    assertThat(refused.retryAfterMillis()).isEqualTo(500);
-    keeper.refund(LIMITED, 2_500, 20_000);
-    assertThat(keeper.tryAcquire(LIMITED, 10, 20_000).granted()).isTrue();
+    limiter.updateAllowances(List.of(LIMITED), 0);
+    assertThat(limiter.tryAcquire(LIMITED, 2_500, 20_000).granted()).isTrue();
+    AllowanceLimiter.Decision rejected = limiter.tryAcquire(LIMITED, 2_500, 20_000);
+    assertThat(rejected.granted()).isFalse();
+    assertThat(rejected.retryAfterMillis()).isEqualTo(500);
+    limiter.refund(LIMITED, 2_500, 20_000);
+    assertThat(limiter.tryAcquire(LIMITED, 10, 20_000).granted()).isTrue();
   }
 
   @Test
-  void refusedRequestTakesNothingAndComesThroughWhenItWasTold() {
-    AllowanceLimiter keeper =
+  void rejectedRequestConsumesNothingAndIsGrantedAfterTheReturnedDelay() {
+    AllowanceLimiter limiter =
         new AllowanceLimiter(
             new FleetSpending(8_000), AllowanceSettings.DEFAULT, false, () -> 0.999_999, 0);
-    keeper.updateAllowances(List.of(LIMITED), 0);
-    keeper.tryAcquire(LIMITED, 3_000, 20_000);
+    limiter.updateAllowances(List.of(LIMITED), 0);
+    limiter.tryAcquire(LIMITED, 3_000, 20_000);
     long retry = 0;
     for (int i = 0; i < 50; i++) {
-      retry = keeper.tryAcquire(LIMITED, 3_000, 20_000).retryAfterMillis();
+      retry = limiter.tryAcquire(LIMITED, 3_000, 20_000).retryAfterMillis();
     }
     assertThat(retry).isEqualTo(1_000);
-    assertThat(keeper.tryAcquire(LIMITED, 3_000, 20_000 + retry + 1).granted()).isTrue();
+    assertThat(limiter.tryAcquire(LIMITED, 3_000, 20_000 + retry + 1).granted()).isTrue();
   }
 
   /**
-   * Symptom: callers with small requests are refused as often as those with large ones, though what
-   * they ask for all together is a small part of the allowance.
-   *
-   * <p>Events: a workspace asks for four times its limit, most of it with few large requests.
+   * Guards against callers whose small requests are rejected as often as large ones, although their
+   * total is a small part of the allowance.
    *
-   * <p>Cause looked for: a debt that refuses all alike. Before, a third of the small ones were
-   * refused; the large ones are granted as much as is left either way.
+   * <p>A workspace requests four times its limit, most of it with few large requests. A debt that
+   * rejects all requests alike would reject a third of the small ones; either way, the large ones
+   * are granted as much as is left.
    */
   @Test
-  void smallRequestsAreRefusedLast() {
+  void smallRequestsAreRejectedLast() {
     Random random = new Random(5);
     Workspace workspace =
         new Workspace("w", 1, new Allowance(29_000, 29_000, Allowance.Unit.TOKENS, 200));
-    AllowanceLimiter keeper =
+    AllowanceLimiter limiter =
         new AllowanceLimiter(
             new FleetSpending(8_000), AllowanceSettings.DEFAULT, false, random::nextDouble, 0);
-    keeper.updateAllowances(List.of(workspace), 0);
+    limiter.updateAllowances(List.of(workspace), 0);
     long small = 0;
-    long smallRefused = 0;
+    long smallRejected = 0;
     long granted = 0;
     for (long now = 20_000; now < 60_000; now += 10) {
       if (random.nextInt(8) == 0) {
-        granted += keeper.tryAcquire(workspace, 9_490, now).granted() ? 9_490 : 0;
+        granted += limiter.tryAcquire(workspace, 9_490, now).granted() ? 9_490 : 0;
       }
       if (random.nextInt(12) == 0) {
         small++;
-        boolean taken = keeper.tryAcquire(workspace, 885, now).granted();
-        smallRefused += taken ? 0 : 1;
+        boolean taken = limiter.tryAcquire(workspace, 885, now).granted();
+        smallRejected += taken ? 0 : 1;
         granted += taken ? 885 : 0;
       }
     }
-    assertThat((double) smallRefused / small).isLessThan(0.02);
-    // The operators accept a quarter more.
-    double part = granted / (40 * 29_000.0);
-    assertThat(part).isAtLeast(0.95);
-    assertThat(part).isAtMost(1.25);
+    assertThat((double) smallRejected / small).isLessThan(0.02);
+    // Operators accept spending of up to a quarter above the allowance.
+    double grantedFraction = granted / (40 * 29_000.0);
+    assertThat(grantedFraction).isAtLeast(0.95);
+    assertThat(grantedFraction).isAtMost(1.25);
   }
 }
