--- a/sequoia-core/src/main/java/org/sequoiahub/core/member/Delegates.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/member/Delegates.java
@@ -11,45 +11,50 @@
 import org.sequoiahub.core.placement.Rendezvous;
 
 /**
- * Chooses the hosts that speak for their part of a failure domain in a large fleet.
+ * Selects the hosts that represent their group of a failure domain in a large fleet.
  *
- * <p>A domain of many hosts is divided into groups, so that a delegate's cost stays the same.
+ * <p>A failure domain of many hosts is divided into groups, so that the cost of a delegate stays
+ * the same.
  *
- * <p>Hosts that all tell each other everything cost each of them the more the larger the fleet is:
- * at 66 hosts a host spent a tenth of a core on it, 236 MB went between failure domains in 53 s,
- * and 66 watches of the store were nine tenths of what its calls cost. So beyond a size each host
- * speaks to two delegates of its group only; these exchange sums among the groups, watch the store
- * and order the runners. The choice needs no agreement: hosts that see other members for a while
- * speak to other delegates, and all of these pass on what they hear.
+ * <p>If every host exchanges its state with every other one, the cost per host grows with the
+ * fleet: at 66 hosts, a host spends a tenth of a core on it, 236 MB pass between failure domains in
+ * 53 s, and 66 watches of the store are nine tenths of the cost of its calls. Beyond a certain
+ * size, each host therefore exchanges state with two delegates of its group only. The delegates
+ * exchange sums between the groups, watch the store and order the runners. The selection needs no
+ * agreement: hosts that temporarily see different members use different delegates, and all of these
+ * forward what they receive.
  */
 public final class Delegates {
 
   /**
-   * Fleets of up to so many hosts have no delegates: news arrives there within 25 ms, through
-   * delegates in some hundred. A choice between the sizes that were measured, 9 and 66 hosts.
+   * The largest fleet without delegates. Changes arrive within 25 ms there, and within some hundred
+   * through delegates.
    */
   public static final int MAX_HOSTS_WITHOUT_DELEGATES = 16;
 
-  /** Hosts of one group at most: its first delegate sends each of them seven digests a second. */
+  /**
+   * The largest number of hosts in a group; its first delegate sends each of them seven digests a
+   * second.
+   */
   public static final int MAX_GROUP_HOSTS = 32;
 
-  /** Delegates of each group: one may die unnoticed for a second. */
+  /** The number of delegates per group; one may die unnoticed for a second. */
   public static final int PER_GROUP = 2;
 
   private static final String RANKING_KEY = "delegate";
 
   private Delegates() {}
 
-  /** Returns whether a fleet of so many hosts has delegates. */
+  /** Returns whether a fleet of this size has delegates. */
   public static boolean areNeeded(int hosts) {
     return hosts > MAX_HOSTS_WITHOUT_DELEGATES;
   }
 
   /**
-   * Returns each host's group.
+   * Returns the group of each host.
    *
-   * <p>A domain has a power of two of groups: a host that comes or goes changes the division only
-   * where the number of hosts doubles or halves.
+   * <p>A failure domain has a power of two of groups, so that a host that joins or leaves changes
+   * the division only where the number of hosts doubles or halves.
    */
   public static Map<String, String> groups(Map<String, String> domainByHost) {
     Map<String, Integer> sizes = new HashMap<>();
@@ -57,20 +62,20 @@
     Map<String, String> groups = new HashMap<>();
     domainByHost.forEach(
         (host, domain) -> {
-          int parts = 1;
-          while (sizes.getOrDefault(domain, 0) > parts * MAX_GROUP_HOSTS) {
-            parts *= 2;
+          int groupCount = 1;
+          while (sizes.getOrDefault(domain, 0) > groupCount * MAX_GROUP_HOSTS) {
+            groupCount *= 2;
           }
-          groups.put(host, domain + "/" + Math.floorMod(Rendezvous.hash(host), parts));
+          groups.put(host, domain + "/" + Math.floorMod(Rendezvous.hash(host), groupCount));
         });
     return groups;
   }
 
   /**
-   * Returns the delegates of all groups: their strongest hosts, as a delegate does ten times the
-   * work of the others; hosts that are equally strong rank by hash.
+   * Returns the delegates of all groups: the strongest hosts, as a delegate does ten times the work
+   * of the others. Hosts of equal strength are ranked by hash.
    *
-   * @param strength how much processor a host has
+   * @param strength the processor capacity of a host
    */
   public static Set<String> of(Map<String, String> groupByHost, ToIntFunction<String> strength) {
     Map<String, List<String>> byGroup = new HashMap<>();
--- a/sequoia-core/src/main/java/org/sequoiahub/core/member/Members.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/member/Members.java
@@ -14,20 +14,20 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The hosts that this host knows of.
+ * The other hosts that this host knows.
  *
- * <p>A host is found through a seed or because another one named it, and is a member from its first
- * own word on. Leaving is announced; silence is suspected before it is believed. All times are of
- * this host's monotonic clock.
+ * <p>A host is discovered through a seed or because another host named it, and becomes a member
+ * with its own first message. Leaving is announced; a silent host is suspected first and considered
+ * dead later. All times are of this host's monotonic clock.
  *
- * @param <S> what a host tells of itself
+ * @param <S> the state that a host advertises
  */
 public final class Members<S> {
 
-  /** A host that was named but never answered is forgotten after this (ms). */
+  /** How long a named host that never replied is remembered (ms). */
   private static final long CANDIDATE_RETENTION_MILLIS = 30_000;
 
-  /** A named host that never answered is tried this often (ms). */
+  /** The interval between attempts to contact a named host that never replied (ms). */
   private static final long CANDIDATE_RETRY_MILLIS = 1_000;
 
   private final String self;
@@ -35,25 +35,25 @@
   private final Map<String, Member<S>> members = new HashMap<>();
   private final Map<String, Candidate> candidates = new HashMap<>();
 
-  /** The members' addresses: each word of a host names others, and most of them are known. */
+  /** The members' addresses. Every message names other hosts, most of which are members already. */
   private final Set<String> memberIps = new HashSet<>();
 
-  /** Creates a view that knows only this host. */
+  /** Creates a view that contains no other host. */
   public Members(String self, MemberSettings settings) {
     this.self = requireNonNull(self, "self must not be null");
     this.settings = requireNonNull(settings, "settings must not be null");
   }
 
   /**
-   * One host.
+   * A host that sent a message.
    *
-   * @param host its name
-   * @param ip where it receives datagrams
-   * @param incarnation which of its processes spoke last
-   * @param sequence the number of its last word
-   * @param lastSeenMillis when it spoke last
-   * @param leaving whether it said that it leaves
-   * @param state what it told last
+   * @param host the host's name
+   * @param ip the address at which it receives datagrams
+   * @param incarnation which of its processes sent the last message
+   * @param sequence the sequence number of its last message
+   * @param lastSeenMillis when it sent its last message
+   * @param leaving whether it announced that it leaves
+   * @param state the state that it advertised last
    */
   public record Member<S>(
       String host,
@@ -67,59 +67,64 @@
   private record Candidate(long sinceMillis, long lastTriedMillis) {}
 
   /**
-   * Takes in a host's word; false if it is older than what is known.
+   * Applies a message that a host sent to this one.
    *
-   * <p>An incarnation is drawn from the time of day, which may step back between two starts. Were a
-   * smaller one refused for good, the restarted host would stay invisible; so it is taken once the
-   * larger one has been silent for as long as a suspected host.
+   * <p>An incarnation is derived from the time of day, which may step back between two starts. If a
+   * smaller incarnation were rejected for good, the restarted host would remain invisible, so it is
+   * accepted once the larger one has been silent for as long as a suspected host.
+   *
+   * @return false if the message is older than what is known
    */
   public boolean receive(
       String host,
       String ip,
       long incarnation,
-      long number,
+      long sequence,
       boolean leaving,
       S state,
       long nowMillis) {
-    return receiveForwarded(host, ip, incarnation, number, leaving, state, nowMillis, nowMillis);
+    return receiveForwarded(host, ip, incarnation, sequence, leaving, state, nowMillis, nowMillis);
   }
 
   /**
-   * Takes in a host's word that another host passed on; false if it is older than what is known.
+   * Applies a message that another host forwarded.
    *
-   * @param heardMillis when the word was said, by the age that it was passed on with
+   * @param lastSeenMillis when the message was sent, according to the age with which it was
+   *     forwarded
+   * @return false if the message is older than what is known
    */
   public boolean receiveForwarded(
       String host,
       String ip,
       long incarnation,
-      long number,
+      long sequence,
       boolean leaving,
       S state,
-      long heardMillis,
+      long lastSeenMillis,
       long nowMillis) {
-    if (host.equals(self) || nowMillis - heardMillis >= settings.retainMillis()) {
+    if (host.equals(self) || nowMillis - lastSeenMillis >= settings.retainMillis()) {
       return false;
     }
     Member<S> current = members.get(host);
     if (current != null) {
       boolean stale =
           incarnation < current.incarnation && nowMillis - current.lastSeenMillis < suspectMillis();
-      boolean repeated = incarnation == current.incarnation && number <= current.sequence;
+      boolean repeated = incarnation == current.incarnation && sequence <= current.sequence;
       if (stale || repeated) {
         return false;
       }
     }
     candidates.remove(ip);
     memberIps.add(ip);
-    members.put(host, new Member<>(host, ip, incarnation, number, heardMillis, leaving, state));
+    members.put(
+        host, new Member<>(host, ip, incarnation, sequence, lastSeenMillis, leaving, state));
     return true;
   }
 
-  /** Takes in that the process of a host that is known already was heard at a certain time. */
-  public void updateLastSeen(String host, long heardMillis) {
+  /** Records that the last known process of a member was alive at a given time. */
+  public void updateLastSeen(String host, long lastSeenMillis) {
     Member<S> known = members.get(host);
-    if (known != null && known.lastSeenMillis < heardMillis) {
+    if (known != null && known.lastSeenMillis < lastSeenMillis) {
       members.put(
           host,
           new Member<>(
@@ -127,20 +132,20 @@
               known.ip,
               known.incarnation,
               known.sequence,
-              heardMillis,
+              lastSeenMillis,
               known.leaving,
               known.state));
     }
   }
 
-  /** Records that somebody named a host, so that it is tried. */
+  /** Records the address of a host that another one named, so that it is contacted. */
   public void addCandidate(String ip, long nowMillis) {
     if (!memberIps.contains(ip)) {
       candidates.computeIfAbsent(ip, key -> new Candidate(nowMillis, Long.MIN_VALUE / 2));
     }
   }
 
-  /** Returns the members to speak to: all that may be alive. */
+  /** Returns the members to send messages to: all that may be alive. */
   public List<Member<S>> reachable(long nowMillis) {
     List<Member<S>> reachable = new ArrayList<>();
     for (Member<S> member : members.values()) {
@@ -151,10 +156,12 @@
     return reachable;
   }
 
-  /** Returns addresses that were named but never answered and are due for a try. */
+  /** Returns the addresses of named hosts that never replied and are due to be contacted. */
   public Collection<String> candidatesDue(long nowMillis) {
     Set<String> due = new TreeSet<>();
-    candidates.values().removeIf(u -> nowMillis - u.sinceMillis > CANDIDATE_RETENTION_MILLIS);
+    candidates
+        .values()
+        .removeIf(candidate -> nowMillis - candidate.sinceMillis > CANDIDATE_RETENTION_MILLIS);
     for (Map.Entry<String, Candidate> entry : candidates.entrySet()) {
       if (nowMillis - entry.getValue().lastTriedMillis >= CANDIDATE_RETRY_MILLIS) {
         due.add(entry.getKey());
@@ -164,7 +171,7 @@
     return due;
   }
 
-  /** Returns the other hosts that are alive and not leaving. */
+  /** Returns the members that are alive and not leaving. */
   public List<Member<S>> alive(long nowMillis) {
     List<Member<S>> alive = new ArrayList<>();
     for (Member<S> member : members.values()) {
@@ -175,20 +182,20 @@
     return alive;
   }
 
-  /** Returns a host. */
+  /** Returns a member by its name. */
   public Optional<Member<S>> find(String host) {
     return Optional.ofNullable(members.get(host));
   }
 
-  /** Returns whether a host spoke lately and does not leave. */
+  /** Returns whether a member is neither suspected nor leaving. */
   public boolean isHealthy(String host, long nowMillis) {
     Member<S> member = members.get(host);
     return member != null && !member.leaving && nowMillis - member.lastSeenMillis < suspectMillis();
   }
 
   /**
-   * Returns the hosts, this one included, of which a majority may decide: the living and those that
-   * fell silent not long ago, without those that announced their leaving.
+   * Returns the hosts, this one included, of which a majority may decide: those that are alive or
+   * fell silent recently, without those that announced that they leave.
    */
   public Set<String> electorate(long nowMillis) {
     Set<String> hosts = new HashSet<>();
@@ -201,7 +208,7 @@
     return hosts;
   }
 
-  /** Returns how often each other host is to be told this host's state (ms). */
+  /** Returns the period at which each member is sent a heartbeat (ms). */
   public long heartbeatPeriodMillis() {
     return settings.heartbeatPeriodMillis(members.size());
   }
@@ -214,11 +221,13 @@
     return settings.deadAfterHeartbeats() * heartbeatPeriodMillis();
   }
 
-  /** Forgets hosts that have long been silent. */
+  /** Removes members that have been silent for {@link MemberSettings#retainMillis}. */
   public void removeExpired(long nowMillis) {
-    boolean any =
-        members.values().removeIf(m -> nowMillis - m.lastSeenMillis >= settings.retainMillis());
-    if (any) {
+    boolean removed =
+        members
+            .values()
+            .removeIf(member -> nowMillis - member.lastSeenMillis >= settings.retainMillis());
+    if (removed) {
       memberIps.clear();
       members.values().forEach(member -> memberIps.add(member.ip));
     }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/member/PeakArrivalRate.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/member/PeakArrivalRate.java
@@ -3,9 +3,10 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * How many requests a second came lately: the most of the seconds that are remembered.
+ * The rate of the busiest of the latest seconds, in requests per second.
  *
- * <p>The most and not the mean, so that what is planned by it does not follow each short calm.
+ * <p>The maximum is used rather than the mean, so that what is planned by it does not follow every
+ * short pause.
  */
 public final class PeakArrivalRate {
 
@@ -15,36 +16,36 @@
   private long newestSecond = Long.MIN_VALUE / 2;
 
   /**
-   * Creates a rate of nothing.
+   * Creates a rate without arrivals.
    *
-   * @param seconds how many whole seconds are remembered besides the present one
+   * @param seconds how many whole seconds are remembered in addition to the current one
    */
   public PeakArrivalRate(int seconds) {
     checkArgument(seconds > 0, "seconds must be above 0, was %s", seconds);
     this.counts = new int[seconds + 1];
   }
 
-  /** Counts a request. */
+  /** Counts an arrival. */
   public void recordArrival(long nowMillis) {
     advance(nowMillis);
     counts[slot(newestSecond)]++;
   }
 
-  /** Returns the requests of the busiest second. */
+  /** Returns the number of arrivals in the busiest second. */
   public int perSecond(long nowMillis) {
     advance(nowMillis);
-    int most = 0;
+    int max = 0;
     for (int count : counts) {
-      most = Math.max(most, count);
+      max = Math.max(max, count);
     }
-    return most;
+    return max;
   }
 
   private void advance(long nowMillis) {
     long second = Math.floorDiv(nowMillis, SECOND_MILLIS);
     long first = Math.max(newestSecond + 1, second - counts.length + 1);
-    for (long passed = first; passed <= second; passed++) {
-      counts[slot(passed)] = 0;
+    for (long next = first; next <= second; next++) {
+      counts[slot(next)] = 0;
     }
     newestSecond = Math.max(newestSecond, second);
   }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/member/package-info.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/member/package-info.java
@@ -1,4 +1,4 @@
-/** Which hosts there are and which of them are alive, as far as this host has heard. */
+/** Membership: which hosts exist and which of them are alive, as far as this host knows. */
 @NullMarked
 package org.sequoiahub.core.member;
 
--- a/sequoia-core/src/test/java/org/sequoiahub/core/member/CallerHostSelectorTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/member/CallerHostSelectorTest.java
@@ -18,7 +18,7 @@
   private static final int STRONG = 150;
   private static final int WEAK = 36;
 
-  /** Eight strong hosts and 69 weak ones in four failure domains. */
+  /** Returns eight strong hosts and 69 weak ones in four failure domains. */
   private static List<Candidate> fleet() {
     List<Candidate> fleet = new ArrayList<>();
     for (int i = 0; i < 77; i++) {
@@ -36,31 +36,27 @@
   class SlowHosts {
 
     /**
-     * Symptom: requests are late in a large fleet although its processors are nearly idle.
+     * Guards against slow requests in a large fleet whose processors are nearly idle.
      *
-     * <p>Events: 170 requests a second come to 77 hosts, of which eight have four times the
-     * processor of the others.
-     *
-     * <p>Cause: each host was named to the callers, so each served two requests a second, slowly
-     * and with code that is never compiled; a weak one took a 77th like a strong one.
-     *
-     * <p>Evidence: processor time of a request, 25 ms where a host serves two a second and 9 ms
-     * where it serves 17. Here: the processor of the host that the mean request meets, 48
-     * hundredths before and {@link #STRONG} after; requests a second at each host, 2.2 and 21.
+     * <p>170 requests a second arrive at 77 hosts, of which eight have four times the processor of
+     * the others. If every host is advertised to the callers, each serves two requests a second,
+     * slowly and with code that is never compiled, and a weak host receives a 77th just like a
+     * strong one. A request takes 25 ms of processor time where a host serves two a second, and 9
+     * ms where it serves 17.
      */
     @Test
-    void strongHostsTakeTheRequests() {
-      List<Candidate> named = CallerHostSelector.select(fleet(), 170);
-      assertThat(named).hasSize(8);
-      assertThat(named.stream().allMatch(host -> host.processor() == STRONG)).isTrue();
+    void strongHostsReceiveTheRequests() {
+      List<Candidate> selected = CallerHostSelector.select(fleet(), 170);
+      assertThat(selected).hasSize(8);
+      assertThat(selected.stream().allMatch(host -> host.processor() == STRONG)).isTrue();
     }
 
     @Test
-    void moreAreNamedWhenMoreIsAsked() {
-      List<Candidate> calm = CallerHostSelector.select(fleet(), 170);
-      List<Candidate> busy = CallerHostSelector.select(fleet(), 600);
-      assertThat(processor(busy)).isAtLeast(600 * 4);
-      assertThat(busy).containsAtLeastElementsIn(calm);
+    void selectsMoreHostsForMoreDemand() {
+      List<Candidate> lowDemand = CallerHostSelector.select(fleet(), 170);
+      List<Candidate> highDemand = CallerHostSelector.select(fleet(), 600);
+      assertThat(processor(highDemand)).isAtLeast(600 * 4);
+      assertThat(highDemand).containsAtLeastElementsIn(lowDemand);
       assertThat(CallerHostSelector.select(fleet(), 10_000)).hasSize(77);
     }
   }
@@ -69,39 +65,39 @@
   class Losses {
 
     @Test
-    void othersAreNamedWhenTheStrongAreGone() {
-      List<Candidate> left = fleet().subList(8, 77);
-      List<Candidate> named = CallerHostSelector.select(left, 170);
-      assertThat(processor(named)).isAtLeast(170 * 4);
-      assertThat(named.size()).isLessThan(77 / 2);
+    void selectsWeakHostsWithoutStrongOnes() {
+      List<Candidate> remaining = fleet().subList(8, 77);
+      List<Candidate> selected = CallerHostSelector.select(remaining, 170);
+      assertThat(processor(selected)).isAtLeast(170 * 4);
+      assertThat(selected.size()).isLessThan(77 / 2);
     }
 
     @Test
-    void eachDomainHasTwo() {
+    void selectsTwoHostsPerDomain() {
       List<Candidate> fleet = new ArrayList<>(fleet());
       fleet.removeIf(host -> host.failureDomain().equals("z0") && host.processor() == STRONG);
-      List<Candidate> named = CallerHostSelector.select(fleet, 0);
+      List<Candidate> selected = CallerHostSelector.select(fleet, 0);
       for (int domain = 0; domain < DOMAINS; domain++) {
         String name = "z" + domain;
-        assertThat(named.stream().filter(host -> host.failureDomain().equals(name)).count())
+        assertThat(selected.stream().filter(host -> host.failureDomain().equals(name)).count())
             .isAtLeast(2);
       }
     }
 
     @Test
-    void lastHostIsNamed() {
+    void selectsTheLastHost() {
       assertThat(CallerHostSelector.select(fleet().subList(76, 77), 0)).hasSize(1);
       assertThat(CallerHostSelector.select(List.of(), 0)).isEmpty();
     }
 
-    /** Callers close connections to hosts that are no longer named. */
+    /** Callers close connections to hosts that are no longer advertised. */
     @Test
-    void oneLossMovesFewOthers() {
+    void oneLossChangesFewOthers() {
       Set<Candidate> before = new HashSet<>(CallerHostSelector.select(fleet(), 300));
       for (Candidate lost : before) {
-        List<Candidate> left = new ArrayList<>(fleet());
-        left.remove(lost);
-        Set<Candidate> after = new HashSet<>(CallerHostSelector.select(left, 300));
+        List<Candidate> remaining = new ArrayList<>(fleet());
+        remaining.remove(lost);
+        Set<Candidate> after = new HashSet<>(CallerHostSelector.select(remaining, 300));
         assertThat(before.stream().filter(host -> !after.contains(host)).count()).isAtMost(2);
         assertThat(after.stream().filter(host -> !before.contains(host)).count()).isAtMost(5);
       }
@@ -112,7 +108,7 @@
   class Agreement {
 
     @Test
-    void hostsChooseAlikeWhateverTheOrderTheyLearntIn() {
+    void selectionDoesNotDependOnTheOrderOfCandidates() {
       List<Candidate> shuffled = fleet();
       Collections.shuffle(shuffled, new Random(3));
       assertThat(CallerHostSelector.select(shuffled, 200))
--- a/sequoia-core/src/test/java/org/sequoiahub/core/member/DelegatesTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/member/DelegatesTest.java
@@ -32,11 +32,9 @@
     }
 
     /**
-     * Symptom: the delegates of a large domain have no time left for requests.
+     * Guards against delegates of a large failure domain that have no time left for requests.
      *
-     * <p>Events: a domain has 300 hosts.
-     *
-     * <p>Cause looked for: two delegates for all of them.
+     * <p>A domain has 300 hosts, which two delegates must not represent alone.
      */
     @Test
     void ofLargeDomainsStaySmall() {
@@ -66,20 +64,19 @@
   }
 
   /**
-   * Symptom: hosts that see one host more or less speak to other delegates altogether.
-   *
-   * <p>Events: one host dies.
+   * Guards against hosts that use entirely different delegates because they see one host more or
+   * less.
    *
-   * <p>Cause looked for: a choice that depends on the number of hosts.
+   * <p>One host dies. The selection must not depend on the number of hosts.
    */
   @Property(tries = 200, seed = "20261230")
   void deathOfOneHostChangesOneDelegateAtMost(
       @ForAll @IntRange(min = 17, max = 120) int hosts, @ForAll @IntRange(max = 119) int dead) {
     Map<String, String> groups = Delegates.groups(fleet(hosts, 4));
     Set<String> before = Delegates.of(groups, host -> 1);
-    Map<String, String> left = new HashMap<>(groups);
-    left.remove("host-" + dead % hosts);
-    Set<String> after = new HashSet<>(Delegates.of(left, host -> 1));
+    Map<String, String> remaining = new HashMap<>(groups);
+    remaining.remove("host-" + dead % hosts);
+    Set<String> after = new HashSet<>(Delegates.of(remaining, host -> 1));
     after.removeAll(before);
     assertWithMessage("new delegates").that(after.size()).isAtMost(1);
   }
--- a/sequoia-core/src/test/java/org/sequoiahub/core/member/MembersTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/member/MembersTest.java
@@ -11,47 +11,48 @@
   private final Members<String> members =
       new Members<>("self", new MemberSettings(200, 250, 5, 12, 20_000));
 
-  private boolean heard(String host, long incarnation, long number, boolean leaving, long now) {
-    return members.receive(host, "10.0.0." + host, incarnation, number, leaving, "state", now);
+  private boolean receive(
+      String host, long incarnation, long sequence, boolean leaving, long nowMillis) {
+    return members.receive(
+        host, "10.0.0." + host, incarnation, sequence, leaving, "state", nowMillis);
   }
 
   @Nested
-  class Words {
+  class Messages {
     @Test
-    void olderOneIsDropped() {
-      assertThat(heard("1", 7, 2, false, 0)).isTrue();
-      assertThat(heard("1", 7, 2, false, 1)).isFalse();
-      assertThat(heard("1", 7, 1, false, 2)).isFalse();
-      assertThat(heard("1", 6, 9, false, 3)).isFalse();
-      assertThat(heard("1", 8, 1, false, 4)).isTrue();
+    void olderOnesAreRejected() {
+      assertThat(receive("1", 7, 2, false, 0)).isTrue();
+      assertThat(receive("1", 7, 2, false, 1)).isFalse();
+      assertThat(receive("1", 7, 1, false, 2)).isFalse();
+      assertThat(receive("1", 6, 9, false, 3)).isFalse();
+      assertThat(receive("1", 8, 1, false, 4)).isTrue();
     }
 
     /**
-     * Symptom: a restarted host is never seen again.
+     * Guards against a restarted host that is never seen again.
      *
-     * <p>Events: its time of day steps back by 2 s; it is killed and starts again, and draws its
-     * incarnation from the time of day.
-     *
-     * <p>Cause: its words bear a smaller incarnation than the dead process's.
+     * <p>The host's time of day steps back by 2 s; the host is killed, restarts, and derives its
+     * incarnation from the time of day. Its messages bear a smaller incarnation than those of the
+     * dead process.
      */
     @Test
-    void smallerIncarnationCountsOnceTheLargerOneIsSilent() {
-      heard("1", 7, 5, false, 0);
-      assertThat(heard("1", 6, 1, false, 500)).isFalse();
-      assertThat(heard("1", 6, 2, false, 1_000)).isTrue();
+    void smallerIncarnationIsAcceptedOnceTheLargerOneIsSilent() {
+      receive("1", 7, 5, false, 0);
+      assertThat(receive("1", 6, 1, false, 500)).isFalse();
+      assertThat(receive("1", 6, 2, false, 1_000)).isTrue();
     }
 
     @Test
-    void ownOnesAreDropped() {
-      assertThat(heard("self", 7, 5, false, 0)).isFalse();
+    void ownOnesAreRejected() {
+      assertThat(receive("self", 7, 5, false, 0)).isFalse();
     }
   }
 
   @Nested
   class Silence {
     @Test
-    void isSuspectedThenBelieved() {
-      heard("1", 1, 1, false, 0);
+    void isSuspectedThenConsideredDead() {
+      receive("1", 1, 1, false, 0);
       assertThat(members.isHealthy("1", 999)).isTrue();
       assertThat(members.isHealthy("1", 1_000)).isFalse();
       assertThat(members.alive(2_399)).hasSize(1);
@@ -59,16 +60,15 @@
     }
 
     /**
-     * Symptom: two hosts order one runner at the same time.
-     *
-     * <p>Events: a partition cuts one host of three off; it takes the silent ones for dead.
+     * Guards against two hosts that order the same runner at the same time.
      *
-     * <p>Cause looked for: the dead no longer count, and the cut-off host is a majority of one.
+     * <p>A partition isolates one host of three, which considers the silent ones dead. If the dead
+     * no longer counted, the isolated host would be a majority of one.
      */
     @Test
-    void leavesTheDeadInTheElectorate() {
-      heard("1", 1, 1, false, 0);
-      heard("2", 1, 1, false, 0);
+    void keepsTheDeadInTheElectorate() {
+      receive("1", 1, 1, false, 0);
+      receive("2", 1, 1, false, 0);
       assertThat(members.electorate(10_000)).isEqualTo(Set.of("self", "1", "2"));
     }
   }
@@ -76,9 +76,9 @@
   @Nested
   class Leaving {
     @Test
-    void isBelievedAtOnce() {
-      heard("1", 1, 1, false, 0);
-      heard("1", 1, 2, true, 10);
+    void takesEffectAtOnce() {
+      receive("1", 1, 1, false, 0);
+      receive("1", 1, 2, true, 10);
       assertThat(members.alive(11)).isEmpty();
       assertThat(members.electorate(11)).isEqualTo(Set.of("self"));
     }
@@ -87,9 +87,9 @@
   @Nested
   class LargeFleets {
     @Test
-    void speakLessOftenAndSuspectLater() {
+    void sendHeartbeatsLessOftenAndSuspectLater() {
       for (int host = 0; host < 300; host++) {
-        heard("h" + host, 1, 1, false, 0);
+        receive("h" + host, 1, 1, false, 0);
       }
       assertThat(members.heartbeatPeriodMillis()).isEqualTo(1_200);
       assertThat(members.isHealthy("h7", 5_999)).isTrue();
@@ -98,14 +98,14 @@
   }
 
   @Nested
-  class Named {
+  class NamedHosts {
     @Test
-    void areTriedEachSecondUntilTheySpeak() {
+    void areContactedEverySecondUntilTheyReply() {
       members.addCandidate("10.0.0.1", 0);
       assertThat(members.candidatesDue(0)).containsExactly("10.0.0.1");
       assertThat(members.candidatesDue(500)).isEmpty();
       assertThat(members.candidatesDue(1_000)).containsExactly("10.0.0.1");
-      heard("1", 1, 1, false, 1_100);
+      receive("1", 1, 1, false, 1_100);
       assertThat(members.candidatesDue(5_000)).isEmpty();
     }
   }
--- a/sequoia-core/src/test/java/org/sequoiahub/core/member/PeakArrivalRateTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/member/PeakArrivalRateTest.java
@@ -16,10 +16,10 @@
   }
 
   @Nested
-  class Busiest {
+  class BusiestSecond {
 
     @Test
-    void ofTheRememberedSecondsCounts() {
+    void ofTheRememberedSecondsIsReturned() {
       arrive(5, 10_000);
       arrive(9, 11_500);
       arrive(2, 12_999);
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void isForgottenAfterThem() {
+    void isForgottenAfterTheRememberedSeconds() {
       arrive(9, 10_000);
       arrive(2, 12_000);
       assertThat(rate.perSecond(13_999)).isEqualTo(9);
@@ -37,10 +37,10 @@
   }
 
   @Nested
-  class Nothing {
+  class NoArrivals {
 
     @Test
-    void isNoDemand() {
+    void haveRateZero() {
       assertThat(rate.perSecond(5_000)).isEqualTo(0);
     }
   }
