--- a/sequoia-core/src/main/java/org/sequoiahub/core/upstream/RunnerEntry.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/upstream/RunnerEntry.java
@@ -4,19 +4,21 @@
 import java.util.Set;
 
 /**
- * What a runner published of itself.
+ * An entry that a runner published about itself.
  *
- * @param incarnation which runner, and which of its lives
- * @param sequence a count that only grows in one life: an entry with a lower one is an old copy
- * @param service the service that it belongs to
- * @param address its host:port, which another runner may get later
- * @param failureDomain where it runs
- * @param slots requests that it processes at once
+ * @param incarnation the runner and which of its processes wrote the entry
+ * @param sequence a number that only increases within an incarnation: an entry with a lower one is
+ *     an obsolete copy
+ * @param service the service that the runner belongs to
+ * @param address the runner's host:port, which another runner may get later
+ * @param failureDomain the failure domain in which it runs
+ * @param slots the number of requests that it processes concurrently
  * @param leaving whether it asked for no more work
- * @param remainingMillis how long it still exists from this entry on; negative if it did not say
- * @param slowMillis how long it stays slow after its start
- * @param heldModels the base models that it held when it wrote this
- * @param heldAdapters adapters as model/adapter, with the version of each
+ * @param remainingMillis how long it will exist from this entry on; negative if it didn't state
+ *     that
+ * @param slowMillis how long it remains slow after its start
+ * @param heldModels the base models that it held when it wrote the entry
+ * @param heldAdapters the adapters that it held as model/adapter, with the version of each
  */
 public record RunnerEntry(
     RunnerIncarnation incarnation,
@@ -37,29 +39,29 @@
     heldAdapters = Map.copyOf(heldAdapters);
   }
 
-  /** Returns the key of the incarnation, under which all that is known of it is kept. */
+  /** Returns the key of the incarnation, by which all state of the runner is indexed. */
   public String id() {
     return incarnation.key();
   }
 
-  /** Returns the hash of {@link #id}, the same on every host. */
+  /** Returns the hash of {@link #id}, which is the same on every host. */
   public long idHash() {
     return incarnation.keyHash();
   }
 
-  /** Returns the id that the runner answers to; a restart may keep it. */
+  /** Returns the id by which the runner identifies itself; a restarted runner may keep it. */
   public String instance() {
     return incarnation.runner();
   }
 
   /**
-   * Returns whether this is an old copy of what {@code known} replaced: of an earlier life, or an
-   * earlier word of the same one.
+   * Returns whether this is an obsolete copy compared with {@code known}: of an earlier
+   * incarnation, or an earlier entry of the same one.
    */
   public boolean isOlderThan(RunnerEntry known) {
-    boolean sameLife = incarnation.equals(known.incarnation);
+    boolean sameIncarnation = incarnation.equals(known.incarnation);
     boolean startKnown = incarnation.startedAtMillis() != RunnerIncarnation.UNKNOWN_START;
     return incarnation.isBefore(known.incarnation)
-        || (sameLife && startKnown && sequence < known.sequence);
+        || (sameIncarnation && startKnown && sequence < known.sequence);
   }
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/upstream/RunnerIncarnation.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/upstream/RunnerIncarnation.java
@@ -6,19 +6,20 @@
 import org.sequoiahub.core.placement.Rendezvous;
 
 /**
- * One life of a runner: the id that it answers to and when its process started.
+ * A process of a runner: the runner's id and the start time of the process.
  *
- * <p>A runner may start again under the id that it had. It then holds nothing of before and its
- * counts begin anew; whatever was known of the earlier life (what it holds, how it fares, what is
- * in flight there, what it was ordered) is kept under the earlier incarnation and says nothing of
- * this one.
+ * <p>A runner may restart under the same id. The new process holds nothing of the previous one and
+ * its counters start at zero; whatever is known of the previous process (what it holds, its health,
+ * what is in flight there, what it was ordered) is stored under the earlier incarnation and doesn't
+ * apply to the new one.
  *
- * <p>A class and not a record, because it keeps its key and the key's hash: both are asked for at
- * each choice of a runner, and building them anew was 3% of the work of a host's decision thread.
+ * <p>This is a class rather than a record because it caches its key and the key's hash: both are
+ * needed at each selection of a runner, and computing them each time would take 3% of the work of a
+ * host's decision thread.
  */
 public final class RunnerIncarnation {
 
-  /** The start of a runner that does not tell it; earlier than any other. */
+  /** The start time of a runner that doesn't report it; earlier than any other. */
   public static final long UNKNOWN_START = 0;
 
   private final String runner;
@@ -29,9 +30,9 @@
   /**
    * Creates an incarnation.
    *
-   * @param runner the id that the runner answers to
-   * @param startedAtMillis the time of day of its start (ms since 1970); {@link #UNKNOWN_START} if
-   *     it does not say
+   * @param runner the id by which the runner identifies itself
+   * @param startedAtMillis the time of day of the start (ms since 1970); {@link #UNKNOWN_START} if
+   *     the runner doesn't report it
    */
   public RunnerIncarnation(String runner, long startedAtMillis) {
     checkArgument(!runner.isEmpty(), "runner must not be empty");
@@ -42,22 +43,22 @@
     this.keyHash = Rendezvous.hash(key);
   }
 
-  /** Returns the incarnation of a runner that does not tell when it started. */
+  /** Returns the incarnation of a runner that doesn't report its start time. */
   public static RunnerIncarnation of(String runner) {
     return new RunnerIncarnation(runner, UNKNOWN_START);
   }
 
-  /** Returns the id that the runner answers to. */
+  /** Returns the id by which the runner identifies itself. */
   public String runner() {
     return runner;
   }
 
-  /** Returns the time of day of its start (ms since 1970), or {@link #UNKNOWN_START}. */
+  /** Returns the time of day of the start (ms since 1970), or {@link #UNKNOWN_START}. */
   public long startedAtMillis() {
     return startedAtMillis;
   }
 
-  /** Returns a text that names this incarnation and no other. */
+  /** Returns the unique key of this incarnation. */
   public String key() {
     return key;
   }
@@ -67,7 +68,7 @@
     return keyHash;
   }
 
-  /** Returns whether this is an earlier life than another of the same runner. */
+  /** Returns whether this is an earlier process than another incarnation of the same runner. */
   public boolean isBefore(RunnerIncarnation other) {
     return startedAtMillis < other.startedAtMillis;
   }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/upstream/RunnerRegistry.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/upstream/RunnerRegistry.java
@@ -11,42 +11,49 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * The runners as the store publishes them, merged from whole readings, single changes and what
- * other hosts pass on.
+ * The runners as published in the store, merged from snapshots, single changes and what other hosts
+ * forward.
  *
- * <p>For each runner the newest store revision wins, wherever it came from, so a reading that is
- * late or stale never brings a runner back that has left since.
+ * <p>For each runner the newest store revision wins, whatever its source, so a late or stale
+ * snapshot never restores a runner that has left since.
  */
 public final class RunnerRegistry {
 
   /**
-   * How long a runner whose entry vanished is still used when nothing better is there (ms). Entries
-   * also vanish while the store is away and come back within 2 s of its return; without this grace
-   * a store that lost all entries would leave a host with no runner at all. Half of the shortest
-   * time that operators give for emptying a runner (2 s), which leaves the other half for reading.
+   * How long a runner whose entry vanished is still used if there is no better one (ms). Entries
+   * also vanish while the store is unavailable and return within 2 s of its recovery; without this
+   * grace period, a store that lost all entries would leave a host without any runner. This is half
+   * of the shortest time that operators allow for draining a runner (2 s), which leaves the other
+   * half for reading the change.
    */
   public static final long VANISHED_GRACE_MILLIS = 1_000;
 
   private final Map<String, TrackedRunner> runners = new HashMap<>();
 
-  /** Incarnations that ended without having said that they leave, by the hash of their key. */
+  /** Incarnations that terminated without having announced it, by the hash of their key. */
   private final Map<Long, Termination> terminations = new HashMap<>();
 
   private long revision;
 
   /**
-   * A change of one runner.
+   * A change of one runner's entry.
    *
-   * @param id the id that the runner answers to
+   * @param id the id by which the runner identifies itself
+   * @param revision the store revision of the change
+   * @param entry the new entry; null if the entry vanished
    */
   public record Change(String id, long revision, @Nullable RunnerEntry entry) {}
 
-  /** Returns the store revision up to which this book is complete. */
+  /** Returns the store revision up to which this registry is complete. */
   public long revision() {
     return revision;
   }
 
-  /** Takes in one change; returns whether it is news. */
+  /**
+   * Applies a change.
+   *
+   * @return whether it changed what is known
+   */
   public boolean apply(Change change, long nowMillis) {
     TrackedRunner current = runners.get(change.id);
     if (current != null && current.revision >= change.revision) {
@@ -64,41 +71,45 @@
       recordTermination(current.entry, nowMillis);
       return true;
     }
-    RunnerEntry before = current == null ? null : current.entry;
-    if (before != null && entry.isOlderThan(before)) {
+    RunnerEntry previous = current == null ? null : current.entry;
+    if (previous != null && entry.isOlderThan(previous)) {
       return false;
     }
-    boolean sameLife = before != null && before.incarnation().equals(entry.incarnation());
-    long goneAt =
+    boolean sameIncarnation =
+        previous != null && previous.incarnation().equals(entry.incarnation());
+    long terminatesAtMillis =
         entry.remainingMillis() >= 0 ? nowMillis + entry.remainingMillis() : Long.MAX_VALUE;
-    if (current != null && sameLife) {
-      goneAt = Math.min(goneAt, current.terminatesAtMillis);
+    if (current != null && sameIncarnation) {
+      terminatesAtMillis = Math.min(terminatesAtMillis, current.terminatesAtMillis);
     }
-    runners.put(change.id, new TrackedRunner(change.revision, entry, -1, goneAt));
+    runners.put(change.id, new TrackedRunner(change.revision, entry, -1, terminatesAtMillis));
     terminations.remove(entry.idHash());
-    if (!sameLife) {
-      recordTermination(before, nowMillis);
+    if (!sameIncarnation) {
+      recordTermination(previous, nowMillis);
       recordTerminationAtAddress(entry.address(), change, nowMillis);
     }
     return true;
   }
 
-  /** Another process at an address: the one that was there before has ended. */
-  private void recordTerminationAtAddress(String address, Change newcomer, long nowMillis) {
+  /**
+   * Records that the runner that had an address before has terminated, as another process has the
+   * address now.
+   */
+  private void recordTerminationAtAddress(String address, Change newEntry, long nowMillis) {
     for (Map.Entry<String, TrackedRunner> other : runners.entrySet()) {
       RunnerEntry entry = other.getValue().entry;
       if (entry != null
-          && !other.getKey().equals(newcomer.id)
+          && !other.getKey().equals(newEntry.id)
           && entry.address().equals(address)
-          && other.getValue().revision < newcomer.revision) {
+          && other.getValue().revision < newEntry.revision) {
         recordTermination(entry, nowMillis);
       }
     }
   }
 
   /**
-   * Records that a runner's process has ended, until an entry of it comes again; nothing if it had
-   * announced its leaving.
+   * Records that a runner's process has terminated, until a new entry of it arrives. Has no effect
+   * if the runner had announced that it leaves.
    */
   public void recordTermination(@Nullable RunnerEntry runner, long nowMillis) {
     if (runner != null && !runner.leaving()) {
@@ -106,15 +117,19 @@
     }
   }
 
-  /** Returns whether {@link #terminatedIncarnation} knows the end of an incarnation. */
+  /**
+   * Returns whether an incarnation is known to have terminated; see {@link #terminatedIncarnation}.
+   *
+   * @param idHash the hash of the incarnation's key
+   */
   public boolean hasTerminated(long idHash) {
     return terminations.containsKey(idHash);
   }
 
   /**
-   * Returns the key of an incarnation that is known to have ended without having announced it: its
-   * entry vanished, another process has its id or its address, or nobody listens there. Empty if
-   * that is not known.
+   * Returns the key of an incarnation that is known to have terminated without having announced it:
+   * its entry vanished, another process has its id or its address, or its address refuses
+   * connections. Empty if that is not known.
    *
    * @param idHash the hash of the incarnation's key
    */
@@ -122,15 +137,16 @@
     return Optional.ofNullable(terminations.get(idHash)).map(Termination::key);
   }
 
-  /** Records that all changes up to {@code upTo} have been applied. */
+  /** Records that all changes up to revision {@code upTo} have been applied. */
   public void markCompleteTo(long upTo) {
     revision = Math.max(revision, upTo);
   }
 
   /**
-   * Takes in a whole reading at {@code atRevision}: what it lacks has left.
+   * Applies a snapshot at revision {@code atRevision}: runners that it lacks have left.
    *
-   * @param unreadable runners whose entries are there and cannot be read; what was known holds
+   * @param unreadable runners whose entries exist but cannot be parsed, so that their known entries
+   *     remain
    */
   public void applySnapshot(
       Collection<Change> entries, Set<String> unreadable, long atRevision, long nowMillis) {
@@ -154,7 +170,10 @@
     markCompleteTo(atRevision);
   }
 
-  /** Returns the runners that may be given new requests, those that vanished just now included. */
+  /**
+   * Returns the runners that may receive new requests, including those whose entry has just
+   * vanished.
+   */
   public List<RunnerEntry> usable(long nowMillis) {
     List<RunnerEntry> usable = new ArrayList<>();
     for (TrackedRunner runner : runners.values()) {
@@ -170,19 +189,19 @@
     return usable;
   }
 
-  /** Returns whether a runner's entry vanished. */
+  /** Returns whether a runner's entry vanished or was never known. */
   public boolean hasVanished(String runnerId) {
     TrackedRunner runner = runners.get(runnerId);
     return runner == null || runner.vanishedMillis >= 0;
   }
 
-  /** Returns a runner's latest entry, also if it is leaving or vanished. */
+  /** Returns a runner's latest entry, even if the runner is leaving or its entry vanished. */
   public Optional<RunnerEntry> find(String id) {
     TrackedRunner runner = runners.get(id);
     return Optional.ofNullable(runner == null ? null : runner.entry);
   }
 
-  /** Returns the keys of the incarnations that are known, of runners that left included. */
+  /** Returns the keys of the known incarnations, including those of runners that left. */
   public Set<String> incarnationKeys() {
     Set<String> keys = new HashSet<>();
     for (TrackedRunner runner : runners.values()) {
@@ -193,25 +212,28 @@
     return keys;
   }
 
-  /** Forgets runners that vanished long ago. */
+  /**
+   * Removes runners whose entries vanished, and terminations recorded, more than {@code
+   * afterMillis} ago.
+   */
   public void removeExpired(long nowMillis, long afterMillis) {
     runners
         .values()
         .removeIf(
             runner ->
                 runner.vanishedMillis >= 0 && nowMillis - runner.vanishedMillis > afterMillis);
-    terminations.values().removeIf(end -> nowMillis - end.atMillis > afterMillis);
+    terminations.values().removeIf(termination -> nowMillis - termination.atMillis > afterMillis);
   }
 
   private record Termination(String key, long atMillis) {}
 
   /**
-   * One runner.
+   * The state of a runner.
    *
    * @param revision the store revision of the latest change
-   * @param entry its latest entry
-   * @param vanishedMillis when its entry vanished; negative if it is there
-   * @param terminatesAtMillis when it said that it will be gone
+   * @param entry the runner's latest entry; null if none is known
+   * @param vanishedMillis when its entry vanished; negative if it exists
+   * @param terminatesAtMillis when the runner will terminate, according to its entries
    */
   private record TrackedRunner(
       long revision, @Nullable RunnerEntry entry, long vanishedMillis, long terminatesAtMillis) {}
--- a/sequoia-core/src/main/java/org/sequoiahub/core/upstream/package-info.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/upstream/package-info.java
@@ -1,4 +1,4 @@
-/** The runners that may be sent requests, and how each is doing. */
+/** The runners that requests may be sent to, and which of them are known to have terminated. */
 @NullMarked
 package org.sequoiahub.core.upstream;
 
--- a/sequoia-core/src/test/java/org/sequoiahub/core/upstream/RunnerIncarnationTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/upstream/RunnerIncarnationTest.java
@@ -8,17 +8,17 @@
 class RunnerIncarnationTest {
 
   @Test
-  void isOneLifeOfOneRunner() {
-    RunnerIncarnation life = new RunnerIncarnation("i-1", 7);
-    assertThat(life).isEqualTo(new RunnerIncarnation("i-1", 7));
-    assertThat(life.hashCode()).isEqualTo(new RunnerIncarnation("i-1", 7).hashCode());
-    assertThat(life).isNotEqualTo(new RunnerIncarnation("i-1", 8));
-    assertThat(life).isNotEqualTo(new RunnerIncarnation("i-2", 7));
-    assertThat(life).isNotEqualTo(RunnerIncarnation.of("i-1"));
+  void identifiesOneProcessOfOneRunner() {
+    RunnerIncarnation incarnation = new RunnerIncarnation("i-1", 7);
+    assertThat(incarnation).isEqualTo(new RunnerIncarnation("i-1", 7));
+    assertThat(incarnation.hashCode()).isEqualTo(new RunnerIncarnation("i-1", 7).hashCode());
+    assertThat(incarnation).isNotEqualTo(new RunnerIncarnation("i-1", 8));
+    assertThat(incarnation).isNotEqualTo(new RunnerIncarnation("i-2", 7));
+    assertThat(incarnation).isNotEqualTo(RunnerIncarnation.of("i-1"));
   }
 
   @Test
-  void keepsItsKeyAndTheHashThatRanksIt() {
+  void cachesItsKeyAndTheRankingHash() {
     assertThat(new RunnerIncarnation("i-1", 7).key()).isEqualTo("i-1/7");
     assertThat(RunnerIncarnation.of("i-1").key()).isEqualTo("i-1");
     assertThat(RunnerIncarnation.of("i-1").keyHash()).isEqualTo(Rendezvous.hash("i-1"));
--- a/sequoia-core/src/test/java/org/sequoiahub/core/upstream/RunnerRegistryTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/upstream/RunnerRegistryTest.java
@@ -34,23 +34,22 @@
   }
 
   /**
-   * Symptom: a runner that has left gets requests again.
+   * Guards against a runner that receives requests again after it has left.
    *
-   * <p>Events: its changes come late, twice and out of order, from the store and from other hosts.
-   *
-   * <p>Cause looked for: an older record that wins over a newer one.
+   * <p>Its changes arrive late, twice and out of order, from the store and from other hosts. An
+   * older record must never win over a newer one.
    */
   @Property(tries = 2_000, seed = "20261212")
   void newestRevisionWinsInAnyOrder(
       @ForAll @Size(max = 40) List<@IntRange(min = 1, max = 30) Integer> arrivals) {
-    RunnerRegistry book = new RunnerRegistry();
+    RunnerRegistry registry = new RunnerRegistry();
     Map<String, Change> newest = new HashMap<>();
     for (int revision : arrivals) {
       String id = "r" + revision % 3;
-      // Every fifth record is a deletion, every fourth says that the runner leaves.
+      // Every fifth record is a deletion, every fourth announces that the runner leaves.
       Change change =
           new Change(id, revision, revision % 5 == 0 ? null : entry(id, revision % 4 == 0, -1));
-      book.apply(change, 0);
+      registry.apply(change, 0);
       newest.merge(id, change, (a, b) -> List.of(a, b).stream().max(byRevision()).orElseThrow());
     }
     List<String> expected = new ArrayList<>();
@@ -62,7 +61,9 @@
           }
         });
     List<String> usable =
-        book.usable(RunnerRegistry.VANISHED_GRACE_MILLIS).stream().map(RunnerEntry::id).toList();
+        registry.usable(RunnerRegistry.VANISHED_GRACE_MILLIS).stream()
+            .map(RunnerEntry::id)
+            .toList();
     assertThat(usable).containsExactlyElementsIn(expected);
   }
 
@@ -71,49 +72,49 @@
   }
 
   @Nested
-  class Vanishing {
+  class VanishedEntries {
     @Test
-    void isUsedForShortWhileOnly() {
-      RunnerRegistry book = new RunnerRegistry();
-      book.apply(new Change("r", 1, entry("r", false, -1)), 0);
-      book.apply(new Change("r", 2, null), 100);
-      assertThat(book.usable(200)).hasSize(1);
-      assertThat(book.hasVanished("r")).isTrue();
-      assertThat(book.usable(100 + RunnerRegistry.VANISHED_GRACE_MILLIS)).isEmpty();
+    void runnerIsUsedForAShortTimeOnly() {
+      RunnerRegistry registry = new RunnerRegistry();
+      registry.apply(new Change("r", 1, entry("r", false, -1)), 0);
+      registry.apply(new Change("r", 2, null), 100);
+      assertThat(registry.usable(200)).hasSize(1);
+      assertThat(registry.hasVanished("r")).isTrue();
+      assertThat(registry.usable(100 + RunnerRegistry.VANISHED_GRACE_MILLIS)).isEmpty();
     }
 
     @Test
-    void comesBackWithNewerEntry() {
-      RunnerRegistry book = new RunnerRegistry();
-      book.apply(new Change("r", 1, entry("r", false, -1)), 0);
-      book.apply(new Change("r", 2, null), 100);
-      book.apply(new Change("r", 3, entry("r", false, -1)), 9_000);
-      assertThat(book.usable(9_000)).hasSize(1);
-      assertThat(book.hasVanished("r")).isFalse();
+    void runnerReturnsWithNewerEntry() {
+      RunnerRegistry registry = new RunnerRegistry();
+      registry.apply(new Change("r", 1, entry("r", false, -1)), 0);
+      registry.apply(new Change("r", 2, null), 100);
+      registry.apply(new Change("r", 3, entry("r", false, -1)), 9_000);
+      assertThat(registry.usable(9_000)).hasSize(1);
+      assertThat(registry.hasVanished("r")).isFalse();
     }
 
     @Test
     void leavingRunnerIsNotUsedEvenWhenItsEntryVanishes() {
-      RunnerRegistry book = new RunnerRegistry();
-      book.apply(new Change("r", 1, entry("r", true, -1)), 0);
-      book.apply(new Change("r", 2, null), 100);
-      assertThat(book.usable(101)).isEmpty();
+      RunnerRegistry registry = new RunnerRegistry();
+      registry.apply(new Change("r", 1, entry("r", true, -1)), 0);
+      registry.apply(new Change("r", 2, null), 100);
+      assertThat(registry.usable(101)).isEmpty();
     }
 
     @Test
-    void wholeReadingRemovesWhatItLacksButNothingNewer() {
-      RunnerRegistry book = new RunnerRegistry();
-      book.apply(new Change("old", 1, entry("old", false, -1)), 0);
-      book.apply(new Change("new", 9, entry("new", false, -1)), 0);
-      book.applySnapshot(List.of(), Set.of(), 5, 10);
-      assertThat(book.hasVanished("old")).isTrue();
-      assertThat(book.hasVanished("new")).isFalse();
+    void snapshotRemovesMissingRunnersExceptNewerOnes() {
+      RunnerRegistry registry = new RunnerRegistry();
+      registry.apply(new Change("old", 1, entry("old", false, -1)), 0);
+      registry.apply(new Change("new", 9, entry("new", false, -1)), 0);
+      registry.applySnapshot(List.of(), Set.of(), 5, 10);
+      assertThat(registry.hasVanished("old")).isTrue();
+      assertThat(registry.hasVanished("new")).isFalse();
     }
   }
 
   @Nested
   class RestartUnderTheSameId {
-    private static RunnerEntry life(long startedAtMillis, long sequence, boolean leaving) {
+    private static RunnerEntry entryOf(long startedAtMillis, long sequence, boolean leaving) {
       return new RunnerEntry(
           new RunnerIncarnation("r", startedAtMillis),
           sequence,
@@ -129,74 +130,74 @@
     }
 
     /**
-     * Symptom: what was known of a runner before its restart (its adapters, its load) is used for
-     * the new process, which refuses all that is sent there.
-     *
-     * <p>Events: a runner crashes and starts again under its id; its count begins anew.
+     * Guards against state of a runner from before its restart (its adapters, its load) that is
+     * used for the new process, which rejects everything that is sent there.
      *
-     * <p>Cause: lives were told apart by the id alone.
+     * <p>A runner crashes and restarts under its id; its counter starts at zero. Incarnations must
+     * not be distinguished by the id alone.
      */
     @Test
-    void newLifeReplacesTheOldAndHasAnotherKey() {
-      RunnerRegistry book = new RunnerRegistry();
-      book.apply(new Change("r", 1, life(1_000, 40, true)), 0);
-      book.apply(new Change("r", 2, life(2_000, 0, false)), 10);
-      assertThat(book.usable(20)).containsExactly(life(2_000, 0, false));
-      assertThat(book.incarnationKeys()).containsExactly("r/2000");
+    void newIncarnationReplacesTheOldOneAndHasAnotherKey() {
+      RunnerRegistry registry = new RunnerRegistry();
+      registry.apply(new Change("r", 1, entryOf(1_000, 40, true)), 0);
+      registry.apply(new Change("r", 2, entryOf(2_000, 0, false)), 10);
+      assertThat(registry.usable(20)).containsExactly(entryOf(2_000, 0, false));
+      assertThat(registry.incarnationKeys()).containsExactly("r/2000");
     }
 
     /**
-     * Symptom: a runner that leaves gets requests, or the present life of one is forgotten.
-     *
-     * <p>Events: an old copy of the entry is written after a newer one.
+     * Guards against a leaving runner that receives requests, and against a current incarnation
+     * that is forgotten.
      *
-     * <p>Cause looked for: the store's revision taken as the only measure of age.
+     * <p>An obsolete copy of the entry is written after a newer one. The store's revision alone is
+     * no measure of age.
      */
     @Test
-    void oldCopiesChangeNothing() {
-      RunnerRegistry book = new RunnerRegistry();
-      book.apply(new Change("r", 1, life(2_000, 7, true)), 0);
-      assertThat(book.apply(new Change("r", 2, life(1_000, 90, false)), 10)).isFalse();
-      assertThat(book.apply(new Change("r", 3, life(2_000, 6, false)), 10)).isFalse();
-      assertThat(book.usable(20)).isEmpty();
-      assertThat(book.find("r")).hasValue(life(2_000, 7, true));
+    void obsoleteCopiesChangeNothing() {
+      RunnerRegistry registry = new RunnerRegistry();
+      registry.apply(new Change("r", 1, entryOf(2_000, 7, true)), 0);
+      assertThat(registry.apply(new Change("r", 2, entryOf(1_000, 90, false)), 10)).isFalse();
+      assertThat(registry.apply(new Change("r", 3, entryOf(2_000, 6, false)), 10)).isFalse();
+      assertThat(registry.usable(20)).isEmpty();
+      assertThat(registry.find("r")).hasValue(entryOf(2_000, 7, true));
     }
 
-    /** The same, in any order of arrival: the latest life and its latest word decide. */
+    /** Applies entries in any order: the latest entry of the latest incarnation decides. */
     @Property(tries = 2_000, seed = "20261220")
-    void latestWordOfTheLatestLifeWins(
-        @ForAll @Size(min = 1, max = 30) List<@IntRange(min = 0, max = 24) Integer> words) {
-      RunnerRegistry book = new RunnerRegistry();
-      int latest = -1;
+    void latestEntryOfTheLatestIncarnationWins(
+        @ForAll @Size(min = 1, max = 30) List<@IntRange(min = 0, max = 24) Integer> entries) {
+      RunnerRegistry registry = new RunnerRegistry();
+      int latestEntry = -1;
       int revision = 0;
-      for (int word : words) {
-        book.apply(new Change("r", ++revision, life(1 + word / 5, word % 5, false)), 0);
-        latest = Math.max(latest, word);
+      for (int entryNumber : entries) {
+        registry.apply(
+            new Change("r", ++revision, entryOf(1 + entryNumber / 5, entryNumber % 5, false)), 0);
+        latestEntry = Math.max(latestEntry, entryNumber);
       }
-      RunnerEntry known = book.find("r").orElseThrow();
-      assertThat(known).isEqualTo(life(1 + latest / 5, latest % 5, false));
+      RunnerEntry known = registry.find("r").orElseThrow();
+      assertThat(known).isEqualTo(entryOf(1 + latestEntry / 5, latestEntry % 5, false));
     }
   }
 
   @Nested
   class UnreadableEntries {
     @Test
-    void wholeReadingWithUnreadableEntryKeepsWhatWasKnown() {
-      RunnerRegistry book = new RunnerRegistry();
-      book.apply(new Change("r", 1, entry("r", false, -1)), 0);
-      book.applySnapshot(List.of(), Set.of("r"), 5, 10);
-      assertThat(book.hasVanished("r")).isFalse();
+    void snapshotWithUnreadableEntryKeepsTheKnownEntry() {
+      RunnerRegistry registry = new RunnerRegistry();
+      registry.apply(new Change("r", 1, entry("r", false, -1)), 0);
+      registry.applySnapshot(List.of(), Set.of("r"), 5, 10);
+      assertThat(registry.hasVanished("r")).isFalse();
     }
   }
 
   @Nested
-  class ShortNotice {
+  class AnnouncedTermination {
     @Test
-    void goneWhenItsTimeIsUp() {
-      RunnerRegistry book = new RunnerRegistry();
-      book.apply(new Change("r", 1, entry("r", false, 1_500)), 0);
-      assertThat(book.usable(1_499)).hasSize(1);
-      assertThat(book.usable(1_500)).isEmpty();
+    void runnerIsUnusableAfterItsRemainingTime() {
+      RunnerRegistry registry = new RunnerRegistry();
+      registry.apply(new Change("r", 1, entry("r", false, 1_500)), 0);
+      assertThat(registry.usable(1_499)).hasSize(1);
+      assertThat(registry.usable(1_500)).isEmpty();
     }
   }
 }
