--- a/sequoia-core/src/main/java/org/sequoiahub/core/routing/EngineSpec.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/routing/EngineSpec.java
@@ -3,15 +3,17 @@
 import java.util.List;
 
 /**
- * What the runners of a model service are.
+ * The properties of the runners of a model service.
  *
- * @param slots requests that one runner processes at once
- * @param cacheTokens prompt and output tokens that fit in its memory
- * @param weightsMb memory for weights and adapters (MB)
- * @param maxAdapters adapters that it holds at most, those on their way included
- * @param loadsPerSecond loads of weights that the weight store allows over all runners
- * @param tokensPerEvent tokens that one event of a stream holds
- * @param models the models that it may hold
+ * @param slots the number of requests that a runner processes concurrently
+ * @param cacheTokens the number of prompt and output tokens that fit in a runner's memory
+ * @param weightsMb the memory for weights and adapters (MB)
+ * @param maxAdapters the maximum number of adapters that a runner holds, including those being
+ *     loaded
+ * @param loadsPerSecond the loads of weights per second that the weight store permits over all
+ *     runners
+ * @param tokensPerEvent the number of tokens in one event of a stream
+ * @param models the models that a runner may hold
  */
 public record EngineSpec(
     int slots,
--- a/sequoia-core/src/main/java/org/sequoiahub/core/routing/Route.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/routing/Route.java
@@ -5,20 +5,20 @@
 import java.util.List;
 
 /**
- * One route of the operator's configuration.
+ * A route of the operator's configuration.
  *
  * @param name the route's name
  * @param host the host name that callers use
  * @param prefix the start of the path, with a slash at both ends
- * @param repeatPolicy what may be repeated
- * @param timeoutMillis the longest time that a caller is kept waiting for the whole answer
- * @param targetLatencyMillis the time within which an answer is worth most to its caller
- * @param priority 0 is the most urgent
- * @param services where its requests go, at least one
- * @param maxAttempts on how many runners one request may run
- * @param maxEventGapMillis the longest pause between two events of a stream that the caller
- *     accepts; 0 if not a stream
- * @param anonymousAccess whether it needs no access key
+ * @param repeatPolicy whether requests may run again
+ * @param timeoutMillis the longest time that a caller waits for the whole response
+ * @param targetLatencyMillis the time within which a response has its full value to the caller
+ * @param priority the priority, where 0 is the most urgent
+ * @param services the destinations of the requests, at least one
+ * @param maxAttempts the maximum number of runners on which one request may run
+ * @param maxEventGapMillis the longest gap between two events of a stream that the caller accepts;
+ *     0 if the response is not a stream
+ * @param anonymousAccess whether no access key is required
  */
 public record Route(
     String name,
@@ -47,10 +47,10 @@
   }
 
   /**
-   * Returns how long a caller waits for the next event of a stream before it leaves (ms).
+   * Returns how long a caller waits for the next event of a stream before it disconnects (ms).
    *
-   * <p>The users' callers leave after 2 s, four times the target or eight times the pause,
-   * whichever is longest; a request that cannot start by then is better refused at once.
+   * <p>Callers disconnect after the longest of 2 s, four times the target latency and eight times
+   * the maximum gap between events; a request that cannot start by then is better rejected at once.
    */
   public long patienceMillis() {
     return Math.max(
@@ -61,16 +61,16 @@
   }
 
   /**
-   * Returns the destination of one request.
+   * Selects the destination of a request, at random by weight.
    *
-   * @param draw a number drawn evenly from 0 (inclusive) to 1 (exclusive)
+   * @param draw a uniformly distributed number from 0 (inclusive) to 1 (exclusive)
    */
   public String selectService(double draw) {
     double total = services.stream().mapToDouble(WeightedService::weight).sum();
-    double left = draw * total;
+    double remaining = draw * total;
     for (WeightedService candidate : services) {
-      left -= candidate.weight();
-      if (left < 0) {
+      remaining -= candidate.weight();
+      if (remaining < 0) {
         return candidate.service();
       }
     }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/routing/RoutingTable.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/routing/RoutingTable.java
@@ -11,7 +11,7 @@
 import java.util.Optional;
 import org.sequoiahub.core.workspace.Workspaces;
 
-/** One accepted configuration: immutable, so that every request sees one version throughout. */
+/** An accepted configuration. Immutable, so that every request sees one version throughout. */
 public final class RoutingTable {
 
   private final long version;
@@ -38,22 +38,22 @@
     services.forEach(service -> this.services.put(service.name(), service));
   }
 
-  /** Returns the operator's number of this configuration. */
+  /** Returns the version number that the operator gave this configuration. */
   public long version() {
     return version;
   }
 
-  /** Returns what callers may send. */
+  /** Returns the limits on what callers may send. */
   public CallerLimits limits() {
     return limits;
   }
 
-  /** Returns who may ask. */
+  /** Returns the workspaces whose callers may send requests. */
   public Workspaces workspaces() {
     return workspaces;
   }
 
-  /** Returns the route of {@code host} whose prefix is the longest that starts {@code path}. */
+  /** Returns the route of {@code host} with the longest prefix that {@code path} starts with. */
   public Optional<Route> find(String host, String path) {
     for (Route route : routes.getOrDefault(key(host), List.of())) {
       if (path.startsWith(route.prefix())) {
@@ -78,7 +78,7 @@
     return routes.values().stream().flatMap(List::stream).toList();
   }
 
-  /** Returns how many routes there are. */
+  /** Returns the number of routes. */
   public int size() {
     return routes.values().stream().mapToInt(List::size).sum();
   }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/routing/WeightedService.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/routing/WeightedService.java
@@ -1,9 +1,9 @@
 package org.sequoiahub.core.routing;
 
 /**
- * One destination of a route.
+ * A destination of a route.
  *
  * @param service the service's name
- * @param weight its share of the route's requests, relative to the other destinations; 0 for none
+ * @param weight the weight relative to the route's other destinations; 0 for no requests
  */
 public record WeightedService(String service, double weight) {}
--- a/sequoia-core/src/main/java/org/sequoiahub/core/routing/package-info.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/routing/package-info.java
@@ -1,4 +1,4 @@
-/** Which service a caller's request belongs to, as the operator's configuration says. */
+/** Routing of callers' requests to services according to the operator's configuration. */
 @NullMarked
 package org.sequoiahub.core.routing;
 
--- a/sequoia-core/src/test/java/org/sequoiahub/core/routing/RoutingTableTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/routing/RoutingTableTest.java
@@ -35,7 +35,7 @@
     return new RoutingTable(1, routes, List.of(), CallerLimits.UNKNOWN, Workspaces.NONE);
   }
 
-  /** The table answers like a search of all routes for the longest prefix. */
+  /** Compares the table with a linear search of all routes for the longest prefix. */
   @Property(tries = 1_000, seed = "20261213")
   void findsTheLongestPrefix(
       @ForAll @Size(max = 8) @UniqueElements
@@ -78,7 +78,7 @@
     }
 
     @Test
-    void serviceWithoutWeightGetsNothing() {
+    void serviceWithoutWeightReceivesNoRequests() {
       Route split =
           new Route(
               "r",
@@ -97,7 +97,7 @@
   }
 
   @Test
-  void anotherHostHasOtherRoutes() {
+  void routesAreSeparatePerHost() {
     RoutingTable table = table(List.of(route("r", "one", "/a/")));
     assertThat(table.find("two", "/a/b")).isEmpty();
     assertThat(table.find("one", "/b/")).isEmpty();
