--- a/sequoia-core/src/main/java/org/sequoiahub/core/stream/ChunkSequencer.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/stream/ChunkSequencer.java
@@ -8,12 +8,13 @@
 import java.util.TreeMap;
 
 /**
- * Puts the chunks of one answer in order, once each, and tells when the answer is whole.
+ * Delivers the chunks of one response in order, once each, and detects when the response is
+ * complete.
  *
- * <p>Chunks are numbered from 1. After a resume the upstream may send some again, and chunks of the
- * old and the new connection may interleave; both are harmless here.
+ * <p>Chunks are numbered from 1. After a resume the upstream may send some of them again, and
+ * chunks of the old and the new connection may interleave; both do no harm.
  *
- * <p>Not thread-safe: one duty owns it.
+ * <p>Not thread-safe; used by a single thread.
  */
 public final class ChunkSequencer {
 
@@ -27,7 +28,7 @@
    * Creates a sequencer.
    *
    * @param delivered the number of the last chunk that was delivered before; 0 if none was
-   * @param ahead the most chunks kept while an earlier one is missing
+   * @param maxAhead the maximum number of chunks that are buffered while an earlier one is missing
    */
   public ChunkSequencer(long delivered, int ahead) {
     checkArgument(delivered >= 0, "delivered must not be negative, was %s", delivered);
@@ -37,10 +38,11 @@
   }
 
   /**
-   * Takes in one chunk and returns the chunks that can be delivered now, in order.
+   * Accepts a chunk and returns the chunks that can be delivered now, in order.
    *
-   * <p>A duplicate, or a chunk too far ahead, is dropped and counted. The latter loses nothing: the
-   * gap makes the answer incomplete, and a resume asks for everything after {@link #delivered()}.
+   * <p>A duplicate, or a chunk too far ahead, is dropped and counted. Dropping the latter loses
+   * nothing: the gap makes the response incomplete, and a resume requests everything after {@link
+   * #delivered()}.
    */
   public List<byte[]> accept(long sequence, byte[] data) {
     checkArgument(sequence > 0, "sequence must be above 0, was %s", sequence);
@@ -63,13 +65,15 @@
     return ready;
   }
 
-  /** Records the upstream's end marker: the answer has {@code chunks} chunks. */
+  /**
+   * Records the upstream's end marker, which states that the response has {@code chunks} chunks.
+   */
   public void end(long chunks) {
     checkArgument(chunks >= 0, "chunks must not be negative");
     totalChunks = chunks;
   }
 
-  /** Returns whether the end marker was seen and everything before it was delivered. */
+  /** Returns whether the end marker was received and everything before it was delivered. */
   public boolean isComplete() {
     return totalChunks >= 0 && delivered == totalChunks;
   }
@@ -79,7 +83,7 @@
     return delivered;
   }
 
-  /** Returns how many chunks were dropped as duplicate or out of range. */
+  /** Returns the number of chunks that were dropped as duplicate or out of range. */
   public long dropped() {
     return dropped;
   }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/stream/EventSplitter.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/stream/EventSplitter.java
@@ -5,10 +5,11 @@
 import java.util.Locale;
 
 /**
- * Cuts a text/event-stream into whole events, however the network cut it.
+ * Splits a text/event-stream into complete events, independently of how the network splits it.
  *
- * <p>A runner can stop in the middle of an event. Were its first half passed on, the event that
- * another runner sends in its place would be joined to it; so only whole events leave here.
+ * <p>A runner can stop in the middle of an event. If its first part were forwarded, the event that
+ * another runner sends in its place would be appended to it; therefore only complete events are
+ * forwarded.
  */
 public final class EventSplitter {
 
@@ -19,50 +20,53 @@
   private String lastEventId = "";
   private int completeEvents;
 
-  /** Takes in a piece of the stream and returns the events that it completes, as they came. */
-  public byte[] accept(byte[] piece) {
-    ByteArrayOutputStream complete = new ByteArrayOutputStream();
-    for (byte next : piece) {
+  /** Accepts a part of the stream and returns the events that it completes, unchanged. */
+  public byte[] accept(byte[] part) {
+    ByteArrayOutputStream completed = new ByteArrayOutputStream();
+    for (byte next : part) {
       pending.write(next);
       if (next == '\n') {
         if (lineEmpty) {
-          completeEvent(complete);
+          completeEvent(completed);
         }
         lineEmpty = true;
       } else if (next != '\r') {
         lineEmpty = false;
       }
     }
-    return complete.toByteArray();
+    return completed.toByteArray();
   }
 
-  /** Returns what follows the last whole event, at the stream's proper end. */
+  /**
+   * Returns and removes what follows the last complete event, for use when the stream ends
+   * regularly.
+   */
   public byte[] drainRemainder() {
     byte[] rest = pending.toByteArray();
     pending.reset();
     return rest;
   }
 
-  /** Drops an event that was broken off. */
+  /** Drops a partially received event. */
   public void dropPartial() {
     pending.reset();
     lineEmpty = true;
   }
 
-  /** Returns the id of the last whole event; empty if there was none. */
+  /** Returns the id of the last complete event; empty if there was none. */
   public String lastEventId() {
     return lastEventId;
   }
 
-  /** Returns how many whole events there were. */
+  /** Returns the number of complete events. */
   public int completeEvents() {
     return completeEvents;
   }
 
-  private void completeEvent(ByteArrayOutputStream complete) {
+  private void completeEvent(ByteArrayOutputStream completed) {
     byte[] event = pending.toByteArray();
     pending.reset();
-    complete.write(event, 0, event.length);
+    completed.write(event, 0, event.length);
     for (String line : new String(event, StandardCharsets.UTF_8).split("\r?\n")) {
       if (line.toLowerCase(Locale.ROOT).startsWith(ID_FIELD)) {
         lastEventId = line.substring(ID_FIELD.length()).trim();
--- a/sequoia-core/src/main/java/org/sequoiahub/core/stream/package-info.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/stream/package-info.java
@@ -1,4 +1,4 @@
-/** Putting an answer's chunks in order, once each. */
+/** Reassembly of streamed responses: chunks in order, once each, and whole events. */
 @NullMarked
 package org.sequoiahub.core.stream;
 
--- a/sequoia-core/src/test/java/org/sequoiahub/core/stream/ChunkSequencerPropertiesTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/stream/ChunkSequencerPropertiesTest.java
@@ -11,19 +11,18 @@
 import net.jqwik.api.constraints.Size;
 
 /**
- * Symptom: a call sheet with a line missing or doubled.
+ * Guards against a response with a chunk missing or duplicated.
  *
- * <p>Events: chunks come late, twice and out of order, from an old and a new connection; the end
- * marker comes before the last chunk; a stream breaks and is resumed from what was delivered.
- *
- * <p>Cause looked for: an end marker believed although something before it is missing.
+ * <p>Chunks arrive late, twice and out of order, from an old and a new connection; the end marker
+ * arrives before the last chunk; a stream breaks and is resumed from what was delivered. The end
+ * marker must not count while something before it is missing.
  */
 class ChunkSequencerPropertiesTest {
 
   private static final int CHUNKS = 12;
 
   @Property(tries = 5_000, seed = "20261206")
-  void deliversPrefixAndIsWholeOnlyWhenAllCame(
+  void deliversPrefixAndIsCompleteOnlyWhenAllArrived(
       @ForAll @Size(max = 60) List<@IntRange(min = 0, max = CHUNKS + 3) Integer> arrivals) {
     ChunkSequencer sequencer = new ChunkSequencer(0, 4);
     List<String> delivered = new ArrayList<>();
--- a/sequoia-core/src/test/java/org/sequoiahub/core/stream/EventSplitterTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/stream/EventSplitterTest.java
@@ -11,12 +11,10 @@
 import net.jqwik.api.constraints.Size;
 
 /**
- * Symptom: a call sheet in which two halves of different lines are joined.
+ * Guards against a response in which parts of two different events are joined.
  *
- * <p>Events: the network cuts a stream anywhere; a runner stops in the middle of an event, and
- * another one goes on after the last whole event.
- *
- * <p>Cause looked for: a half event that was passed on.
+ * <p>The network splits a stream anywhere; a runner stops in the middle of an event, and another
+ * one continues after the last complete event. A partial event must not be forwarded.
  */
 class EventSplitterTest {
 
@@ -25,38 +23,38 @@
   }
 
   @Property(tries = 2_000, seed = "20261215")
-  void whatLeavesIsWholeEventsWhateverTheCuts(
-      @ForAll @Size(max = 30) List<@IntRange(min = 1, max = 40) Integer> cuts,
+  void forwardsOnlyCompleteEventsWhereverTheStreamIsSplit(
+      @ForAll @Size(max = 30) List<@IntRange(min = 1, max = 40) Integer> sizes,
       @ForAll @IntRange(max = 200) int breakAt) {
     StringBuilder all = new StringBuilder();
     for (int number = 1; number <= 10; number++) {
       all.append(event(number));
     }
     EventSplitter splitter = new EventSplitter();
-    ByteArrayOutputStream passed = new ByteArrayOutputStream();
-    feed(splitter, passed, all.substring(0, Math.min(breakAt, all.length())), cuts);
+    ByteArrayOutputStream forwarded = new ByteArrayOutputStream();
+    feed(splitter, forwarded, all.substring(0, Math.min(breakAt, all.length())), sizes);
     splitter.dropPartial();
     int last = splitter.lastEventId().isEmpty() ? 0 : Integer.parseInt(splitter.lastEventId());
-    StringBuilder rest = new StringBuilder();
+    StringBuilder remainder = new StringBuilder();
     for (int number = last + 1; number <= 10; number++) {
-      rest.append(event(number));
+      remainder.append(event(number));
     }
-    feed(splitter, passed, rest.toString(), cuts);
-    passed.writeBytes(splitter.drainRemainder());
-    assertThat(passed.toString(UTF_8)).isEqualTo(all.toString());
+    feed(splitter, forwarded, remainder.toString(), sizes);
+    forwarded.writeBytes(splitter.drainRemainder());
+    assertThat(forwarded.toString(UTF_8)).isEqualTo(all.toString());
     assertThat(splitter.completeEvents()).isEqualTo(10);
   }
 
   private static void feed(
-      EventSplitter splitter, ByteArrayOutputStream passed, String text, List<Integer> cuts) {
+      EventSplitter splitter, ByteArrayOutputStream forwarded, String text, List<Integer> sizes) {
     byte[] bytes = text.getBytes(UTF_8);
-    int at = 0;
-    int cut = 0;
-    while (at < bytes.length) {
-      int size = cuts.isEmpty() ? bytes.length : cuts.get(cut++ % cuts.size());
-      int end = Math.min(bytes.length, at + size);
-      passed.writeBytes(splitter.accept(java.util.Arrays.copyOfRange(bytes, at, end)));
-      at = end;
+    int offset = 0;
+    int sizeIndex = 0;
+    while (offset < bytes.length) {
+      int size = sizes.isEmpty() ? bytes.length : sizes.get(sizeIndex++ % sizes.size());
+      int end = Math.min(bytes.length, offset + size);
+      forwarded.writeBytes(splitter.accept(java.util.Arrays.copyOfRange(bytes, offset, end)));
+      offset = end;
     }
   }
 }
