--- a/sequoia-core/src/main/java/org/sequoiahub/core/workspace/Allowance.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/workspace/Allowance.java
@@ -7,23 +7,23 @@
 import org.sequoiahub.core.call.Generation;
 
 /**
- * What a workspace may use, over all hosts together.
+ * What a workspace may use on all hosts together.
  *
- * @param perSecond units a second; 0 for no limit
- * @param burst units besides, for a while of little use
- * @param unit what is counted
- * @param plainTokens tokens that a request without a generation counts as
+ * @param perSecond the units per second; 0 for no limit
+ * @param burst the units that may be used in addition after a time of low use
+ * @param unit the unit that is counted
+ * @param plainTokens the number of tokens that a request without a generation counts as
  */
 public record Allowance(double perSecond, double burst, Unit unit, int plainTokens) {
 
   /** No limit. */
   public static final Allowance UNLIMITED = new Allowance(0, 0, Unit.REQUESTS, 0);
 
-  /** What an allowance counts. */
+  /** The unit that an allowance counts. */
   public enum Unit {
     /** Each request counts as one. */
     REQUESTS,
-    /** A request counts as the tokens of its prompt and the most that it may generate. */
+    /** A request counts as the tokens of its prompt plus the maximum that it may generate. */
     TOKENS
   }
 
@@ -40,7 +40,11 @@
     return perSecond > 0;
   }
 
-  /** Returns the units that a request counts as; {@code generation} is null for a plain one. */
+  /**
+   * Returns the cost of a request in units.
+   *
+   * @param generation the request's generation; null for a plain request
+   */
   public long cost(@Nullable Generation generation) {
     if (unit == Unit.REQUESTS) {
       return 1;
--- a/sequoia-core/src/main/java/org/sequoiahub/core/workspace/KeyHasher.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/workspace/KeyHasher.java
@@ -10,8 +10,8 @@
 /**
  * Hashes access keys with a secret of this process.
  *
- * <p>Nobody who does not know the secret can find two keys with one hash, or learn from the time
- * that a look-up takes how much of a guessed key is right.
+ * <p>Without the secret, nobody can find two keys with the same hash, or learn from the duration of
+ * a lookup how much of a guessed key is correct.
  */
 public final class KeyHasher {
 
--- a/sequoia-core/src/main/java/org/sequoiahub/core/workspace/Workspace.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/workspace/Workspace.java
@@ -3,16 +3,16 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * A customer of the deployment: who may ask, and what for.
+ * A customer of the deployment, whose callers may send requests within its allowance.
  *
- * @param name its name, which upstreams are told
- * @param priority its rank, 0 first, before that of the route; {@link #ROUTE_DECIDES} if it has
- *     none
- * @param allowance what it may use
+ * @param name the workspace's name, which is sent to upstreams
+ * @param priority the priority that takes precedence over the route's, where 0 is the most urgent;
+ *     {@link #ROUTE_DECIDES} if the workspace has none
+ * @param allowance what the workspace may use
  */
 public record Workspace(String name, int priority, Allowance allowance) {
 
-  /** The rank of a workspace without one of its own. */
+  /** The priority of a workspace that has none of its own. */
   public static final int ROUTE_DECIDES = -1;
 
   /** Checks the arguments. */
--- a/sequoia-core/src/main/java/org/sequoiahub/core/workspace/Workspaces.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/workspace/Workspaces.java
@@ -8,10 +8,10 @@
 import java.util.Map;
 import java.util.Optional;
 
-/** The workspaces of one configuration by their access keys; immutable. */
+/** The workspaces of one configuration by their access keys. Immutable. */
 public final class Workspaces {
 
-  /** A configuration without workspaces: nobody needs a key. */
+  /** A configuration without workspaces, in which no request needs a key. */
   public static final Workspaces NONE = new Workspaces(Map.of(), List.of());
 
   private final Map<HashedKey, Workspace> byKey;
@@ -23,7 +23,7 @@
   }
 
   /**
-   * Returns the workspaces with their keys.
+   * Creates the workspaces with their keys.
    *
    * @throws IllegalArgumentException if two workspaces share a name or a key, which would let one
    *     act as the other
@@ -53,7 +53,7 @@
     return !all.isEmpty();
   }
 
-  /** Returns the workspace that holds a key. */
+  /** Returns the workspace that holds an access key. */
   public Optional<Workspace> findByKey(HashedKey key) {
     return key.isPresent() ? Optional.ofNullable(byKey.get(key)) : Optional.empty();
   }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/workspace/package-info.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/workspace/package-info.java
@@ -1,4 +1,7 @@
-/** The operators' workspaces: who holds which access key, and what each workspace may use. */
+/**
+ * The workspaces that operators configure: who holds which access key, and what each workspace may
+ * use.
+ */
 @NullMarked
 package org.sequoiahub.core.workspace;
 
