--- a/sequoia-core/src/main/java/org/sequoiahub/core/call/Generation.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/call/Generation.java
@@ -3,14 +3,16 @@
 import java.util.List;
 
 /**
- * What a model request asks of a runner.
+ * The work that a model request asks of a runner.
  *
  * @param model the base model
- * @param adapter the adapter's name within the model, empty for the base model itself
- * @param promptTokens length of the prompt
- * @param maxOutputTokens most tokens to generate
- * @param expectedOutputTokens the caller's guess of the output's length; the most if it made none
- * @param parts the prompt's pieces in order; the last one is the request's or its session's own
+ * @param adapter the adapter's name within the model; empty for the base model itself
+ * @param promptTokens the length of the prompt
+ * @param maxOutputTokens the maximum number of tokens to generate
+ * @param expectedOutputTokens the caller's estimate of the output's length; the maximum if it made
+ *     none
+ * @param parts the parts of the prompt in order; the last one is specific to the request or its
+ *     session
  */
 public record Generation(
     String model,
--- a/sequoia-core/src/main/java/org/sequoiahub/core/call/PromptPart.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/call/PromptPart.java
@@ -1,9 +1,9 @@
 package org.sequoiahub.core.call;
 
 /**
- * A piece of a prompt that other requests may share.
+ * A part of a prompt that other requests may share.
  *
- * @param id names the piece; equal pieces have equal names
- * @param tokens its length
+ * @param id identifies the part; equal parts have equal ids
+ * @param tokens the length of the part
  */
 public record PromptPart(String id, int tokens) {}
--- a/sequoia-core/src/main/java/org/sequoiahub/core/call/Target.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/call/Target.java
@@ -1,6 +1,6 @@
 package org.sequoiahub.core.call;
 
-/** The one name of a model or of a model's adapter, such as {@code m0} or {@code m0/a17}. */
+/** The name of a model or of a model's adapter, such as {@code m0} or {@code m0/a17}. */
 public final class Target {
 
   private static final char SEPARATOR = '/';
--- a/sequoia-core/src/main/java/org/sequoiahub/core/call/package-info.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/call/package-info.java
@@ -1,4 +1,4 @@
-/** What a caller asks for, apart from the bytes that are only passed on. */
+/** The parts of a caller's request that decisions depend on; the body is only forwarded. */
 @NullMarked
 package org.sequoiahub.core.call;
 
