--- a/sequoia-core/src/main/java/org/sequoiahub/core/verdict/Verdict.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/verdict/Verdict.java
@@ -6,17 +6,17 @@
 import java.util.function.Function;
 
 /**
- * Says whether a request may have run upstream.
+ * States whether a request may have run upstream.
  *
- * <p>Only a hop that never handed the request on, or that holds a confirmation, may create a {@link
- * NotRun}. Everything that cannot be told apart from a lost answer is a {@link MayHaveRun}.
+ * <p>Only a hop that never forwarded the request, or that holds a confirmation, may create a {@link
+ * NotRun}. Everything that cannot be distinguished from a lost response is a {@link MayHaveRun}.
  */
 public sealed interface Verdict {
 
   /**
    * The request has not run and will not run.
    *
-   * @param reason a stable word for programs, such as {@code queue-full}
+   * @param reason a stable code for programs, such as {@code queue-full}
    * @param message what happened and what to do, for people
    * @param retryAfterMillis when a repeat is likely to be admitted; 0 if a repeat is pointless
    */
@@ -29,13 +29,13 @@
     }
   }
 
-  /** The request ran and its answer is known. */
+  /** The request ran and its response is known. */
   record Ran() implements Verdict {}
 
   /**
-   * Nobody who is reachable can tell whether the request ran.
+   * No reachable host or runner can tell whether the request ran.
    *
-   * @param reason a stable word for programs
+   * @param reason a stable code for programs
    * @param message what happened and what to do, for people
    */
   record MayHaveRun(String reason, String message) implements Verdict {
@@ -46,7 +46,7 @@
     }
   }
 
-  /** Applies the function that matches this verdict. */
+  /** Applies the function that matches the type of this verdict. */
   default <T> T fold(
       Function<NotRun, T> notRun, Function<Ran, T> ran, Function<MayHaveRun, T> mayHaveRun) {
     if (this instanceof NotRun n) {
@@ -61,8 +61,8 @@
   /**
    * Combines the verdicts of two attempts at one request into the weakest claim that covers both.
    *
-   * <p>A retry that was refused must not hide that an earlier attempt may have run: a caller that
-   * reads {@code NotRun} would repeat a booking that exists already.
+   * <p>A rejected retry must not hide that an earlier attempt may have run: a caller that reads
+   * {@code NotRun} would repeat a booking that exists already.
    */
   default Verdict combinedWith(Verdict other) {
     requireNonNull(other, "other must not be null");
--- a/sequoia-core/src/main/java/org/sequoiahub/core/verdict/package-info.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/verdict/package-info.java
@@ -1,4 +1,4 @@
-/** Whether a request may have run upstream, and how such verdicts combine. */
+/** Verdicts on whether a request may have run upstream, and how they combine. */
 @NullMarked
 package org.sequoiahub.core.verdict;
 
--- a/sequoia-core/src/test/java/org/sequoiahub/core/verdict/VerdictTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/verdict/VerdictTest.java
@@ -15,7 +15,7 @@
 class VerdictTest {
 
   @Property(tries = 500, seed = "20261207")
-  void notRunOnlyIfNoAttemptMayHave(@ForAll("attempts") List<Verdict> attempts) {
+  void combinesToNotRunOnlyIfNoAttemptMayHaveRun(@ForAll("attempts") List<Verdict> attempts) {
     Verdict combined = attempts.stream().reduce(Verdict::combinedWith).orElseThrow();
     boolean allNotRun = attempts.stream().allMatch(v -> v instanceof NotRun);
     boolean anyRan = attempts.stream().anyMatch(v -> v instanceof Ran);
