--- a/sequoia-core/src/main/java/org/sequoiahub/core/allowance/AllowanceLimiter.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/allowance/AllowanceLimiter.java
@@ -273,7 +273,10 @@
     return level;
   }
 
-  /** What a source is assumed to spend in each slot after its last reported or assumed one. */
+  /**
+   * The amount that a source is assumed to spend in each slot after its last reported or assumed
+   * one.
+   */
   private record UnreportedRate(long afterSlot, double perSlot) {}
 
   private List<UnreportedRate> unreportedRates(String workspace) {
--- a/sequoia-core/src/main/java/org/sequoiahub/core/allowance/FleetSpending.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/allowance/FleetSpending.java
@@ -11,8 +11,8 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * What each workspace spent on all hosts in the latest window: exact for this host, and as last
- * reported for the others.
+ * Account of what each workspace spent on all hosts in the latest window: exact for this host, and
+ * as last reported for the others.
  *
  * <p>A report states the amounts of a few slots rather than changes, so that a datagram that is
  * lost, late or duplicated does no harm: the next one states the same slots again.
--- a/sequoia-core/src/main/java/org/sequoiahub/core/member/MemberSettings.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/member/MemberSettings.java
@@ -1,7 +1,8 @@
 package org.sequoiahub.core.member;
 
 /**
- * How often hosts send heartbeats, and when a silent host is suspected, dead or forgotten.
+ * Settings for how often hosts send heartbeats, and for when a silent host is suspected, dead or
+ * forgotten.
  *
  * @param heartbeatMillis the longest period at which a host sends its state to each other one in a
  *     small fleet
--- a/sequoia-core/src/main/java/org/sequoiahub/core/quarantine/QuarantineSettings.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/quarantine/QuarantineSettings.java
@@ -3,7 +3,7 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * When a request is quarantined, and for how long.
+ * Settings that determine when a request is quarantined, and for how long.
  *
  * <p>The thresholds are sums of {@link #points}.
  *
--- a/sequoia-core/src/main/java/org/sequoiahub/core/retry/RetryBudgetSettings.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/retry/RetryBudgetSettings.java
@@ -3,7 +3,7 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * How many retries all hosts together may send to the runners of one service.
+ * Settings for how many retries all hosts together may send to the runners of one service.
  *
  * @param ratio the retries allowed for each request
  * @param allowance the retries allowed in addition
--- a/sequoia-core/src/main/java/org/sequoiahub/core/routing/RepeatPolicy.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/routing/RepeatPolicy.java
@@ -1,6 +1,6 @@
 package org.sequoiahub.core.routing;
 
-/** Whether a request whose first attempt did not succeed may run again. */
+/** Policy on whether a request whose first attempt did not succeed may run again. */
 public enum RepeatPolicy {
   /** The request is idempotent: it may run again, also concurrently with its first attempt. */
   IDEMPOTENT,
--- a/sequoia-core/src/main/java/org/sequoiahub/core/workspace/Allowance.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/workspace/Allowance.java
@@ -7,7 +7,7 @@
 import org.sequoiahub.core.call.Generation;
 
 /**
- * What a workspace may use on all hosts together.
+ * The amount that a workspace may use on all hosts together.
  *
  * @param perSecond the units per second; 0 for no limit
  * @param burst the units that may be used in addition after a time of low use
--- a/sequoia-core/src/test/java/org/sequoiahub/core/quarantine/QuarantineSimulation.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/quarantine/QuarantineSimulation.java
@@ -242,8 +242,8 @@
 
   private void countDeadlyRun(long request) {
     results.deadlyRuns++;
-    List<Long> ends = terminationsByRequest.getOrDefault(request, List.of());
-    if (ends.size() >= 3 && now > ends.get(2) + QUARANTINE_DEADLINE_MILLIS) {
+    List<Long> terminations = terminationsByRequest.getOrDefault(request, List.of());
+    if (terminations.size() >= 3 && now > terminations.get(2) + QUARANTINE_DEADLINE_MILLIS) {
       results.deadlyRunsPastDeadline++;
     }
   }
--- a/sequoia-core/src/test/java/org/sequoiahub/core/retry/RetryBudgetRestartTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/retry/RetryBudgetRestartTest.java
@@ -29,7 +29,7 @@
   /** Every request fails, so that each host retries as often as it may. */
   private static final double GREEDY = 1;
 
-  private static RetryBudgetSimulation world(long seed, List<Integer> requestsPerSecond) {
+  private static RetryBudgetSimulation simulation(long seed, List<Integer> requestsPerSecond) {
     return new RetryBudgetSimulation(
         seed,
         requestsPerSecond,
@@ -65,78 +65,78 @@
       @ForAll @Size(min = 1, max = 9) List<@IntRange(min = 0, max = 40) Integer> requestsPerSecond,
       @ForAll("steps") List<Step> steps,
       @ForAll long seed) {
-    RetryBudgetSimulation world = world(seed, requestsPerSecond);
-    world.advanceTime(12_000, GREEDY);
+    RetryBudgetSimulation simulation = simulation(seed, requestsPerSecond);
+    simulation.advanceTime(12_000, GREEDY);
     for (Step step : steps) {
-      int host = step.host() % world.size();
+      int host = step.host() % simulation.size();
       switch (step.kind()) {
-        case KILL_ONE -> restart(world, host, host + 1, GREEDY);
-        case KILL_ALL -> restart(world, 0, world.size(), GREEDY);
-        case ISOLATE -> world.isolate(host, true);
-        case HEAL -> world.isolate(host, false);
+        case KILL_ONE -> restart(simulation, host, host + 1, GREEDY);
+        case KILL_ALL -> restart(simulation, 0, simulation.size(), GREEDY);
+        case ISOLATE -> simulation.isolate(host, true);
+        case HEAL -> simulation.isolate(host, false);
         case JOIN -> {
-          if (world.size() < 12) {
-            world.join(5);
+          if (simulation.size() < 12) {
+            simulation.join(5);
           }
         }
         default -> {}
       }
-      world.advanceTime(step.thenMillis(), GREEDY);
+      simulation.advanceTime(step.thenMillis(), GREEDY);
     }
-    assertThat(world.worstExcess()).isAtMost(0.0);
+    assertThat(simulation.worstExcess()).isAtMost(0.0);
   }
 
   private static void restart(
-      RetryBudgetSimulation world, int from, int to, double failingFraction) {
+      RetryBudgetSimulation simulation, int from, int to, double failingFraction) {
     for (int host = from; host < to; host++) {
-      world.kill(host);
+      simulation.kill(host);
     }
-    world.advanceTime(DOWN_MILLIS, failingFraction);
+    simulation.advanceTime(DOWN_MILLIS, failingFraction);
     for (int host = from; host < to; host++) {
-      world.start(host);
+      simulation.start(host);
     }
   }
 
   @Nested
   class SevenHosts {
 
-    private final RetryBudgetSimulation world = world(7, RATES);
+    private final RetryBudgetSimulation simulation = simulation(7, RATES);
 
     /** Guards against processes that spend their host's share again after each start. */
     @Test
     void allKilledAtOnceFiveTimesInOneWindow() {
-      world.advanceTime(15_000, GREEDY);
+      simulation.advanceTime(15_000, GREEDY);
       for (int kill = 0; kill < 5; kill++) {
-        restart(world, 0, 7, GREEDY);
-        world.advanceTime(1_000, GREEDY);
+        restart(simulation, 0, 7, GREEDY);
+        simulation.advanceTime(1_000, GREEDY);
       }
-      world.advanceTime(10_000, GREEDY);
-      assertThat(world.worstExcess()).isAtMost(0.0);
+      simulation.advanceTime(10_000, GREEDY);
+      assertThat(simulation.worstExcess()).isAtMost(0.0);
     }
 
     @Test
     void killedOneAfterTheOther() {
-      world.advanceTime(15_000, GREEDY);
+      simulation.advanceTime(15_000, GREEDY);
       for (int host = 0; host < 7; host++) {
-        restart(world, host, host + 1, GREEDY);
-        world.advanceTime(500, GREEDY);
+        restart(simulation, host, host + 1, GREEDY);
+        simulation.advanceTime(500, GREEDY);
       }
-      assertThat(world.worstExcess()).isAtMost(0.0);
+      assertThat(simulation.worstExcess()).isAtMost(0.0);
     }
 
     /** Guards against a budget that is kept by denying the retries that callers need. */
     @Test
     void mostRetriesAreServedDuringRestarts() {
       for (double failingFraction : new double[] {0.04, 0.08, 0.12, 0.16}) {
-        RetryBudgetSimulation steady = world(7, RATES);
+        RetryBudgetSimulation steady = simulation(7, RATES);
         steady.advanceTime(30_000, failingFraction);
-        RetryBudgetSimulation rolling = world(7, RATES);
+        RetryBudgetSimulation rolling = simulation(7, RATES);
         rolling.advanceTime(15_000, failingFraction);
         for (int host = 0; host < 7; host++) {
           restart(rolling, host, host + 1, failingFraction);
           rolling.advanceTime(2_000, failingFraction);
         }
-        RetryBudgetSimulation allRestarted = world(7, RATES);
+        RetryBudgetSimulation allRestarted = simulation(7, RATES);
         allRestarted.advanceTime(15_000, failingFraction);
         restart(allRestarted, 0, 7, failingFraction);
         allRestarted.advanceTime(10_000, failingFraction);
--- a/sequoia-core/src/test/java/org/sequoiahub/core/retry/SharedRetryBudgetTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/retry/SharedRetryBudgetTest.java
@@ -47,8 +47,8 @@
       }
       long from = now - WINDOW;
       long retried = retries.stream().filter(at -> at > from).count();
-      long asked = requests.stream().filter(at -> at > from).count();
-      assertThat((double) retried).isAtMost(RATIO * asked + ALLOWANCE);
+      long requested = requests.stream().filter(at -> at > from).count();
+      assertThat((double) retried).isAtMost(RATIO * requested + ALLOWANCE);
     }
   }
 
