--- a/sequoia-core/src/main/java/org/sequoiahub/core/stream/ChunkSequencer.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/stream/ChunkSequencer.java
@@ -30,11 +30,11 @@
    * @param delivered the number of the last chunk that was delivered before; 0 if none was
    * @param maxAhead the maximum number of chunks that are buffered while an earlier one is missing
    */
-  public ChunkSequencer(long delivered, int ahead) {
+  public ChunkSequencer(long delivered, int maxAhead) {
     checkArgument(delivered >= 0, "delivered must not be negative, was %s", delivered);
-    checkArgument(ahead > 0, "ahead must be above 0, was %s", ahead);
+    checkArgument(maxAhead > 0, "maxAhead must be above 0, was %s", maxAhead);
     this.delivered = delivered;
-    this.maxAhead = ahead;
+    this.maxAhead = maxAhead;
   }
 
   /**
--- a/sequoia-core/src/test/java/org/sequoiahub/core/allowance/SpendingSlotsTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/allowance/SpendingSlotsTest.java
@@ -16,7 +16,7 @@
 
   /** Compares the ring with a map, within the slots that it holds. */
   @Property(tries = 2_000, seed = "20261203")
-  void behavesLikeAMap(
+  void behavesLikeMap(
       @ForAll @Size(min = 1, max = 60) List<@IntRange(min = -20, max = 40) Integer> indexes,
       @ForAll @Size(min = 60, max = 60) List<@IntRange(min = 0, max = 9) Integer> amounts) {
     SpendingSlots slots = new SpendingSlots(RING);
--- a/sequoia-core/src/test/java/org/sequoiahub/core/retry/RetryAccountTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/retry/RetryAccountTest.java
@@ -45,7 +45,7 @@
   }
 
   @Test
-  void retryIsConsumedOnceUntilItReachesARunner() {
+  void retryIsConsumedOnceUntilItReachesRunner() {
     RetryAccount account = new RetryAccount(budget, "s");
     account.recordRunnerReached();
     assertThat(account.tryAcquireSend(1, 0)).isTrue();
--- a/sequoia-core/src/test/java/org/sequoiahub/core/retry/SharedRetryBudgetTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/retry/SharedRetryBudgetTest.java
@@ -74,7 +74,7 @@
     }
 
     @Test
-    void retriesAreAvailableAgainAfterAWindow() {
+    void retriesAreAvailableAgainAfterWindow() {
       SharedRetryBudget budget = new SharedRetryBudget(SETTINGS, 0, true);
       while (budget.tryAcquireRetry("s", 1, 1_000)) {
         assertThat(budget.usage("s", 1, 1_000).taken()).isAtMost(54);
--- a/sequoia-core/src/test/java/org/sequoiahub/core/upstream/RunnerRegistryTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/upstream/RunnerRegistryTest.java
@@ -74,7 +74,7 @@
   @Nested
   class VanishedEntries {
     @Test
-    void runnerIsUsedForAShortTimeOnly() {
+    void runnerIsUsedForShortTimeOnly() {
       RunnerRegistry registry = new RunnerRegistry();
       registry.apply(new Change("r", 1, entry("r", false, -1)), 0);
       registry.apply(new Change("r", 2, null), 100);
