--- a/sequoia-node/src/main/java/org/sequoiahub/node/Node.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/Node.java
@@ -359,7 +359,7 @@
           refreshAddresses(now);
           holder.stop();
           peers.tellAll(now);
-          calls.stop(shutdown);
+          calls.beginShutdown(shutdown);
         });
     boolean idle = false;
     while (MonotonicClock.SYSTEM.nowMillis() < shutdown.endMillis() && !idle) {
@@ -387,7 +387,7 @@
     CountDownLatch counted = new CountDownLatch(1);
     duty.put(
         () -> {
-          count[0] = calls.size();
+          count[0] = calls.inProgressCount();
           counted.countDown();
         });
     counted.await();
@@ -434,16 +434,16 @@
   }
 
   private long tickMillis() {
-    if (calls.isAnyWaiting()) {
+    if (calls.hasWaitingRequests()) {
       return TICK_MILLIS;
     }
-    boolean idle = isOrdinary() && calls.size() == 0 && !holder.isActive();
+    boolean idle = isOrdinary() && calls.inProgressCount() == 0 && !holder.isActive();
     return idle ? IDLE_TICK_MILLIS : CALM_TICK_MILLIS;
   }
 
   private void tick(long nowMillis) {
     calls.tick(nowMillis);
-    if (calls.demandsDue(nowMillis)) {
+    if (calls.markDemandsReportedIfDue(nowMillis)) {
       Map<String, List<Demand>> demands = calls.demands(nowMillis);
       holder.localDemands(demands, nowMillis);
       demandSender.tell(demands, nowMillis);
@@ -452,7 +452,7 @@
       slowTickMillis = nowMillis;
       records.tick(nowMillis);
       if (holder.isActive()) {
-        holder.tick(fleet.engines(nowMillis), nowMillis);
+        holder.tick(fleet.engineSpecs(nowMillis), nowMillis);
       }
     }
     long upkeepPeriod = isOrdinary() ? ORDINARY_UPKEEP_MILLIS : UPKEEP_MILLIS;
@@ -473,16 +473,16 @@
     long holderPeriod = isOrdinary() ? ORDINARY_HOLDER_MILLIS : IDLE_HOLDER_MILLIS;
     if (!holder.isActive() && nowMillis - idleHolderMillis >= holderPeriod) {
       idleHolderMillis = nowMillis;
-      holder.tick(fleet.engines(nowMillis), nowMillis);
+      holder.tick(fleet.engineSpecs(nowMillis), nowMillis);
     }
     refreshAddresses(nowMillis);
     members.forget(nowMillis);
     book.forget(nowMillis, FORGET_MILLIS);
-    fleet.forget(nowMillis);
+    fleet.removeStaleEntries(nowMillis);
     knownEnds.memoryLost(hasFleetForgotten(nowMillis));
     allowances.upkeep(nowMillis);
-    calls.upkeep(nowMillis);
-    quarantine.upkeep(nowMillis);
+    calls.publishMetrics(nowMillis);
+    quarantine.runMaintenance(nowMillis);
     loadGuard.upkeep(book::hasEnded, nowMillis);
   }
 
@@ -524,7 +524,7 @@
 
   private void arrived(CallerExchange request) {
     callerAddresses.arrived(MonotonicClock.SYSTEM.nowMillis());
-    calls.arrived(request);
+    calls.handle(request);
   }
 
   private void refreshAddresses(long nowMillis) {
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/Admission.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/Admission.java
@@ -78,7 +78,7 @@
   record Denied(int status, String why, long retryMillis) implements Result {}
 
   /** Returns whether a request may be served, before its allowance is looked at. */
-  Result permit(CallerExchange exchange, CallerHeaders headers) {
+  Result admit(CallerExchange exchange, CallerHeaders headers) {
     Optional<RoutingTable> table = tables.get();
     if (table.isEmpty()) {
       return new Denied(
@@ -107,13 +107,13 @@
     if (workspace == null) {
       return Optional.empty();
     }
-    metrics.asked(workspace);
+    metrics.countRequest(workspace);
     long cost = workspace.allowance().cost(headers.generation());
     Decision decision = allowances.take(workspace, cost, nowMillis);
     if (decision.granted()) {
       return Optional.empty();
     }
-    metrics.overAllowance(workspace);
+    metrics.countAllowanceExceeded(workspace);
     log.info(
         "allowance-exceeded",
         "request",
@@ -136,7 +136,7 @@
   }
 
   /** Gives back what a request cost that has not run. */
-  void giveBack(Permitted permitted, CallerHeaders headers, long takenMillis) {
+  void refund(Permitted permitted, CallerHeaders headers, long takenMillis) {
     Workspace workspace = permitted.workspace();
     if (workspace != null) {
       long cost = workspace.allowance().cost(headers.generation());
@@ -148,7 +148,7 @@
    * Returns whether the caller's key was withdrawn since a request was let in: one that waited must
    * not start with it.
    */
-  boolean isWithdrawn(Permitted permitted, CallerHeaders headers) {
+  boolean isKeyRevoked(Permitted permitted, CallerHeaders headers) {
     Workspace workspace = permitted.workspace();
     RoutingTable now = tables.get().orElse(permitted.table());
     if (workspace == null || now == permitted.table()) {
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/Call.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/Call.java
@@ -30,17 +30,17 @@
   final long arrivedMillis;
 
   /** When nobody wants the answer any more. */
-  private long endMillis;
+  private long deadlineMillis;
 
-  final RetryAccount retries;
+  final RetryAccount retryAccount;
   final StreamRelay relay;
-  final List<Running> running = new ArrayList<>();
+  final List<ActiveAttempt> activeAttempts = new ArrayList<>();
 
   /** Runners that failed or refused this request. */
-  final Set<String> tried = new HashSet<>();
+  final Set<String> excludedRunners = new HashSet<>();
 
   /** Runners that refused this request once because its adapter was not there. */
-  final Set<String> missedAt = new HashSet<>();
+  final Set<String> adapterMissingAt = new HashSet<>();
 
   /** Where the request waits for an adapter; null if it does not wait. */
   @Nullable RunnerEntry waitingAt;
@@ -49,13 +49,13 @@
   long waitingSinceMillis;
 
   /** When it is to be placed again while it waits (ms). */
-  long placeAgainMillis;
+  long nextPlacementMillis;
 
-  /** What {@link FleetView#holdingChanges} said of that runner when it was last placed. */
-  long holdingChanges;
+  /** What {@link FleetView#holdingRevision} said of that runner when it was last placed. */
+  long holdingRevision;
 
   /** When it last looked at all runners while it waited (ms). */
-  long lookedRoundMillis;
+  long lastFullScanMillis;
 
   /** Prompt tokens that were counted at {@link #waitingAt}. */
   int waitingTokens;
@@ -87,23 +87,23 @@
     this.permitted = permitted;
     this.route = permitted.route();
     this.service = service;
-    this.retries = retries;
+    this.retryAccount = retries;
     this.generation = permitted.generation(service, headers);
     this.arrivedMillis = arrivedMillis;
-    this.endMillis = endMillis;
+    this.deadlineMillis = endMillis;
     this.relay = new StreamRelay(exchange);
   }
 
   /** An attempt in progress. */
-  static final class Running {
+  static final class ActiveAttempt {
     final int number;
     final RunnerEntry runner;
     final long startedMillis;
     int unreadTokens;
-    boolean firstEventSeen;
+    boolean firstEventReceived;
     @Nullable Attempt attempt;
 
-    Running(int number, RunnerEntry runner, long startedMillis, int unreadTokens) {
+    ActiveAttempt(int number, RunnerEntry runner, long startedMillis, int unreadTokens) {
       this.number = number;
       this.runner = runner;
       this.startedMillis = startedMillis;
@@ -112,17 +112,17 @@
   }
 
   /** Returns when the caller leaves if it has had no event until then. */
-  long firstEventByMillis() {
-    return Math.min(endMillis, arrivedMillis + route.patienceMillis());
+  long firstEventDeadlineMillis() {
+    return Math.min(deadlineMillis, arrivedMillis + route.patienceMillis());
   }
 
-  long endMillis() {
-    return endMillis;
+  long deadlineMillis() {
+    return deadlineMillis;
   }
 
   /** Ends the request at a moment at the latest. */
-  void endBy(long millis) {
-    endMillis = Math.min(endMillis, millis);
+  void shortenDeadline(long millis) {
+    deadlineMillis = Math.min(deadlineMillis, millis);
   }
 
   /** Returns its rank, 0 first. */
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/FleetView.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/FleetView.java
@@ -46,12 +46,12 @@
 
   private final RunnerRegistry book;
   private final Holdings holdings;
-  private final FleetLoad loads;
+  private final FleetLoad fleetLoad;
   private final String failureDomain;
   private final BiPredicate<String, Long> isSound;
-  private final LongFunction<Integer> hosts;
+  private final LongFunction<Integer> hostCount;
   private final ToIntFunction<String> newestVersion;
-  private final MissingListener missing;
+  private final MissingAdapterListener missing;
   private final Map<String, RunnerHealth> health = new HashMap<>();
   private final Map<String, PromptMemory> prompts = new HashMap<>();
   private final Map<String, Long> pauses = new HashMap<>();
@@ -60,9 +60,9 @@
 
   /** Told that a runner refused a request for an adapter that it should have. */
   @FunctionalInterface
-  public interface MissingListener {
+  public interface MissingAdapterListener {
     /** Receives the runner's id, the adapter and the present time. */
-    void missing(String runner, String target, long nowMillis);
+    void adapterMissing(String runner, String target, long nowMillis);
   }
 
   /**
@@ -80,13 +80,13 @@
       BiPredicate<String, Long> isSound,
       LongFunction<Integer> hosts,
       ToIntFunction<String> newestVersion,
-      MissingListener missing) {
+      MissingAdapterListener missing) {
     this.book = book;
     this.holdings = holdings;
-    this.loads = loads;
+    this.fleetLoad = loads;
     this.failureDomain = failureDomain;
     this.isSound = isSound;
-    this.hosts = hosts;
+    this.hostCount = hosts;
     this.newestVersion = newestVersion;
     this.missing = missing;
   }
@@ -107,12 +107,12 @@
     return Optional.ofNullable(table);
   }
 
-  FleetLoad loads() {
-    return loads;
+  FleetLoad fleetLoad() {
+    return fleetLoad;
   }
 
-  int hosts(long nowMillis) {
-    return hosts.apply(nowMillis);
+  int hostCount(long nowMillis) {
+    return hostCount.apply(nowMillis);
   }
 
   int newestVersion(String target) {
@@ -125,9 +125,9 @@
    * <p>What its holder told may be a few ms old: the adapter comes a little later, or has just been
    * dropped. Until the holder's next word, requests wait instead of being refused again.
    */
-  void refused(RunnerEntry runner, String target, long nowMillis) {
+  void recordRefusal(RunnerEntry runner, String target, long nowMillis) {
     refusedUntil.put(runner.id() + " " + target, nowMillis + REFUSED_MILLIS);
-    missing.missing(runner.id(), target, nowMillis);
+    missing.adapterMissing(runner.id(), target, nowMillis);
   }
 
   private long refusedMillis(RunnerEntry runner, String target, long nowMillis) {
@@ -139,12 +139,12 @@
     return health.computeIfAbsent(runner.id(), id -> new RunnerHealth());
   }
 
-  void sent(RunnerEntry runner, Generation generation) {
+  void recordSentPrompt(RunnerEntry runner, Generation generation) {
     memory(runner).read(generation);
   }
 
   /** Returns the runners of a service that may get requests. */
-  List<RunnerEntry> usable(String service, long nowMillis) {
+  List<RunnerEntry> usableRunners(String service, long nowMillis) {
     List<RunnerEntry> usable = new ArrayList<>();
     for (RunnerEntry runner : book.usable(nowMillis)) {
       if (runner.service().equals(service)) {
@@ -155,7 +155,7 @@
   }
 
   /** Returns what the runners of a service are; empty for a plain service. */
-  Optional<EngineSpec> engine(String service) {
+  Optional<EngineSpec> engineSpec(String service) {
     return table().flatMap(t -> t.service(service)).map(s -> s.engine());
   }
 
@@ -165,7 +165,7 @@
   }
 
   /** Returns the runners that hold models, with what their service says of them. */
-  public Map<RunnerEntry, EngineSpec> engines(long nowMillis) {
+  public Map<RunnerEntry, EngineSpec> engineSpecs(long nowMillis) {
     // By identity: the hash of an entry goes over all that it says.
     Map<RunnerEntry, EngineSpec> engines = new IdentityHashMap<>();
     RoutingTable present = table;
@@ -194,14 +194,14 @@
       int adapterUses,
       long nowMillis) {
     boolean counted = countedTokens >= 0;
-    int inFlight = loads.requests(runner.id(), nowMillis) - (counted ? 1 : 0);
-    long held = loads.heldTokens(runner.id(), nowMillis) - Math.max(0, countedTokens);
+    int inFlight = fleetLoad.requests(runner.id(), nowMillis) - (counted ? 1 : 0);
+    long held = fleetLoad.heldTokens(runner.id(), nowMillis) - Math.max(0, countedTokens);
     RunnerHealth results = health(runner);
     Residency residency = residency(runner, generation, nowMillis);
     return new Candidate(
         runner,
         Math.max(0, inFlight),
-        loads.unreadTokens(runner.id(), nowMillis),
+        fleetLoad.unreadTokens(runner.id(), nowMillis),
         Math.max(0, held),
         generation == null ? 0 : memory(runner).unreadTokens(generation),
         residency.waitMillis,
@@ -220,7 +220,7 @@
    * Returns whether a generation's adapter is at a runner or on its way there, by what was told
    * last; cheaper than {@link #candidate}, which knows its version and when it comes too.
    */
-  boolean isKnownAt(RunnerEntry runner, Generation generation) {
+  boolean isAdapterKnownAt(RunnerEntry runner, Generation generation) {
     String target = generation.target();
     return holdings
         .find(runner.id())
@@ -229,7 +229,7 @@
   }
 
   /** Returns a number that differs whenever what a runner holds has changed. */
-  long holdingChanges(RunnerEntry runner) {
+  long holdingRevision(RunnerEntry runner) {
     return holdings.changes(runner.id());
   }
 
@@ -237,7 +237,7 @@
   int adapterUses(@Nullable Generation generation, long nowMillis) {
     return generation == null || !generation.usesAdapter()
         ? 0
-        : loads.usesEverywhere(generation.target(), nowMillis);
+        : fleetLoad.usesEverywhere(generation.target(), nowMillis);
   }
 
   private record Residency(
@@ -294,13 +294,13 @@
         runner.id(),
         id -> {
           long tokens =
-              engine(runner.service()).map(EngineSpec::cacheTokens).orElse(DEFAULT_CACHE_TOKENS);
+              engineSpec(runner.service()).map(EngineSpec::cacheTokens).orElse(DEFAULT_CACHE_TOKENS);
           return new PromptMemory(Math.max(1, (long) (tokens * KEPT_PART)));
         });
   }
 
   /** Forgets runners that are gone and refusals that no longer matter. */
-  public void forget(long nowMillis) {
+  public void removeStaleEntries(long nowMillis) {
     Set<String> known = book.incarnations();
     health.keySet().retainAll(known);
     prompts.keySet().retainAll(known);
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/OwnAnswers.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/LocalResponses.java
@@ -10,20 +10,20 @@
 import org.sequoiahub.usersplatform.CallerDialect.CallerHeaders;
 
 /** Answers that come from this host and not from a runner. */
-final class OwnAnswers {
+final class LocalResponses {
 
   private static final double MILLIS = 1_000;
 
   private final MetricRegistry metrics;
   private final EventLog log;
 
-  OwnAnswers(MetricRegistry metrics, EventLog log) {
+  LocalResponses(MetricRegistry metrics, EventLog log) {
     this.metrics = metrics;
     this.log = log;
   }
 
   /** Returns whether a status tells a caller that its request has not run and never will. */
-  static boolean promisesNotRun(int status) {
+  static boolean guaranteesNotRun(int status) {
     return status == HttpStatus.TOO_MANY_REQUESTS_429
         || status == HttpStatus.SERVICE_UNAVAILABLE_503
         || status == HttpStatus.REQUEST_TIMEOUT_408
@@ -35,8 +35,8 @@
    *
    * @param retryMillis when the caller may come back
    */
-  void refuse(CallerExchange exchange, CallerHeaders headers, String why, long retryMillis) {
-    finish(exchange, headers, HttpStatus.SERVICE_UNAVAILABLE_503, why, retryMillis);
+  void reject(CallerExchange exchange, CallerHeaders headers, String why, long retryMillis) {
+    respond(exchange, headers, HttpStatus.SERVICE_UNAVAILABLE_503, why, retryMillis);
   }
 
   /**
@@ -45,7 +45,7 @@
    * @param why the reason, for people
    * @param retryMillis when the caller may come back; negative to say nothing
    */
-  void finish(
+  void respond(
       CallerExchange exchange, CallerHeaders headers, int status, String why, long retryMillis) {
     HttpFields.Mutable fields = HttpFields.build();
     if (!headers.requestId().isEmpty()) {
@@ -56,6 +56,6 @@
     }
     metrics.counter("answers.own." + status).inc();
     log.info("own-answer", "request", headers.requestId(), "status", status, "why", why);
-    exchange.answer(status, fields, why);
+    exchange.respond(status, fields, why);
   }
 }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/QuarantineGate.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/QuarantineGate.java
@@ -48,7 +48,7 @@
   private final Deque<Unanswered> silent = new ArrayDeque<>();
   private long upkeepMillis;
 
-  private record Unanswered(Call call, Call.Running running, long givenUpMillis) {}
+  private record Unanswered(Call call, Call.ActiveAttempt running, long givenUpMillis) {}
 
   /**
    * Creates a gate.
@@ -82,7 +82,7 @@
   }
 
   /** Logs and counts that a request was held back, with all that decided it. */
-  void heldBack(Call call, Hold hold, long nowMillis) {
+  void recordHold(Call call, Hold hold, long nowMillis) {
     metrics.counter("requests.held_back").inc();
     log.info(
         "request-held-back",
@@ -99,7 +99,7 @@
   }
 
   /** Records that the connection of an attempt broke before the answer was whole. */
-  void broken(Call call, Call.Running running, long nowMillis) {
+  void recordBrokenConnection(Call call, Call.ActiveAttempt running, long nowMillis) {
     if (isLeaving(running.runner)) {
       return;
     }
@@ -108,12 +108,12 @@
   }
 
   /** Records that nobody listens at a runner's address: its process has ended. */
-  void nobodyListens(RunnerEntry runner, long nowMillis) {
+  void recordConnectionRefused(RunnerEntry runner, long nowMillis) {
     runners.noteEnded(runner, nowMillis);
   }
 
   /** Records that an attempt was given up without an answer: its runner may have gone silent. */
-  void unanswered(Call call, Call.Running running, long nowMillis) {
+  void recordUnanswered(Call call, Call.ActiveAttempt running, long nowMillis) {
     boolean sent = running.attempt != null && running.attempt.isHandedOn();
     if (!sent || isLeaving(running.runner)) {
       return;
@@ -125,7 +125,7 @@
   }
 
   /** Records that a request had a good answer. */
-  void answered(Call call, long nowMillis) {
+  void recordSuccess(Call call, long nowMillis) {
     quarantine.answered(call.fingerprint().screen(), nowMillis);
     if (quarantine.mayKnow(call.fingerprint().screen())
         && quarantine.cleared(call.fingerprint().value(), nowMillis)) {
@@ -134,7 +134,7 @@
   }
 
   /** Looks for proofs that runners have ended, and forgets what is old. */
-  public void upkeep(long nowMillis) {
+  public void runMaintenance(long nowMillis) {
     if (nowMillis - upkeepMillis < UPKEEP_MILLIS) {
       return;
     }
@@ -184,13 +184,13 @@
   }
 
   private static RunnerEnd end(
-      Call call, Call.Running running, long endedMillis, boolean confirmed) {
+      Call call, Call.ActiveAttempt running, long endedMillis, boolean confirmed) {
     return new RunnerEnd(
         call.fingerprint().value(),
         running.runner.idHash(),
         Math.min(running.startedMillis, endedMillis),
         endedMillis,
-        running.firstEventSeen,
+        running.firstEventReceived,
         confirmed);
   }
 
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/RequestCoordinator.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/RequestCoordinator.java
@@ -113,7 +113,7 @@
   private final Histogram firstEventMillis;
   private final Histogram wholeMillis;
   private final EventLog log;
-  private final OwnAnswers answers;
+  private final LocalResponses answers;
   private final Set<Call> calls = new LinkedHashSet<>();
   private long lookedMillis;
   private int waiting;
@@ -156,17 +156,17 @@
     this.changed = changed;
     this.random = random;
     this.log = log;
-    this.answers = new OwnAnswers(metrics, log);
+    this.answers = new LocalResponses(metrics, log);
   }
 
   /** Takes a request whose body has been read. */
-  public void arrived(CallerExchange exchange) {
+  public void handle(CallerExchange exchange) {
     final long now = clock.getAsLong();
     CallerHeaders headers = CallerDialect.decode(exchange.headers(), keys);
     if (shutdown != null) {
-      exchange.closeAfterwards();
+      exchange.closeConnectionAfterResponse();
     }
-    Admission.Result result = admission.permit(exchange, headers);
+    Admission.Result result = admission.admit(exchange, headers);
     if (result instanceof Admission.Permitted permitted) {
       accept(exchange, headers, permitted, now);
     } else if (result instanceof Admission.Denied denied) {
@@ -175,7 +175,7 @@
   }
 
   private void deny(CallerExchange exchange, CallerHeaders headers, Admission.Denied denied) {
-    answers.finish(exchange, headers, denied.status(), denied.why(), denied.retryMillis());
+    answers.respond(exchange, headers, denied.status(), denied.why(), denied.retryMillis());
   }
 
   private void accept(
@@ -187,7 +187,7 @@
     long end = now + wanted;
     if (shutdown != null) {
       if (!shutdown.takes(wanted, now)) {
-        answers.refuse(exchange, headers, "stopping", BUSY_RETRY_MILLIS);
+        answers.reject(exchange, headers, "stopping", BUSY_RETRY_MILLIS);
         return;
       }
       end = Math.min(end, shutdown.lastWordMillis());
@@ -198,7 +198,7 @@
       return;
     }
     Call call =
-        new Call(exchange, headers, permitted, service, retries.opened(service, now), now, end);
+        new Call(exchange, headers, permitted, service, retries.openAccount(service, now), now, end);
     calls.add(call);
     metrics.counter("requests.accepted").inc();
     place(call, now);
@@ -214,15 +214,15 @@
       if (call.done) {
         continue;
       }
-      if (look && call.exchange.callerGone()) {
+      if (look && call.exchange.isCallerDisconnected()) {
         log.info("caller-gone", "request", call.id());
-        call.running.forEach(running -> quarantine.unanswered(call, running, nowMillis));
+        call.activeAttempts.forEach(running -> quarantine.recordUnanswered(call, running, nowMillis));
         cancelAll(call, "the caller has gone");
-        call.exchange.breakOff("the caller has gone");
+        call.exchange.abort("the caller has gone");
         finished(call);
-      } else if (nowMillis >= call.endMillis()) {
+      } else if (nowMillis >= call.deadlineMillis()) {
         expired(call, nowMillis);
-      } else if (call.running.isEmpty()) {
+      } else if (call.activeAttempts.isEmpty()) {
         if (mayBePlacedAnew(call, nowMillis)) {
           place(call, nowMillis);
         }
@@ -234,18 +234,18 @@
 
   private boolean mayBePlacedAnew(Call call, long nowMillis) {
     RunnerEntry runner = call.waitingAt;
-    return nowMillis >= call.placeAgainMillis
+    return nowMillis >= call.nextPlacementMillis
         || runner == null
-        || fleet.holdingChanges(runner) != call.holdingChanges;
+        || fleet.holdingRevision(runner) != call.holdingRevision;
   }
 
   /** Returns whether a request waits for something that may come any moment. */
-  public boolean isAnyWaiting() {
+  public boolean hasWaitingRequests() {
     return waiting > 0;
   }
 
   /** Returns whether what requests wait for is to be told now; if so, it counts as told. */
-  public boolean demandsDue(long nowMillis) {
+  public boolean markDemandsReportedIfDue(long nowMillis) {
     boolean repeated = waiting > 0 && nowMillis - demandsToldMillis >= DEMAND_MILLIS;
     if (!demandsChanged && !repeated) {
       return false;
@@ -276,33 +276,33 @@
   }
 
   /** Asks callers to close their connections, and takes only what can be finished. */
-  public void stop(Shutdown begun) {
+  public void beginShutdown(Shutdown begun) {
     shutdown = begun;
     calls.forEach(
         call -> {
-          call.exchange.closeAfterwards();
-          call.endBy(begun.lastWordMillis());
+          call.exchange.closeConnectionAfterResponse();
+          call.shortenDeadline(begun.lastWordMillis());
         });
   }
 
   /** Does what is due now and then. */
-  public void upkeep(long nowMillis) {
+  public void publishMetrics(long nowMillis) {
     retries.publish(nowMillis);
   }
 
   /** Returns how many requests are in progress. */
-  public int size() {
+  public int inProgressCount() {
     return calls.size();
   }
 
   private void place(Call call, long nowMillis) {
-    if (admission.isWithdrawn(call.permitted, call.headers)) {
+    if (admission.isKeyRevoked(call.permitted, call.headers)) {
       withdrawn(call, nowMillis);
       return;
     }
     Optional<Hold> hold = quarantine.hold(call, nowMillis);
     if (hold.isPresent()) {
-      quarantine.heldBack(call, hold.get(), nowMillis);
+      quarantine.recordHold(call, hold.get(), nowMillis);
       giveUp(call, "held back: runners ended under this request", 0);
     } else if (call.generation == null) {
       placePlain(call, nowMillis);
@@ -315,9 +315,9 @@
   private void withdrawn(Call call, long nowMillis) {
     String why = "the key was withdrawn";
     if (call.exchange.isStarted()) {
-      call.exchange.breakOff(why);
+      call.exchange.abort(why);
     } else {
-      answers.finish(call.exchange, call.headers, HttpStatus.UNAUTHORIZED_401, why, -1);
+      answers.respond(call.exchange, call.headers, HttpStatus.UNAUTHORIZED_401, why, -1);
     }
     done(call, HttpStatus.UNAUTHORIZED_401, why, nowMillis);
   }
@@ -344,14 +344,14 @@
     }
     GenerationPlacement.Choice choice = chosen.get();
     Candidate candidate = choice.candidate();
-    if (nowMillis + choice.firstTokenMillis() > call.firstEventByMillis()) {
+    if (nowMillis + choice.firstTokenMillis() > call.firstEventDeadlineMillis()) {
       // Whoever returns sooner is refused again.
       giveUp(call, "would be late", (long) choice.firstTokenMillis());
       return;
     }
     Optional<Hold> load = candidate.present() ? Optional.empty() : loadHold(call, nowMillis);
     if (load.isPresent()) {
-      quarantine.heldBack(call, load.get(), nowMillis);
+      quarantine.recordHold(call, load.get(), nowMillis);
       giveUp(
           call,
           "held back: runners ended while they loaded its adapter",
@@ -375,7 +375,7 @@
 
   /** Records that a request, and the adapter that it used, had a good answer. */
   private void served(Call call, long nowMillis) {
-    quarantine.answered(call, nowMillis);
+    quarantine.recordSuccess(call, nowMillis);
     String adapter = call.adapter();
     if (!adapter.isEmpty()) {
       loadGuard.served(adapter, fleet.newestVersion(adapter), nowMillis);
@@ -388,14 +388,14 @@
    * of queues changes from one datagram to the next, and each move begins another wait at its end.
    */
   private List<RunnerEntry> choice(Call call, @Nullable Generation generation, long nowMillis) {
-    List<RunnerEntry> usable = fleet.usable(call.service, nowMillis);
+    List<RunnerEntry> usable = fleet.usableRunners(call.service, nowMillis);
     RunnerEntry before = call.waitingAt;
     if (before == null || generation == null) {
       return usable;
     }
     boolean settling = nowMillis - call.waitingSinceMillis < SETTLED_MILLIS;
-    if (!settling && nowMillis - call.lookedRoundMillis >= LOOK_ROUND_MILLIS) {
-      call.lookedRoundMillis = nowMillis;
+    if (!settling && nowMillis - call.lastFullScanMillis >= LOOK_ROUND_MILLIS) {
+      call.lastFullScanMillis = nowMillis;
       return usable;
     }
     boolean stillUsable = false;
@@ -403,7 +403,7 @@
     for (RunnerEntry runner : usable) {
       boolean here = runner.id().equals(before.id());
       stillUsable |= here;
-      if (here || fleet.isKnownAt(runner, generation)) {
+      if (here || fleet.isAdapterKnownAt(runner, generation)) {
         few.add(runner);
       }
     }
@@ -411,17 +411,17 @@
   }
 
   private StreamLimits limits(Call call, long nowMillis) {
-    int tokensPerEvent = fleet.engine(call.service).map(EngineSpec::tokensPerEvent).orElse(1);
+    int tokensPerEvent = fleet.engineSpec(call.service).map(EngineSpec::tokensPerEvent).orElse(1);
     long inTime = call.arrivedMillis + call.route.targetLatencyMillis() - nowMillis;
     return new StreamLimits(fleet.pauseMillis(call.service), tokensPerEvent, inTime);
   }
 
   private void waitAt(Call call, Candidate candidate, long nowMillis) {
     long adapterWait = candidate.adapterWaitMillis();
-    call.placeAgainMillis =
+    call.nextPlacementMillis =
         nowMillis
             + (adapterWait > 0 ? Math.min(ADAPTER_LOOK_MILLIS, adapterWait) : PLACE_AGAIN_MILLIS);
-    call.holdingChanges = fleet.holdingChanges(candidate.runner());
+    call.holdingRevision = fleet.holdingRevision(candidate.runner());
     RunnerEntry before = call.waitingAt;
     if (before != null && before.id().equals(candidate.runner().id())) {
       return;
@@ -432,7 +432,7 @@
     demandsChanged = true;
     call.waitingSinceMillis = nowMillis;
     call.waitingTokens = candidate.unreadTokens();
-    fleet.loads().add(candidate.runner().id(), 1, 0, call.waitingTokens, call.adapter());
+    fleet.fleetLoad().add(candidate.runner().id(), 1, 0, call.waitingTokens, call.adapter());
     log.info(
         "request-waits",
         "request",
@@ -451,7 +451,7 @@
   private void stopWaiting(Call call) {
     RunnerEntry before = call.waitingAt;
     if (before != null) {
-      fleet.loads().add(before.id(), -1, 0, -call.waitingTokens, call.adapter());
+      fleet.fleetLoad().add(before.id(), -1, 0, -call.waitingTokens, call.adapter());
       call.waitingAt = null;
       waiting--;
       demandsChanged = true;
@@ -462,8 +462,8 @@
     List<Candidate> candidates = new ArrayList<>();
     int adapterUses = fleet.adapterUses(generation, nowMillis);
     for (RunnerEntry runner : choice(call, generation, nowMillis)) {
-      boolean running = call.running.stream().anyMatch(r -> r.runner.id().equals(runner.id()));
-      if (!call.tried.contains(runner.id()) && !running) {
+      boolean running = call.activeAttempts.stream().anyMatch(r -> r.runner.id().equals(runner.id()));
+      if (!call.excludedRunners.contains(runner.id()) && !running) {
         boolean counted = call.waitingAt != null && call.waitingAt.id().equals(runner.id());
         candidates.add(
             fleet.candidate(
@@ -474,24 +474,24 @@
   }
 
   private void start(Call call, RunnerEntry runner, int unreadTokens, long nowMillis) {
-    if (!retries.pay(call, nowMillis)) {
+    if (!retries.chargeSend(call, nowMillis)) {
       giveUp(call, "no retry is left", BUSY_RETRY_MILLIS);
       return;
     }
     stopWaiting(call);
     call.sends++;
-    Call.Running running = new Call.Running(call.sends, runner, nowMillis, unreadTokens);
-    call.running.add(running);
-    fleet.loads().add(runner.id(), 1, unreadTokens, 0, call.adapter());
+    Call.ActiveAttempt running = new Call.ActiveAttempt(call.sends, runner, nowMillis, unreadTokens);
+    call.activeAttempts.add(running);
+    fleet.fleetLoad().add(runner.id(), 1, unreadTokens, 0, call.adapter());
     if (call.generation != null) {
-      fleet.sent(runner, call.generation);
+      fleet.recordSentPrompt(runner, call.generation);
     }
     changed.run();
     String lastEvent = call.relay.lastEventId();
     RunnerHeaders ours =
         new RunnerHeaders(
             runner.instance(),
-            call.endMillis() - nowMillis,
+            call.deadlineMillis() - nowMillis,
             call.generation == null ? -1 : call.priority(),
             fleet.newestVersion(call.adapter()),
             lastEvent.isEmpty() ? call.headers.lastEventId() : lastEvent,
@@ -506,7 +506,7 @@
         "send",
         call.sends,
         "left_ms",
-        call.endMillis() - nowMillis,
+        call.deadlineMillis() - nowMillis,
         "unread",
         unreadTokens,
         "adapter",
@@ -514,7 +514,7 @@
         "after_ms",
         nowMillis - call.arrivedMillis);
     if (call.route.repetition().isStream()) {
-      call.relay.expect(running.number);
+      call.relay.expectAttempt(running.number);
     }
     running.attempt =
         upstreams.start(
@@ -531,21 +531,21 @@
   /** Passes pieces on at once and everything else to the decision thread. */
   private final class Follower implements AttemptListener {
     private final Call call;
-    private final Call.Running running;
+    private final Call.ActiveAttempt running;
 
-    Follower(Call call, Call.Running running) {
+    Follower(Call call, Call.ActiveAttempt running) {
       this.call = call;
       this.running = running;
     }
 
     @Override
     public void streamStarted(int status, HttpFields headers) {
-      call.relay.head(running.number, status, headers);
+      call.relay.start(running.number, status, headers);
     }
 
     @Override
     public void streamPiece(ByteBuffer piece) {
-      if (call.relay.piece(running.number, piece, clock.getAsLong())) {
+      if (call.relay.relayChunk(running.number, piece, clock.getAsLong())) {
         decisions.accept(() -> firstEvent(call, running));
       }
     }
@@ -556,10 +556,10 @@
     }
   }
 
-  private void firstEvent(Call call, Call.Running running) {
-    if (!running.firstEventSeen && call.running.contains(running)) {
-      running.firstEventSeen = true;
-      fleet.loads().add(running.runner.id(), 0, -running.unreadTokens, 0, "");
+  private void firstEvent(Call call, Call.ActiveAttempt running) {
+    if (!running.firstEventReceived && call.activeAttempts.contains(running)) {
+      running.firstEventReceived = true;
+      fleet.fleetLoad().add(running.runner.id(), 0, -running.unreadTokens, 0, "");
       running.unreadTokens = 0;
       firstEventMillis.update(clock.getAsLong() - call.arrivedMillis);
       log.debug(
@@ -574,8 +574,8 @@
     }
   }
 
-  private void ended(Call call, Call.Running running, Outcome outcome) {
-    if (!call.running.remove(running)) {
+  private void ended(Call call, Call.ActiveAttempt running, Outcome outcome) {
+    if (!call.activeAttempts.remove(running)) {
       return;
     }
     release(call, running);
@@ -586,7 +586,7 @@
     long now = clock.getAsLong();
     if (outcome instanceof Outcome.StreamEnded) {
       fleet.health(running.runner).succeeded(now - running.startedMillis, now);
-      call.relay.end();
+      call.relay.complete();
       served(call, now);
       done(call, HttpStatus.OK_200, "", now);
     } else if (outcome instanceof Outcome.Answered answered) {
@@ -596,7 +596,7 @@
     } else if (outcome instanceof Outcome.NotSent notSent) {
       fleet.health(running.runner).unreachable(now);
       if (notSent.refused()) {
-        quarantine.nobodyListens(running.runner, now);
+        quarantine.recordConnectionRefused(running.runner, now);
       }
       failed(call, running, Ending.NOT_SENT, notSent.why(), null, now);
     } else if (outcome instanceof Outcome.Lost lost) {
@@ -604,7 +604,7 @@
       fleet.health(running.runner).failed(now);
       logLost(call, running, now);
       if (lost.connectionBroke()) {
-        quarantine.broken(call, running, now);
+        quarantine.recordBrokenConnection(call, running, now);
       }
       failed(call, running, Ending.LOST, lost.why(), null, now);
     }
@@ -614,7 +614,7 @@
    * Tells by which number a request is known again whose answer was lost: a request that ends the
    * runners that run it comes back under new ids, at other hosts.
    */
-  private void logLost(Call call, Call.Running running, long now) {
+  private void logLost(Call call, Call.ActiveAttempt running, long now) {
     log.info(
         "answer-lost",
         "request",
@@ -629,7 +629,7 @@
         now - running.startedMillis);
   }
 
-  private void answered(Call call, Call.Running running, Outcome.Answered answered, long now) {
+  private void answered(Call call, Call.ActiveAttempt running, Outcome.Answered answered, long now) {
     call.runs++;
     if (answered.status() < HttpStatus.INTERNAL_SERVER_ERROR_500) {
       fleet.health(running.runner).succeeded(now - running.startedMillis, now);
@@ -644,14 +644,14 @@
     failed(call, running, Ending.FAILED, "status " + answered.status(), answered, now);
   }
 
-  private void refused(Call call, Call.Running running, Outcome.Refused refused, long now) {
-    boolean mayComeLater = !call.adapter().isEmpty() && call.missedAt.add(running.runner.id());
+  private void refused(Call call, Call.ActiveAttempt running, Outcome.Refused refused, long now) {
+    boolean mayComeLater = !call.adapter().isEmpty() && call.adapterMissingAt.add(running.runner.id());
     if (mayComeLater) {
       // The adapter was to be there: it comes a little later, or was dropped.
-      fleet.refused(running.runner, call.adapter(), now);
+      fleet.recordRefusal(running.runner, call.adapter(), now);
     } else {
       // Refused twice, what the runner's holder tells of it is wrong: another runner is tried.
-      call.tried.add(running.runner.id());
+      call.excludedRunners.add(running.runner.id());
       fleet.health(running.runner).failed(now);
     }
     failed(call, running, Ending.REFUSED, "refused " + refused.status(), null, now);
@@ -659,7 +659,7 @@
 
   private void failed(
       Call call,
-      Call.Running running,
+      Call.ActiveAttempt running,
       Ending ending,
       String why,
       Outcome.@Nullable Answered answer,
@@ -682,9 +682,9 @@
         "after_ms",
         now - call.arrivedMillis);
     if (ending != Ending.REFUSED) {
-      call.tried.add(running.runner.id());
+      call.excludedRunners.add(running.runner.id());
     }
-    if (!call.running.isEmpty()) {
+    if (!call.activeAttempts.isEmpty()) {
       return;
     }
     boolean again =
@@ -694,11 +694,11 @@
             call.sends,
             call.runs,
             call.route.maxAttempts(),
-            call.endMillis() - now);
+            call.deadlineMillis() - now);
     if (RetryRule.drawsOnBudget(ending)) {
-      call.retries.reachedRunner();
+      call.retryAccount.reachedRunner();
     }
-    if (again && retries.maySendAgain(call, now)) {
+    if (again && retries.mayRetry(call, now)) {
       place(call, now);
     } else if (answer != null) {
       pass(call, answer, now);
@@ -709,12 +709,12 @@
 
   /** Gives the caller a runner's whole answer. */
   private void pass(Call call, Outcome.Answered answered, long now) {
-    if (OwnAnswers.promisesNotRun(answered.status())) {
+    if (LocalResponses.guaranteesNotRun(answered.status())) {
       // The runner does not say that it has not run; the status alone would.
-      answers.finish(
+      answers.respond(
           call.exchange, call.headers, HttpStatus.BAD_GATEWAY_502, "the runner failed", -1);
     } else {
-      call.exchange.answer(answered.status(), answered.headers(), answered.body());
+      call.exchange.respond(answered.status(), answered.headers(), answered.body());
     }
     done(call, answered.status(), "", now);
   }
@@ -726,40 +726,40 @@
     Optional<Hold> hold = quarantine.hold(call, now);
     boolean started = call.exchange.isStarted();
     if (started) {
-      call.exchange.breakOff(why);
+      call.exchange.abort(why);
     } else if (call.runs > 0) {
       // It may come back at once, unless it would only be held back.
       long retry = hold.map(h -> h.untilMillis() - now).orElse(-1L);
-      answers.finish(call.exchange, call.headers, HttpStatus.BAD_GATEWAY_502, why, retry);
+      answers.respond(call.exchange, call.headers, HttpStatus.BAD_GATEWAY_502, why, retry);
     } else {
       long retry = hold.map(h -> h.untilMillis() - now).orElse(retryMillis);
-      answers.refuse(call.exchange, call.headers, why, Math.max(BUSY_RETRY_MILLIS, retry));
+      answers.reject(call.exchange, call.headers, why, Math.max(BUSY_RETRY_MILLIS, retry));
     }
     done(call, started ? 0 : call.runs > 0 ? 502 : 503, why, now);
   }
 
   private void expired(Call call, long nowMillis) {
     boolean handedOn =
-        call.running.stream().anyMatch(r -> r.attempt != null && r.attempt.isHandedOn());
-    call.running.forEach(running -> quarantine.unanswered(call, running, nowMillis));
+        call.activeAttempts.stream().anyMatch(r -> r.attempt != null && r.attempt.isHandedOn());
+    call.activeAttempts.forEach(running -> quarantine.recordUnanswered(call, running, nowMillis));
     cancelAll(call, "deadline");
     if (call.exchange.isStarted()) {
-      call.exchange.breakOff("deadline");
+      call.exchange.abort("deadline");
     } else if (handedOn || call.runs > 0) {
-      answers.finish(call.exchange, call.headers, HttpStatus.GATEWAY_TIMEOUT_504, "deadline", -1);
+      answers.respond(call.exchange, call.headers, HttpStatus.GATEWAY_TIMEOUT_504, "deadline", -1);
     } else {
-      answers.refuse(call.exchange, call.headers, "deadline", 0);
+      answers.reject(call.exchange, call.headers, "deadline", 0);
     }
     done(call, HttpStatus.GATEWAY_TIMEOUT_504, "deadline", nowMillis);
   }
 
   private void watchRunning(Call call, long nowMillis) {
-    Call.Running newest = call.running.get(call.running.size() - 1);
-    long silent = nowMillis - Math.max(newest.startedMillis, call.relay.lastPieceMillis());
+    Call.ActiveAttempt newest = call.activeAttempts.get(call.activeAttempts.size() - 1);
+    long silent = nowMillis - Math.max(newest.startedMillis, call.relay.lastChunkMillis());
     Repetition repetition = call.route.repetition();
     if (repetition == Repetition.IDEMPOTENT) {
       long patience = (long) (call.route.targetLatencyMillis() * HEDGE_PART);
-      if (call.running.size() == 1
+      if (call.activeAttempts.size() == 1
           && silent >= patience
           && mayRunBeside(call)
           && !quarantine.isSuspect(call, nowMillis)) {
@@ -768,40 +768,40 @@
     } else if (repetition == Repetition.RESUMABLE_STREAM
         && silent >= STREAM_SILENCE_MILLIS + call.route.pauseMillis()
         && call.runs + 1 < call.route.maxAttempts()) {
-      call.retries.reachedRunner();
-      if (retries.mayMove(call, nowMillis)) {
+      call.retryAccount.reachedRunner();
+      if (retries.mayResume(call, nowMillis)) {
         moveSilent(call, newest, nowMillis);
       }
     }
   }
 
   private boolean mayRunBeside(Call call) {
-    return call.runs + call.running.size() < call.route.maxAttempts()
+    return call.runs + call.activeAttempts.size() < call.route.maxAttempts()
         && call.sends < RetryRule.MAX_SENDS;
   }
 
   private void hedge(Call call, long nowMillis) {
     Optional<Candidate> second =
         services.choose(candidates(call, null, nowMillis), random.nextDouble());
-    if (second.isPresent() && retries.payHedge(call, nowMillis)) {
+    if (second.isPresent() && retries.chargeHedge(call, nowMillis)) {
       log.info("request-hedged", "request", call.id());
       start(call, second.get().runner(), 0, nowMillis);
     }
   }
 
-  private void moveSilent(Call call, Call.Running silent, long nowMillis) {
+  private void moveSilent(Call call, Call.ActiveAttempt silent, long nowMillis) {
     log.info("stream-silent", "request", call.id(), "runner", silent.runner.id());
     fleet.health(silent.runner).failed(nowMillis);
-    call.tried.add(silent.runner.id());
-    quarantine.unanswered(call, silent, nowMillis);
+    call.excludedRunners.add(silent.runner.id());
+    quarantine.recordUnanswered(call, silent, nowMillis);
     cancelAll(call, "silent");
     call.runs++;
     place(call, nowMillis);
   }
 
   private void cancelAll(Call call, String why) {
-    for (Call.Running running : List.copyOf(call.running)) {
-      call.running.remove(running);
+    for (Call.ActiveAttempt running : List.copyOf(call.activeAttempts)) {
+      call.activeAttempts.remove(running);
       release(call, running);
       if (running.attempt != null) {
         call.mayHaveRun |= running.attempt.isHandedOn();
@@ -810,8 +810,8 @@
     }
   }
 
-  private void release(Call call, Call.Running running) {
-    fleet.loads().add(running.runner.id(), -1, -running.unreadTokens, 0, call.adapter());
+  private void release(Call call, Call.ActiveAttempt running) {
+    fleet.fleetLoad().add(running.runner.id(), -1, -running.unreadTokens, 0, call.adapter());
     running.unreadTokens = 0;
     changed.run();
   }
@@ -837,7 +837,7 @@
   private void finished(Call call) {
     call.done = true;
     if (!call.mayHaveRun) {
-      admission.giveBack(call.permitted, call.headers, call.arrivedMillis);
+      admission.refund(call.permitted, call.headers, call.arrivedMillis);
     }
     stopWaiting(call);
     calls.remove(call);
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/RetryGate.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/RetryGate.java
@@ -28,34 +28,34 @@
   }
 
   /** Counts a request and returns its account. */
-  RetryAccount opened(String service, long nowMillis) {
+  RetryAccount openAccount(String service, long nowMillis) {
     budget.request(service, nowMillis);
     return new RetryAccount(budget, service);
   }
 
   /** Returns whether a request could be sent again now. */
-  boolean maySendAgain(Call call, long nowMillis) {
-    return call.retries.maySend(fleet.hosts(nowMillis), nowMillis)
+  boolean mayRetry(Call call, long nowMillis) {
+    return call.retryAccount.maySend(fleet.hostCount(nowMillis), nowMillis)
         || denied(call, "decided", nowMillis);
   }
 
   /** Returns whether a stream could go on at another runner now; asked again and again. */
-  boolean mayMove(Call call, long nowMillis) {
-    return call.retries.maySend(fleet.hosts(nowMillis), nowMillis);
+  boolean mayResume(Call call, long nowMillis) {
+    return call.retryAccount.maySend(fleet.hostCount(nowMillis), nowMillis);
   }
 
   /** Takes what the next send of a request draws on the budget; false if it must not be made. */
-  boolean pay(Call call, long nowMillis) {
-    return call.retries.pay(fleet.hosts(nowMillis), nowMillis) || denied(call, "sent", nowMillis);
+  boolean chargeSend(Call call, long nowMillis) {
+    return call.retryAccount.pay(fleet.hostCount(nowMillis), nowMillis) || denied(call, "sent", nowMillis);
   }
 
   /** Takes a second send beside one that runs; false if it must not be made. */
-  boolean payHedge(Call call, long nowMillis) {
-    return budget.tryRetry(call.service, fleet.hosts(nowMillis), nowMillis);
+  boolean chargeHedge(Call call, long nowMillis) {
+    return budget.tryRetry(call.service, fleet.hostCount(nowMillis), nowMillis);
   }
 
   private boolean denied(Call call, String when, long nowMillis) {
-    int hosts = fleet.hosts(nowMillis);
+    int hosts = fleet.hostCount(nowMillis);
     SharedRetryBudget.Usage usage = budget.usage(call.service, hosts, nowMillis);
     metrics.counter("retries.denied").inc();
     log.info(
@@ -77,7 +77,7 @@
 
   /** Tells the retries taken and left at this host; the sums over all hosts are the fleet's. */
   void publish(long nowMillis) {
-    int hosts = fleet.hosts(nowMillis);
+    int hosts = fleet.hostCount(nowMillis);
     for (String service : budget.services()) {
       SharedRetryBudget.Usage usage = budget.usage(service, hosts, nowMillis);
       gauge(service, "taken").setValue(usage.taken());
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/StreamRelay.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/StreamRelay.java
@@ -17,46 +17,46 @@
   private final CallerExchange exchange;
   private final EventSplitter events = new EventSplitter();
   private int attempt;
-  private long lastPieceMillis;
+  private long lastChunkMillis;
 
   StreamRelay(CallerExchange exchange) {
     this.exchange = exchange;
   }
 
   /** Expects the pieces of attempt {@code number} from now on. */
-  synchronized void expect(int number) {
+  synchronized void expectAttempt(int number) {
     attempt = number;
     events.dropPartial();
   }
 
   /** Starts the answer; later attempts keep the head of the first. */
-  synchronized void head(int number, int status, HttpFields headers) {
+  synchronized void start(int number, int status, HttpFields headers) {
     if (number == attempt) {
       exchange.start(status, headers);
     }
   }
 
   /** Passes on what a piece completes; returns whether it completed the first event. */
-  synchronized boolean piece(int number, ByteBuffer piece, long nowMillis) {
+  synchronized boolean relayChunk(int number, ByteBuffer piece, long nowMillis) {
     if (number != attempt) {
       return false;
     }
-    lastPieceMillis = nowMillis;
+    lastChunkMillis = nowMillis;
     boolean none = events.wholeEvents() == 0;
     byte[] complete = events.accept(BufferUtil.toArray(piece));
     if (complete.length > 0) {
-      exchange.piece(ByteBuffer.wrap(complete));
+      exchange.writeChunk(ByteBuffer.wrap(complete));
     }
     return none && events.wholeEvents() > 0;
   }
 
   /** Completes the answer. */
-  synchronized void end() {
+  synchronized void complete() {
     byte[] rest = events.rest();
     if (rest.length > 0) {
-      exchange.piece(ByteBuffer.wrap(rest));
+      exchange.writeChunk(ByteBuffer.wrap(rest));
     }
-    exchange.end();
+    exchange.complete();
   }
 
   synchronized String lastEventId() {
@@ -67,7 +67,7 @@
     return events.wholeEvents();
   }
 
-  synchronized long lastPieceMillis() {
-    return lastPieceMillis;
+  synchronized long lastChunkMillis() {
+    return lastChunkMillis;
   }
 }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/WorkspaceMetrics.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/WorkspaceMetrics.java
@@ -23,11 +23,11 @@
     this.metrics = metrics;
   }
 
-  void asked(Workspace workspace) {
+  void countRequest(Workspace workspace) {
     count(workspace, "asked");
   }
 
-  void overAllowance(Workspace workspace) {
+  void countAllowanceExceeded(Workspace workspace) {
     count(workspace, "over_allowance");
   }
 
--- a/sequoia-node/src/main/java/org/sequoiahub/node/caller/CallerEndPoint.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/caller/CallerEndPoint.java
@@ -34,7 +34,7 @@
   }
 
   /** Returns whether the caller has closed the connection; call it only during a request. */
-  public synchronized boolean callerGone() {
+  public synchronized boolean isCallerDisconnected() {
     if (gone || !isOpen()) {
       return true;
     }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/caller/CallerExchange.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/caller/CallerExchange.java
@@ -78,21 +78,21 @@
   }
 
   /** Returns whether the caller has closed its connection. */
-  public boolean callerGone() {
+  public boolean isCallerDisconnected() {
     if (writer.isBroken()) {
       return true;
     }
     EndPoint endPoint = request.getConnectionMetaData().getConnection().getEndPoint();
-    return endPoint instanceof CallerEndPoint caller ? caller.callerGone() : !endPoint.isOpen();
+    return endPoint instanceof CallerEndPoint caller ? caller.isCallerDisconnected() : !endPoint.isOpen();
   }
 
   /** Asks for the connection to be closed after this answer. */
-  public synchronized void closeAfterwards() {
+  public synchronized void closeConnectionAfterResponse() {
     closing = true;
   }
 
   /** Gives the whole answer. */
-  public void answer(int status, HttpFields headers, byte[] content) {
+  public void respond(int status, HttpFields headers, byte[] content) {
     synchronized (this) {
       if (started || ended) {
         return;
@@ -105,8 +105,8 @@
   }
 
   /** Gives an answer of our own, with a text for people. */
-  public void answer(int status, HttpFields headers, String text) {
-    answer(status, headers, (text + "\n").getBytes(UTF_8));
+  public void respond(int status, HttpFields headers, String text) {
+    respond(status, headers, (text + "\n").getBytes(UTF_8));
   }
 
   /** Starts an answer whose pieces follow. */
@@ -125,7 +125,7 @@
   }
 
   /** Passes on a piece; false if the caller is gone. */
-  public boolean piece(ByteBuffer bytes) {
+  public boolean writeChunk(ByteBuffer bytes) {
     synchronized (this) {
       if (!started || ended) {
         return false;
@@ -135,7 +135,7 @@
   }
 
   /** Ends an answer that was started: it is complete. */
-  public void end() {
+  public void complete() {
     synchronized (this) {
       if (!started || ended) {
         return;
@@ -146,7 +146,7 @@
   }
 
   /** Ends an answer without completing it, so that the caller sees that it is cut. */
-  public void breakOff(String why) {
+  public void abort(String why) {
     synchronized (this) {
       if (ended) {
         return;
--- a/sequoia-node/src/main/java/org/sequoiahub/node/caller/CallerServer.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/caller/CallerServer.java
@@ -208,7 +208,7 @@
     private void tooLong(Request request, Response response, Callback callback) {
       response.getHeaders().put(HttpHeader.CONNECTION, "close");
       CallerExchange exchange = new CallerExchange(request, response, callback, new byte[0]);
-      exchange.answer(
+      exchange.respond(
           HttpStatus.PAYLOAD_TOO_LARGE_413, HttpFields.EMPTY, "the body is over the limit");
     }
   }
