--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/Admission.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/Admission.java
@@ -24,9 +24,9 @@
 final class Admission {
 
   /** Retry-After while there is no configuration (ms): one comes within a second or two. */
-  private static final long NO_CONFIGURATION_RETRY_MILLIS = 500;
+  private static final long NO_CONFIGURATION_RETRY_AFTER_MILLIS = 500;
 
-  private static final long NEVER = -1;
+  private static final long NO_RETRY_AFTER = -1;
 
   private final Supplier<Optional<RoutingTable>> tables;
   private final AllowanceKeeper allowances;
@@ -84,18 +84,18 @@
       return new Denied(
           HttpStatus.SERVICE_UNAVAILABLE_503,
           "no configuration yet",
-          NO_CONFIGURATION_RETRY_MILLIS);
+          NO_CONFIGURATION_RETRY_AFTER_MILLIS);
     }
     Optional<Route> route = table.get().find(exchange.host(), exchange.path());
     if (route.isEmpty()) {
-      return new Denied(HttpStatus.NOT_FOUND_404, "no route", NEVER);
+      return new Denied(HttpStatus.NOT_FOUND_404, "no route", NO_RETRY_AFTER);
     }
     Optional<Workspace> workspace = table.get().workspaces().holding(headers.key());
     if (needsKey(table.get(), route.get()) && workspace.isEmpty()) {
-      return new Denied(HttpStatus.UNAUTHORIZED_401, "unknown key", NEVER);
+      return new Denied(HttpStatus.UNAUTHORIZED_401, "unknown key", NO_RETRY_AFTER);
     }
     if (headers.requestId().isEmpty()) {
-      return new Denied(HttpStatus.BAD_REQUEST_400, "the request has no id", NEVER);
+      return new Denied(HttpStatus.BAD_REQUEST_400, "the request has no id", NO_RETRY_AFTER);
     }
     return new Permitted(
         table.get(), route.get(), route.get().open() ? null : workspace.orElse(null));
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/FleetView.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/FleetView.java
@@ -28,34 +28,34 @@
 public final class FleetView {
 
   /** Wait assumed for an adapter that nobody has ordered yet (ms). */
-  private static final long LOAD_MILLIS = 250;
+  private static final long ADAPTER_LOAD_MILLIS = 250;
 
   /** Wait assumed for an adapter that the runner dropped lately (ms): a tenth of a load. */
-  private static final long RELOAD_MILLIS = 25;
+  private static final long ADAPTER_RELOAD_MILLIS = 25;
 
   /** Wait after a refusal for an adapter (ms). */
-  private static final long REFUSED_MILLIS = 50;
+  private static final long REFUSAL_WAIT_MILLIS = 50;
 
   /** Wait assumed for a base model (ms): the users' models take 0.6 to 1.9 s. */
   private static final long MODEL_LOAD_MILLIS = 2_000;
 
   /** Part of a runner's memory that is believed to keep prompts; running requests use the rest. */
-  private static final double KEPT_PART = 0.6;
+  private static final double PROMPT_CACHE_FRACTION = 0.6;
 
   private static final long DEFAULT_CACHE_TOKENS = 100_000;
 
-  private final RunnerRegistry book;
+  private final RunnerRegistry runners;
   private final Holdings holdings;
   private final FleetLoad fleetLoad;
   private final String failureDomain;
-  private final BiPredicate<String, Long> isSound;
+  private final BiPredicate<String, Long> isHostAlive;
   private final LongFunction<Integer> hostCount;
   private final ToIntFunction<String> newestVersion;
-  private final MissingAdapterListener missing;
+  private final MissingAdapterListener missingAdapterListener;
   private final Map<String, RunnerHealth> health = new HashMap<>();
-  private final Map<String, PromptMemory> prompts = new HashMap<>();
-  private final Map<String, Long> pauses = new HashMap<>();
-  private final Map<String, Long> refusedUntil = new HashMap<>();
+  private final Map<String, PromptMemory> promptMemories = new HashMap<>();
+  private final Map<String, Long> pauseMillisByService = new HashMap<>();
+  private final Map<String, Long> refusedUntilMillis = new HashMap<>();
   private @Nullable RoutingTable table;
 
   /** Told that a runner refused a request for an adapter that it should have. */
@@ -81,23 +81,23 @@
       LongFunction<Integer> hosts,
       ToIntFunction<String> newestVersion,
       MissingAdapterListener missing) {
-    this.book = book;
+    this.runners = book;
     this.holdings = holdings;
     this.fleetLoad = loads;
     this.failureDomain = failureDomain;
-    this.isSound = isSound;
+    this.isHostAlive = isSound;
     this.hostCount = hosts;
     this.newestVersion = newestVersion;
-    this.missing = missing;
+    this.missingAdapterListener = missing;
   }
 
   /** Puts a configuration in force. */
   public void table(RoutingTable now) {
     table = now;
-    pauses.clear();
+    pauseMillisByService.clear();
     for (Route route : now.routes()) {
       if (route.repetition().isStream() && route.pauseMillis() > 0) {
-        route.services().forEach(to -> pauses.merge(to.service(), route.pauseMillis(), Math::min));
+        route.services().forEach(to -> pauseMillisByService.merge(to.service(), route.pauseMillis(), Math::min));
       }
     }
   }
@@ -126,12 +126,12 @@
    * dropped. Until the holder's next word, requests wait instead of being refused again.
    */
   void recordRefusal(RunnerEntry runner, String target, long nowMillis) {
-    refusedUntil.put(runner.id() + " " + target, nowMillis + REFUSED_MILLIS);
-    missing.adapterMissing(runner.id(), target, nowMillis);
+    refusedUntilMillis.put(runner.id() + " " + target, nowMillis + REFUSAL_WAIT_MILLIS);
+    missingAdapterListener.adapterMissing(runner.id(), target, nowMillis);
   }
 
-  private long refusedMillis(RunnerEntry runner, String target, long nowMillis) {
-    Long until = refusedUntil.get(runner.id() + " " + target);
+  private long refusalWaitMillis(RunnerEntry runner, String target, long nowMillis) {
+    Long until = refusedUntilMillis.get(runner.id() + " " + target);
     return until == null ? 0 : Math.max(0, until - nowMillis);
   }
 
@@ -140,13 +140,13 @@
   }
 
   void recordSentPrompt(RunnerEntry runner, Generation generation) {
-    memory(runner).read(generation);
+    promptMemory(runner).read(generation);
   }
 
   /** Returns the runners of a service that may get requests. */
   List<RunnerEntry> usableRunners(String service, long nowMillis) {
     List<RunnerEntry> usable = new ArrayList<>();
-    for (RunnerEntry runner : book.usable(nowMillis)) {
+    for (RunnerEntry runner : runners.usable(nowMillis)) {
       if (runner.service().equals(service)) {
         usable.add(runner);
       }
@@ -161,7 +161,7 @@
 
   /** Returns the longest pause that callers of a service's streams accept (ms); 0 for none. */
   long pauseMillis(String service) {
-    return pauses.getOrDefault(service, 0L);
+    return pauseMillisByService.getOrDefault(service, 0L);
   }
 
   /** Returns the runners that hold models, with what their service says of them. */
@@ -170,7 +170,7 @@
     Map<RunnerEntry, EngineSpec> engines = new IdentityHashMap<>();
     RoutingTable present = table;
     if (present != null) {
-      for (RunnerEntry runner : book.usable(nowMillis)) {
+      for (RunnerEntry runner : runners.usable(nowMillis)) {
         present
             .service(runner.service())
             .map(service -> service.engine())
@@ -203,7 +203,7 @@
         Math.max(0, inFlight),
         fleetLoad.unreadTokens(runner.id(), nowMillis),
         Math.max(0, held),
-        generation == null ? 0 : memory(runner).unreadTokens(generation),
+        generation == null ? 0 : promptMemory(runner).unreadTokens(generation),
         residency.waitMillis,
         residency.kept,
         adapterUses,
@@ -212,7 +212,7 @@
         residency.ordered,
         results.failureRate(nowMillis),
         results.latencyMillis(),
-        book.vanished(runner.instance()),
+        runners.vanished(runner.instance()),
         runner.failureDomain().equals(failureDomain));
   }
 
@@ -262,12 +262,12 @@
       boolean adapter =
           !generation.usesAdapter() || runner.heldAdapters().containsKey(generation.target());
       boolean present = model && adapter;
-      long wait = present ? 0 : model ? LOAD_MILLIS : MODEL_LOAD_MILLIS;
+      long wait = present ? 0 : model ? ADAPTER_LOAD_MILLIS : MODEL_LOAD_MILLIS;
       return present ? Residency.present(0, false) : Residency.absent(wait, true, false);
     }
     Holdings.Holding holding = told.get();
     final long queue = holding.queueMillis() + Math.max(0, holding.ordersFromMillis() - nowMillis);
-    boolean ordered = isSound.test(holding.host(), nowMillis);
+    boolean ordered = isHostAlive.test(holding.host(), nowMillis);
     if (!holding.models().contains(generation.model())) {
       return Residency.absent(MODEL_LOAD_MILLIS, true, ordered);
     }
@@ -278,33 +278,33 @@
     int wanted = newestVersion(generation.target());
     if (item != null && item.version() >= wanted) {
       long coming = Math.max(0, item.readyMillis() - nowMillis);
-      long refused = refusedMillis(runner, generation.target(), nowMillis);
+      long refused = refusalWaitMillis(runner, generation.target(), nowMillis);
       return Residency.present(Math.max(coming, refused), ordered);
     }
     boolean room = holding.freePlaces() > 0;
     if (item == null && holdings.isKept(runner.id(), generation.target())) {
-      return new Residency(false, queue + RELOAD_MILLIS, true, room, ordered);
+      return new Residency(false, queue + ADAPTER_RELOAD_MILLIS, true, room, ordered);
     }
-    long bring = Math.max(LOAD_MILLIS, holding.bringMillis());
+    long bring = Math.max(ADAPTER_LOAD_MILLIS, holding.bringMillis());
     return Residency.absent(queue + bring, room, ordered);
   }
 
-  private PromptMemory memory(RunnerEntry runner) {
-    return prompts.computeIfAbsent(
+  private PromptMemory promptMemory(RunnerEntry runner) {
+    return promptMemories.computeIfAbsent(
         runner.id(),
         id -> {
           long tokens =
               engineSpec(runner.service()).map(EngineSpec::cacheTokens).orElse(DEFAULT_CACHE_TOKENS);
-          return new PromptMemory(Math.max(1, (long) (tokens * KEPT_PART)));
+          return new PromptMemory(Math.max(1, (long) (tokens * PROMPT_CACHE_FRACTION)));
         });
   }
 
   /** Forgets runners that are gone and refusals that no longer matter. */
   public void removeStaleEntries(long nowMillis) {
-    Set<String> known = book.incarnations();
+    Set<String> known = runners.incarnations();
     health.keySet().retainAll(known);
-    prompts.keySet().retainAll(known);
-    refusedUntil.values().removeIf(until -> until < nowMillis);
+    promptMemories.keySet().retainAll(known);
+    refusedUntilMillis.values().removeIf(until -> until < nowMillis);
     holdings.retain(known);
   }
 }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/LocalResponses.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/LocalResponses.java
@@ -12,7 +12,7 @@
 /** Answers that come from this host and not from a runner. */
 final class LocalResponses {
 
-  private static final double MILLIS = 1_000;
+  private static final double MILLIS_PER_SECOND = 1_000;
 
   private final MetricRegistry metrics;
   private final EventLog log;
@@ -52,7 +52,7 @@
       fields.put(CallerDialect.requestId(headers.requestId()));
     }
     if (retryMillis >= 0) {
-      fields.put(HttpHeader.RETRY_AFTER, Double.toString(retryMillis / MILLIS));
+      fields.put(HttpHeader.RETRY_AFTER, Double.toString(retryMillis / MILLIS_PER_SECOND));
     }
     metrics.counter("answers.own." + status).inc();
     log.info("own-answer", "request", headers.requestId(), "status", status, "why", why);
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/QuarantineGate.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/QuarantineGate.java
@@ -29,24 +29,24 @@
    * within this time (ms): a silent runner's entry lapses after 3.6 s, and hosts learn of it within
    * a second more.
    */
-  private static final long SILENT_MILLIS = 8_000;
+  private static final long UNANSWERED_RETENTION_MILLIS = 8_000;
 
   /**
    * Attempts that are remembered at most for that, with their requests, whose fingerprint is worked
    * out only when the runner has ended: callers may give up thousands under load.
    */
-  private static final int MAX_SILENT = 128;
+  private static final int MAX_UNANSWERED = 128;
 
   /** Proofs are looked for this often (ms); a broken connection counts without one for seconds. */
-  private static final long UPKEEP_MILLIS = 500;
+  private static final long MAINTENANCE_INTERVAL_MILLIS = 500;
 
   private final RequestQuarantine quarantine;
   private final RunnerRegistry runners;
   private final RunnerEndListener listener;
   private final MetricRegistry metrics;
   private final EventLog log;
-  private final Deque<Unanswered> silent = new ArrayDeque<>();
-  private long upkeepMillis;
+  private final Deque<Unanswered> unanswered = new ArrayDeque<>();
+  private long lastMaintenanceMillis;
 
   private record Unanswered(Call call, Call.ActiveAttempt running, long givenUpMillis) {}
 
@@ -93,18 +93,18 @@
         "caller",
         call.exchange.callerIp(),
         "ends",
-        hold.ends().stream().map(end -> text(end, nowMillis)).collect(Collectors.joining(" ")),
+        hold.ends().stream().map(end -> describe(end, nowMillis)).collect(Collectors.joining(" ")),
         "for_ms",
         hold.untilMillis() - nowMillis);
   }
 
   /** Records that the connection of an attempt broke before the answer was whole. */
-  void recordBrokenConnection(Call call, Call.ActiveAttempt running, long nowMillis) {
-    if (isLeaving(running.runner)) {
+  void recordBrokenConnection(Call call, Call.ActiveAttempt active, long nowMillis) {
+    if (isLeaving(active.runner)) {
       return;
     }
-    boolean proved = runners.hasEnded(running.runner.idHash());
-    ended(end(call, running, nowMillis, proved), nowMillis);
+    boolean proved = runners.hasEnded(active.runner.idHash());
+    recordTermination(termination(call, active, nowMillis, proved), nowMillis);
   }
 
   /** Records that nobody listens at a runner's address: its process has ended. */
@@ -113,14 +113,14 @@
   }
 
   /** Records that an attempt was given up without an answer: its runner may have gone silent. */
-  void recordUnanswered(Call call, Call.ActiveAttempt running, long nowMillis) {
-    boolean sent = running.attempt != null && running.attempt.isHandedOn();
-    if (!sent || isLeaving(running.runner)) {
+  void recordUnanswered(Call call, Call.ActiveAttempt active, long nowMillis) {
+    boolean sent = active.attempt != null && active.attempt.isHandedOn();
+    if (!sent || isLeaving(active.runner)) {
       return;
     }
-    silent.addLast(new Unanswered(call, running, nowMillis));
-    if (silent.size() > MAX_SILENT) {
-      silent.removeFirst();
+    unanswered.addLast(new Unanswered(call, active, nowMillis));
+    if (unanswered.size() > MAX_UNANSWERED) {
+      unanswered.removeFirst();
     }
   }
 
@@ -135,16 +135,16 @@
 
   /** Looks for proofs that runners have ended, and forgets what is old. */
   public void runMaintenance(long nowMillis) {
-    if (nowMillis - upkeepMillis < UPKEEP_MILLIS) {
+    if (nowMillis - lastMaintenanceMillis < MAINTENANCE_INTERVAL_MILLIS) {
       return;
     }
-    upkeepMillis = nowMillis;
-    for (Iterator<Unanswered> all = silent.iterator(); all.hasNext(); ) {
+    lastMaintenanceMillis = nowMillis;
+    for (Iterator<Unanswered> all = unanswered.iterator(); all.hasNext(); ) {
       Unanswered attempt = all.next();
       if (runners.hasEnded(attempt.running.runner.idHash())) {
         all.remove();
-        ended(end(attempt.call, attempt.running, attempt.givenUpMillis, true), nowMillis);
-      } else if (nowMillis - attempt.givenUpMillis >= SILENT_MILLIS) {
+        recordTermination(termination(attempt.call, attempt.running, attempt.givenUpMillis, true), nowMillis);
+      } else if (nowMillis - attempt.givenUpMillis >= UNANSWERED_RETENTION_MILLIS) {
         all.remove();
       }
     }
@@ -163,7 +163,7 @@
         .orElse(false);
   }
 
-  private void ended(RunnerEnd end, long nowMillis) {
+  private void recordTermination(RunnerEnd end, long nowMillis) {
     if (!quarantine.ended(end, nowMillis)) {
       return;
     }
@@ -183,18 +183,18 @@
                     hold.untilMillis() - nowMillis));
   }
 
-  private static RunnerEnd end(
-      Call call, Call.ActiveAttempt running, long endedMillis, boolean confirmed) {
+  private static RunnerEnd termination(
+      Call call, Call.ActiveAttempt active, long endedMillis, boolean confirmed) {
     return new RunnerEnd(
         call.fingerprint().value(),
-        running.runner.idHash(),
-        Math.min(running.startedMillis, endedMillis),
+        active.runner.idHash(),
+        Math.min(active.startedMillis, endedMillis),
         endedMillis,
-        running.firstEventReceived,
+        active.firstEventReceived,
         confirmed);
   }
 
-  private String text(RunnerEnd end, long nowMillis) {
+  private String describe(RunnerEnd end, long nowMillis) {
     String runner =
         runners.ended(end.runner()).orElseGet(() -> RequestFingerprint.text(end.runner()));
     return runner
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/RequestCoordinator.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/RequestCoordinator.java
@@ -50,75 +50,75 @@
 public final class RequestCoordinator {
 
   /** How often callers are looked after that may have gone (ms). */
-  private static final long LOOK_MILLIS = 100;
+  private static final long CALLER_CHECK_INTERVAL_MILLIS = 100;
 
   /**
    * For this long a request waits where it began to, unless its adapter is elsewhere (ms): a load
    * and a half. A request that moves sooner goes to and fro and is last in each queue.
    */
-  private static final long SETTLED_MILLIS = 400;
+  private static final long MIN_WAIT_BEFORE_MOVE_MILLIS = 400;
 
   /**
    * A waiting request looks at all runners this often at most (ms); between, only at the one where
    * it waits and at those that have its adapter. What hosts tell each other comes no sooner, and a
    * look costs more the more runners there are.
    */
-  private static final long LOOK_ROUND_MILLIS = 100;
+  private static final long FULL_SCAN_INTERVAL_MILLIS = 100;
 
   /**
    * A request whose adapter is there waits for prompts ahead of it: it is placed again this often
    * (ms).
    */
-  private static final long PLACE_AGAIN_MILLIS = 30;
+  private static final long PROMPT_WAIT_INTERVAL_MILLIS = 30;
 
   /**
    * One that waits for its adapter is placed again when what its runner holds changes, when the
    * adapter is due, and this often (ms): in between it would only find the same again.
    */
-  private static final long ADAPTER_LOOK_MILLIS = 100;
+  private static final long ADAPTER_WAIT_INTERVAL_MILLIS = 100;
 
   /** What requests wait for is told on a change and at least this often (ms): it grows old. */
-  private static final long DEMAND_MILLIS = 60;
+  private static final long DEMAND_REPORT_INTERVAL_MILLIS = 60;
 
   /** Retry-After when no runner of the service is known (ms): entries come back within 2 s. */
-  private static final long NO_RUNNER_RETRY_MILLIS = 500;
+  private static final long NO_RUNNER_RETRY_AFTER_MILLIS = 500;
 
   /** Shortest Retry-After of a refusal for want of room (ms). */
-  private static final long BUSY_RETRY_MILLIS = 100;
+  private static final long MIN_RETRY_AFTER_MILLIS = 100;
 
   /** A second runner gets an idempotent request after this part of its target latency. */
-  private static final double HEDGE_PART = 0.5;
+  private static final double HEDGE_DELAY_FRACTION = 0.5;
 
   /** A resumable stream without an event for this long goes on elsewhere (ms). */
   private static final long STREAM_SILENCE_MILLIS = 1_500;
 
   /** Deadline of a request that names none and whose route is generous (ms). */
-  private static final long MAX_DEADLINE_MILLIS = 120_000;
+  private static final long DEFAULT_DEADLINE_MILLIS = 120_000;
 
   private final FleetView fleet;
-  private final KeyHasher keys;
+  private final KeyHasher keyHasher;
   private final Admission admission;
   private final UpstreamClient upstreams;
-  private final RetryGate retries;
-  private final QuarantineGate quarantine;
+  private final RetryGate retryGate;
+  private final QuarantineGate quarantineGate;
   private final LoadGuard loadGuard;
-  private final GenerationPlacement generations =
+  private final GenerationPlacement generationPlacement =
       new GenerationPlacement(PlacementSettings.DEFAULT);
-  private final ServicePlacement services = new ServicePlacement(PlacementSettings.DEFAULT);
-  private final Consumer<Runnable> decisions;
+  private final ServicePlacement servicePlacement = new ServicePlacement(PlacementSettings.DEFAULT);
+  private final Consumer<Runnable> decisionThread;
   private final LongSupplier clock;
-  private final Runnable changed;
+  private final Runnable inFlightListener;
   private final Random random;
   private final MetricRegistry metrics;
   private final Histogram firstEventMillis;
-  private final Histogram wholeMillis;
+  private final Histogram totalMillis;
   private final EventLog log;
-  private final LocalResponses answers;
+  private final LocalResponses localResponses;
   private final Set<Call> calls = new LinkedHashSet<>();
-  private long lookedMillis;
-  private int waiting;
+  private long lastCallerCheckMillis;
+  private int waitingCount;
   private boolean demandsChanged;
-  private long demandsToldMillis;
+  private long demandsReportedMillis;
   private @Nullable Shutdown shutdown;
 
   /**
@@ -143,26 +143,26 @@
       EventLog log) {
     this.metrics = metrics;
     this.firstEventMillis = metrics.histogram("requests.first_event_ms");
-    this.wholeMillis = metrics.histogram("requests.whole_ms");
+    this.totalMillis = metrics.histogram("requests.whole_ms");
     this.fleet = fleet;
-    this.keys = keys;
+    this.keyHasher = keys;
     this.admission = new Admission(fleet::table, allowances, new WorkspaceMetrics(metrics), log);
     this.upstreams = upstreams;
-    this.retries = new RetryGate(budget, fleet, metrics, log);
-    this.quarantine = quarantine;
+    this.retryGate = new RetryGate(budget, fleet, metrics, log);
+    this.quarantineGate = quarantine;
     this.loadGuard = loadGuard;
-    this.decisions = decisions;
+    this.decisionThread = decisions;
     this.clock = clock;
-    this.changed = changed;
+    this.inFlightListener = changed;
     this.random = random;
     this.log = log;
-    this.answers = new LocalResponses(metrics, log);
+    this.localResponses = new LocalResponses(metrics, log);
   }
 
   /** Takes a request whose body has been read. */
   public void handle(CallerExchange exchange) {
     final long now = clock.getAsLong();
-    CallerHeaders headers = CallerDialect.decode(exchange.headers(), keys);
+    CallerHeaders headers = CallerDialect.decode(exchange.headers(), keyHasher);
     if (shutdown != null) {
       exchange.closeConnectionAfterResponse();
     }
@@ -175,19 +175,19 @@
   }
 
   private void deny(CallerExchange exchange, CallerHeaders headers, Admission.Denied denied) {
-    answers.respond(exchange, headers, denied.status(), denied.why(), denied.retryMillis());
+    localResponses.respond(exchange, headers, denied.status(), denied.why(), denied.retryMillis());
   }
 
   private void accept(
       CallerExchange exchange, CallerHeaders headers, Admission.Permitted permitted, long now) {
     Route route = permitted.route();
     String service = route.service(random.nextDouble());
-    long deadline = headers.deadlineMillis() > 0 ? headers.deadlineMillis() : MAX_DEADLINE_MILLIS;
+    long deadline = headers.deadlineMillis() > 0 ? headers.deadlineMillis() : DEFAULT_DEADLINE_MILLIS;
     long wanted = Math.min(deadline, route.timeoutMillis());
     long end = now + wanted;
     if (shutdown != null) {
       if (!shutdown.takes(wanted, now)) {
-        answers.reject(exchange, headers, "stopping", BUSY_RETRY_MILLIS);
+        localResponses.reject(exchange, headers, "stopping", MIN_RETRY_AFTER_MILLIS);
         return;
       }
       end = Math.min(end, shutdown.lastWordMillis());
@@ -198,7 +198,7 @@
       return;
     }
     Call call =
-        new Call(exchange, headers, permitted, service, retries.openAccount(service, now), now, end);
+        new Call(exchange, headers, permitted, service, retryGate.openAccount(service, now), now, end);
     calls.add(call);
     metrics.counter("requests.accepted").inc();
     place(call, now);
@@ -206,9 +206,9 @@
 
   /** Does what is due: waiting requests, deadlines, silent runners, callers that left. */
   public void tick(long nowMillis) {
-    boolean look = nowMillis - lookedMillis >= LOOK_MILLIS;
+    boolean look = nowMillis - lastCallerCheckMillis >= CALLER_CHECK_INTERVAL_MILLIS;
     if (look) {
-      lookedMillis = nowMillis;
+      lastCallerCheckMillis = nowMillis;
     }
     for (Call call : List.copyOf(calls)) {
       if (call.done) {
@@ -216,23 +216,23 @@
       }
       if (look && call.exchange.isCallerDisconnected()) {
         log.info("caller-gone", "request", call.id());
-        call.activeAttempts.forEach(running -> quarantine.recordUnanswered(call, running, nowMillis));
-        cancelAll(call, "the caller has gone");
+        call.activeAttempts.forEach(active -> quarantineGate.recordUnanswered(call, active, nowMillis));
+        cancelAttempts(call, "the caller has gone");
         call.exchange.abort("the caller has gone");
-        finished(call);
+        remove(call);
       } else if (nowMillis >= call.deadlineMillis()) {
-        expired(call, nowMillis);
+        expire(call, nowMillis);
       } else if (call.activeAttempts.isEmpty()) {
-        if (mayBePlacedAnew(call, nowMillis)) {
+        if (isPlacementDue(call, nowMillis)) {
           place(call, nowMillis);
         }
       } else {
-        watchRunning(call, nowMillis);
+        checkActiveAttempts(call, nowMillis);
       }
     }
   }
 
-  private boolean mayBePlacedAnew(Call call, long nowMillis) {
+  private boolean isPlacementDue(Call call, long nowMillis) {
     RunnerEntry runner = call.waitingAt;
     return nowMillis >= call.nextPlacementMillis
         || runner == null
@@ -241,17 +241,17 @@
 
   /** Returns whether a request waits for something that may come any moment. */
   public boolean hasWaitingRequests() {
-    return waiting > 0;
+    return waitingCount > 0;
   }
 
   /** Returns whether what requests wait for is to be told now; if so, it counts as told. */
   public boolean markDemandsReportedIfDue(long nowMillis) {
-    boolean repeated = waiting > 0 && nowMillis - demandsToldMillis >= DEMAND_MILLIS;
+    boolean repeated = waitingCount > 0 && nowMillis - demandsReportedMillis >= DEMAND_REPORT_INTERVAL_MILLIS;
     if (!demandsChanged && !repeated) {
       return false;
     }
     demandsChanged = false;
-    demandsToldMillis = nowMillis;
+    demandsReportedMillis = nowMillis;
     return true;
   }
 
@@ -287,7 +287,7 @@
 
   /** Does what is due now and then. */
   public void publishMetrics(long nowMillis) {
-    retries.publish(nowMillis);
+    retryGate.publish(nowMillis);
   }
 
   /** Returns how many requests are in progress. */
@@ -297,13 +297,13 @@
 
   private void place(Call call, long nowMillis) {
     if (admission.isKeyRevoked(call.permitted, call.headers)) {
-      withdrawn(call, nowMillis);
+      rejectRevokedKey(call, nowMillis);
       return;
     }
-    Optional<Hold> hold = quarantine.hold(call, nowMillis);
+    Optional<Hold> hold = quarantineGate.hold(call, nowMillis);
     if (hold.isPresent()) {
-      quarantine.recordHold(call, hold.get(), nowMillis);
-      giveUp(call, "held back: runners ended under this request", 0);
+      quarantineGate.recordHold(call, hold.get(), nowMillis);
+      fail(call, "held back: runners ended under this request", 0);
     } else if (call.generation == null) {
       placePlain(call, nowMillis);
     } else {
@@ -312,55 +312,55 @@
   }
 
   /** Ends a request whose key was withdrawn before it could start, or start again. */
-  private void withdrawn(Call call, long nowMillis) {
+  private void rejectRevokedKey(Call call, long nowMillis) {
     String why = "the key was withdrawn";
     if (call.exchange.isStarted()) {
       call.exchange.abort(why);
     } else {
-      answers.respond(call.exchange, call.headers, HttpStatus.UNAUTHORIZED_401, why, -1);
+      localResponses.respond(call.exchange, call.headers, HttpStatus.UNAUTHORIZED_401, why, -1);
     }
-    done(call, HttpStatus.UNAUTHORIZED_401, why, nowMillis);
+    finish(call, HttpStatus.UNAUTHORIZED_401, why, nowMillis);
   }
 
   private void placePlain(Call call, long nowMillis) {
     List<Candidate> candidates = candidates(call, null, nowMillis);
-    Optional<Candidate> chosen = services.choose(candidates, random.nextDouble());
+    Optional<Candidate> chosen = servicePlacement.choose(candidates, random.nextDouble());
     if (chosen.isEmpty()) {
-      giveUp(call, "no runner", NO_RUNNER_RETRY_MILLIS);
+      fail(call, "no runner", NO_RUNNER_RETRY_AFTER_MILLIS);
       return;
     }
-    start(call, chosen.get().runner(), 0, nowMillis);
+    startAttempt(call, chosen.get().runner(), 0, nowMillis);
   }
 
   private void placeGeneration(Call call, Generation generation, long nowMillis) {
     List<Candidate> candidates = candidates(call, generation, nowMillis);
     RunnerEntry before = call.waitingAt;
-    StreamLimits limits = limits(call, nowMillis);
+    StreamLimits limits = streamLimits(call, nowMillis);
     Optional<GenerationPlacement.Choice> chosen =
-        generations.choose(generation, limits, candidates, before == null ? "" : before.id());
+        generationPlacement.choose(generation, limits, candidates, before == null ? "" : before.id());
     if (chosen.isEmpty()) {
-      giveUp(call, "no runner", NO_RUNNER_RETRY_MILLIS);
+      fail(call, "no runner", NO_RUNNER_RETRY_AFTER_MILLIS);
       return;
     }
     GenerationPlacement.Choice choice = chosen.get();
     Candidate candidate = choice.candidate();
     if (nowMillis + choice.firstTokenMillis() > call.firstEventDeadlineMillis()) {
       // Whoever returns sooner is refused again.
-      giveUp(call, "would be late", (long) choice.firstTokenMillis());
+      fail(call, "would be late", (long) choice.firstTokenMillis());
       return;
     }
     Optional<Hold> load = candidate.present() ? Optional.empty() : loadHold(call, nowMillis);
     if (load.isPresent()) {
-      quarantine.recordHold(call, load.get(), nowMillis);
-      giveUp(
+      quarantineGate.recordHold(call, load.get(), nowMillis);
+      fail(
           call,
           "held back: runners ended while they loaded its adapter",
           load.get().untilMillis() - nowMillis);
       return;
     }
     boolean there = candidate.present() && candidate.adapterWaitMillis() <= 0;
-    if (there && generations.mayRead(candidate, limits)) {
-      start(call, candidate.runner(), candidate.unreadTokens(), nowMillis);
+    if (there && generationPlacement.mayRead(candidate, limits)) {
+      startAttempt(call, candidate.runner(), candidate.unreadTokens(), nowMillis);
     } else {
       waitAt(call, candidate, nowMillis);
     }
@@ -374,8 +374,8 @@
   }
 
   /** Records that a request, and the adapter that it used, had a good answer. */
-  private void served(Call call, long nowMillis) {
-    quarantine.recordSuccess(call, nowMillis);
+  private void recordSuccess(Call call, long nowMillis) {
+    quarantineGate.recordSuccess(call, nowMillis);
     String adapter = call.adapter();
     if (!adapter.isEmpty()) {
       loadGuard.served(adapter, fleet.newestVersion(adapter), nowMillis);
@@ -387,14 +387,14 @@
    * just looked round, only the one where it waits and those that have its adapter. What hosts tell
    * of queues changes from one datagram to the next, and each move begins another wait at its end.
    */
-  private List<RunnerEntry> choice(Call call, @Nullable Generation generation, long nowMillis) {
+  private List<RunnerEntry> eligibleRunners(Call call, @Nullable Generation generation, long nowMillis) {
     List<RunnerEntry> usable = fleet.usableRunners(call.service, nowMillis);
     RunnerEntry before = call.waitingAt;
     if (before == null || generation == null) {
       return usable;
     }
-    boolean settling = nowMillis - call.waitingSinceMillis < SETTLED_MILLIS;
-    if (!settling && nowMillis - call.lastFullScanMillis >= LOOK_ROUND_MILLIS) {
+    boolean settling = nowMillis - call.waitingSinceMillis < MIN_WAIT_BEFORE_MOVE_MILLIS;
+    if (!settling && nowMillis - call.lastFullScanMillis >= FULL_SCAN_INTERVAL_MILLIS) {
       call.lastFullScanMillis = nowMillis;
       return usable;
     }
@@ -410,7 +410,7 @@
     return stillUsable ? few : usable;
   }
 
-  private StreamLimits limits(Call call, long nowMillis) {
+  private StreamLimits streamLimits(Call call, long nowMillis) {
     int tokensPerEvent = fleet.engineSpec(call.service).map(EngineSpec::tokensPerEvent).orElse(1);
     long inTime = call.arrivedMillis + call.route.targetLatencyMillis() - nowMillis;
     return new StreamLimits(fleet.pauseMillis(call.service), tokensPerEvent, inTime);
@@ -420,7 +420,7 @@
     long adapterWait = candidate.adapterWaitMillis();
     call.nextPlacementMillis =
         nowMillis
-            + (adapterWait > 0 ? Math.min(ADAPTER_LOOK_MILLIS, adapterWait) : PLACE_AGAIN_MILLIS);
+            + (adapterWait > 0 ? Math.min(ADAPTER_WAIT_INTERVAL_MILLIS, adapterWait) : PROMPT_WAIT_INTERVAL_MILLIS);
     call.holdingRevision = fleet.holdingRevision(candidate.runner());
     RunnerEntry before = call.waitingAt;
     if (before != null && before.id().equals(candidate.runner().id())) {
@@ -428,7 +428,7 @@
     }
     stopWaiting(call);
     call.waitingAt = candidate.runner();
-    waiting++;
+    waitingCount++;
     demandsChanged = true;
     call.waitingSinceMillis = nowMillis;
     call.waitingTokens = candidate.unreadTokens();
@@ -445,7 +445,7 @@
         candidate.adapterWaitMillis(),
         "present",
         candidate.present());
-    changed.run();
+    inFlightListener.run();
   }
 
   private void stopWaiting(Call call) {
@@ -453,7 +453,7 @@
     if (before != null) {
       fleet.fleetLoad().add(before.id(), -1, 0, -call.waitingTokens, call.adapter());
       call.waitingAt = null;
-      waiting--;
+      waitingCount--;
       demandsChanged = true;
     }
   }
@@ -461,9 +461,9 @@
   private List<Candidate> candidates(Call call, @Nullable Generation generation, long nowMillis) {
     List<Candidate> candidates = new ArrayList<>();
     int adapterUses = fleet.adapterUses(generation, nowMillis);
-    for (RunnerEntry runner : choice(call, generation, nowMillis)) {
-      boolean running = call.activeAttempts.stream().anyMatch(r -> r.runner.id().equals(runner.id()));
-      if (!call.excludedRunners.contains(runner.id()) && !running) {
+    for (RunnerEntry runner : eligibleRunners(call, generation, nowMillis)) {
+      boolean alreadyRunning = call.activeAttempts.stream().anyMatch(r -> r.runner.id().equals(runner.id()));
+      if (!call.excludedRunners.contains(runner.id()) && !alreadyRunning) {
         boolean counted = call.waitingAt != null && call.waitingAt.id().equals(runner.id());
         candidates.add(
             fleet.candidate(
@@ -473,20 +473,20 @@
     return candidates;
   }
 
-  private void start(Call call, RunnerEntry runner, int unreadTokens, long nowMillis) {
-    if (!retries.chargeSend(call, nowMillis)) {
-      giveUp(call, "no retry is left", BUSY_RETRY_MILLIS);
+  private void startAttempt(Call call, RunnerEntry runner, int unreadTokens, long nowMillis) {
+    if (!retryGate.chargeSend(call, nowMillis)) {
+      fail(call, "no retry is left", MIN_RETRY_AFTER_MILLIS);
       return;
     }
     stopWaiting(call);
     call.sends++;
-    Call.ActiveAttempt running = new Call.ActiveAttempt(call.sends, runner, nowMillis, unreadTokens);
-    call.activeAttempts.add(running);
+    Call.ActiveAttempt active = new Call.ActiveAttempt(call.sends, runner, nowMillis, unreadTokens);
+    call.activeAttempts.add(active);
     fleet.fleetLoad().add(runner.id(), 1, unreadTokens, 0, call.adapter());
     if (call.generation != null) {
       fleet.recordSentPrompt(runner, call.generation);
     }
-    changed.run();
+    inFlightListener.run();
     String lastEvent = call.relay.lastEventId();
     RunnerHeaders ours =
         new RunnerHeaders(
@@ -514,9 +514,9 @@
         "after_ms",
         nowMillis - call.arrivedMillis);
     if (call.route.repetition().isStream()) {
-      call.relay.expectAttempt(running.number);
+      call.relay.expectAttempt(active.number);
     }
-    running.attempt =
+    active.attempt =
         upstreams.start(
             runner,
             call.exchange.method(),
@@ -525,88 +525,88 @@
             CallerDialect.toRunner(call.exchange.headers(), ours),
             call.exchange.body(),
             call.route.repetition().isStream(),
-            new Follower(call, running));
+            new CallAttemptListener(call, active));
   }
 
   /** Passes pieces on at once and everything else to the decision thread. */
-  private final class Follower implements AttemptListener {
+  private final class CallAttemptListener implements AttemptListener {
     private final Call call;
-    private final Call.ActiveAttempt running;
+    private final Call.ActiveAttempt active;
 
-    Follower(Call call, Call.ActiveAttempt running) {
+    CallAttemptListener(Call call, Call.ActiveAttempt active) {
       this.call = call;
-      this.running = running;
+      this.active = active;
     }
 
     @Override
     public void streamStarted(int status, HttpFields headers) {
-      call.relay.start(running.number, status, headers);
+      call.relay.start(active.number, status, headers);
     }
 
     @Override
     public void streamPiece(ByteBuffer piece) {
-      if (call.relay.relayChunk(running.number, piece, clock.getAsLong())) {
-        decisions.accept(() -> firstEvent(call, running));
+      if (call.relay.relayChunk(active.number, piece, clock.getAsLong())) {
+        decisionThread.accept(() -> onFirstEvent(call, active));
       }
     }
 
     @Override
     public void ended(Outcome outcome) {
-      decisions.accept(() -> RequestCoordinator.this.ended(call, running, outcome));
+      decisionThread.accept(() -> RequestCoordinator.this.onAttemptEnded(call, active, outcome));
     }
   }
 
-  private void firstEvent(Call call, Call.ActiveAttempt running) {
-    if (!running.firstEventReceived && call.activeAttempts.contains(running)) {
-      running.firstEventReceived = true;
-      fleet.fleetLoad().add(running.runner.id(), 0, -running.unreadTokens, 0, "");
-      running.unreadTokens = 0;
+  private void onFirstEvent(Call call, Call.ActiveAttempt active) {
+    if (!active.firstEventReceived && call.activeAttempts.contains(active)) {
+      active.firstEventReceived = true;
+      fleet.fleetLoad().add(active.runner.id(), 0, -active.unreadTokens, 0, "");
+      active.unreadTokens = 0;
       firstEventMillis.update(clock.getAsLong() - call.arrivedMillis);
       log.debug(
           "first-event",
           "request",
           call.id(),
           "runner",
-          running.runner.id(),
+          active.runner.id(),
           "took_ms",
-          clock.getAsLong() - running.startedMillis);
-      changed.run();
+          clock.getAsLong() - active.startedMillis);
+      inFlightListener.run();
     }
   }
 
-  private void ended(Call call, Call.ActiveAttempt running, Outcome outcome) {
-    if (!call.activeAttempts.remove(running)) {
+  private void onAttemptEnded(Call call, Call.ActiveAttempt active, Outcome outcome) {
+    if (!call.activeAttempts.remove(active)) {
       return;
     }
-    release(call, running);
+    releaseLoad(call, active);
     if (call.done) {
       return;
     }
     call.mayHaveRun |= !(outcome instanceof Outcome.Refused || outcome instanceof Outcome.NotSent);
     long now = clock.getAsLong();
     if (outcome instanceof Outcome.StreamEnded) {
-      fleet.health(running.runner).succeeded(now - running.startedMillis, now);
+      fleet.health(active.runner).succeeded(now - active.startedMillis, now);
       call.relay.complete();
-      served(call, now);
-      done(call, HttpStatus.OK_200, "", now);
+      recordSuccess(call, now);
+      finish(call, HttpStatus.OK_200, "", now);
     } else if (outcome instanceof Outcome.Answered answered) {
-      answered(call, running, answered, now);
+      onResponse(call, active, answered, now);
     } else if (outcome instanceof Outcome.Refused refused) {
-      refused(call, running, refused, now);
+      onRefusal(call, active, refused, now);
     } else if (outcome instanceof Outcome.NotSent notSent) {
-      fleet.health(running.runner).unreachable(now);
+      fleet.health(active.runner).unreachable(now);
       if (notSent.refused()) {
-        quarantine.recordConnectionRefused(running.runner, now);
+        quarantineGate.recordConnectionRefused(active.runner, now);
       }
-      failed(call, running, Ending.NOT_SENT, notSent.why(), null, now);
+      onAttemptFailed(call, active, Ending.NOT_SENT, notSent.why(), null, now);
     } else if (outcome instanceof Outcome.Lost lost) {
       call.runs++;
-      fleet.health(running.runner).failed(now);
-      logLost(call, running, now);
+      fleet.health(active.runner).failed(now);
+      logLostResponse(call, active, now);
       if (lost.connectionBroke()) {
-        quarantine.recordBrokenConnection(call, running, now);
+        quarantineGate.recordBrokenConnection(call, active, now);
       }
-      failed(call, running, Ending.LOST, lost.why(), null, now);
+      onAttemptFailed(call, active, Ending.LOST, lost.why(), null, now);
     }
   }
 
@@ -614,7 +614,7 @@
    * Tells by which number a request is known again whose answer was lost: a request that ends the
    * runners that run it comes back under new ids, at other hosts.
    */
-  private void logLost(Call call, Call.ActiveAttempt running, long now) {
+  private void logLostResponse(Call call, Call.ActiveAttempt active, long now) {
     log.info(
         "answer-lost",
         "request",
@@ -624,42 +624,42 @@
         "caller",
         call.exchange.callerIp(),
         "runner",
-        running.runner.id(),
+        active.runner.id(),
         "ran_ms",
-        now - running.startedMillis);
+        now - active.startedMillis);
   }
 
-  private void answered(Call call, Call.ActiveAttempt running, Outcome.Answered answered, long now) {
+  private void onResponse(Call call, Call.ActiveAttempt active, Outcome.Answered answered, long now) {
     call.runs++;
     if (answered.status() < HttpStatus.INTERNAL_SERVER_ERROR_500) {
-      fleet.health(running.runner).succeeded(now - running.startedMillis, now);
-      cancelAll(call, "answered");
+      fleet.health(active.runner).succeeded(now - active.startedMillis, now);
+      cancelAttempts(call, "answered");
       if (HttpStatus.isSuccess(answered.status())) {
-        served(call, now);
+        recordSuccess(call, now);
       }
-      pass(call, answered, now);
+      forwardResponse(call, answered, now);
       return;
     }
-    fleet.health(running.runner).failed(now);
-    failed(call, running, Ending.FAILED, "status " + answered.status(), answered, now);
+    fleet.health(active.runner).failed(now);
+    onAttemptFailed(call, active, Ending.FAILED, "status " + answered.status(), answered, now);
   }
 
-  private void refused(Call call, Call.ActiveAttempt running, Outcome.Refused refused, long now) {
-    boolean mayComeLater = !call.adapter().isEmpty() && call.adapterMissingAt.add(running.runner.id());
+  private void onRefusal(Call call, Call.ActiveAttempt active, Outcome.Refused refused, long now) {
+    boolean mayComeLater = !call.adapter().isEmpty() && call.adapterMissingAt.add(active.runner.id());
     if (mayComeLater) {
       // The adapter was to be there: it comes a little later, or was dropped.
-      fleet.recordRefusal(running.runner, call.adapter(), now);
+      fleet.recordRefusal(active.runner, call.adapter(), now);
     } else {
       // Refused twice, what the runner's holder tells of it is wrong: another runner is tried.
-      call.excludedRunners.add(running.runner.id());
-      fleet.health(running.runner).failed(now);
+      call.excludedRunners.add(active.runner.id());
+      fleet.health(active.runner).failed(now);
     }
-    failed(call, running, Ending.REFUSED, "refused " + refused.status(), null, now);
+    onAttemptFailed(call, active, Ending.REFUSED, "refused " + refused.status(), null, now);
   }
 
-  private void failed(
+  private void onAttemptFailed(
       Call call,
-      Call.ActiveAttempt running,
+      Call.ActiveAttempt active,
       Ending ending,
       String why,
       Outcome.@Nullable Answered answer,
@@ -670,7 +670,7 @@
         "request",
         call.id(),
         "runner",
-        running.runner.id(),
+        active.runner.id(),
         "ending",
         ending,
         "why",
@@ -682,7 +682,7 @@
         "after_ms",
         now - call.arrivedMillis);
     if (ending != Ending.REFUSED) {
-      call.excludedRunners.add(running.runner.id());
+      call.excludedRunners.add(active.runner.id());
     }
     if (!call.activeAttempts.isEmpty()) {
       return;
@@ -698,128 +698,128 @@
     if (RetryRule.drawsOnBudget(ending)) {
       call.retryAccount.reachedRunner();
     }
-    if (again && retries.mayRetry(call, now)) {
+    if (again && retryGate.mayRetry(call, now)) {
       place(call, now);
     } else if (answer != null) {
-      pass(call, answer, now);
+      forwardResponse(call, answer, now);
     } else {
-      giveUp(call, why, BUSY_RETRY_MILLIS);
+      fail(call, why, MIN_RETRY_AFTER_MILLIS);
     }
   }
 
   /** Gives the caller a runner's whole answer. */
-  private void pass(Call call, Outcome.Answered answered, long now) {
+  private void forwardResponse(Call call, Outcome.Answered answered, long now) {
     if (LocalResponses.guaranteesNotRun(answered.status())) {
       // The runner does not say that it has not run; the status alone would.
-      answers.respond(
+      localResponses.respond(
           call.exchange, call.headers, HttpStatus.BAD_GATEWAY_502, "the runner failed", -1);
     } else {
       call.exchange.respond(answered.status(), answered.headers(), answered.body());
     }
-    done(call, answered.status(), "", now);
+    finish(call, answered.status(), "", now);
   }
 
   /** Ends a request that cannot be served, with a status that tells the truth. */
-  private void giveUp(Call call, String why, long retryMillis) {
+  private void fail(Call call, String why, long retryMillis) {
     long now = clock.getAsLong();
-    cancelAll(call, "given up");
-    Optional<Hold> hold = quarantine.hold(call, now);
+    cancelAttempts(call, "given up");
+    Optional<Hold> hold = quarantineGate.hold(call, now);
     boolean started = call.exchange.isStarted();
     if (started) {
       call.exchange.abort(why);
     } else if (call.runs > 0) {
       // It may come back at once, unless it would only be held back.
       long retry = hold.map(h -> h.untilMillis() - now).orElse(-1L);
-      answers.respond(call.exchange, call.headers, HttpStatus.BAD_GATEWAY_502, why, retry);
+      localResponses.respond(call.exchange, call.headers, HttpStatus.BAD_GATEWAY_502, why, retry);
     } else {
       long retry = hold.map(h -> h.untilMillis() - now).orElse(retryMillis);
-      answers.reject(call.exchange, call.headers, why, Math.max(BUSY_RETRY_MILLIS, retry));
+      localResponses.reject(call.exchange, call.headers, why, Math.max(MIN_RETRY_AFTER_MILLIS, retry));
     }
-    done(call, started ? 0 : call.runs > 0 ? 502 : 503, why, now);
+    finish(call, started ? 0 : call.runs > 0 ? 502 : 503, why, now);
   }
 
-  private void expired(Call call, long nowMillis) {
+  private void expire(Call call, long nowMillis) {
     boolean handedOn =
         call.activeAttempts.stream().anyMatch(r -> r.attempt != null && r.attempt.isHandedOn());
-    call.activeAttempts.forEach(running -> quarantine.recordUnanswered(call, running, nowMillis));
-    cancelAll(call, "deadline");
+    call.activeAttempts.forEach(active -> quarantineGate.recordUnanswered(call, active, nowMillis));
+    cancelAttempts(call, "deadline");
     if (call.exchange.isStarted()) {
       call.exchange.abort("deadline");
     } else if (handedOn || call.runs > 0) {
-      answers.respond(call.exchange, call.headers, HttpStatus.GATEWAY_TIMEOUT_504, "deadline", -1);
+      localResponses.respond(call.exchange, call.headers, HttpStatus.GATEWAY_TIMEOUT_504, "deadline", -1);
     } else {
-      answers.reject(call.exchange, call.headers, "deadline", 0);
+      localResponses.reject(call.exchange, call.headers, "deadline", 0);
     }
-    done(call, HttpStatus.GATEWAY_TIMEOUT_504, "deadline", nowMillis);
+    finish(call, HttpStatus.GATEWAY_TIMEOUT_504, "deadline", nowMillis);
   }
 
-  private void watchRunning(Call call, long nowMillis) {
+  private void checkActiveAttempts(Call call, long nowMillis) {
     Call.ActiveAttempt newest = call.activeAttempts.get(call.activeAttempts.size() - 1);
     long silent = nowMillis - Math.max(newest.startedMillis, call.relay.lastChunkMillis());
     Repetition repetition = call.route.repetition();
     if (repetition == Repetition.IDEMPOTENT) {
-      long patience = (long) (call.route.targetLatencyMillis() * HEDGE_PART);
+      long patience = (long) (call.route.targetLatencyMillis() * HEDGE_DELAY_FRACTION);
       if (call.activeAttempts.size() == 1
           && silent >= patience
-          && mayRunBeside(call)
-          && !quarantine.isSuspect(call, nowMillis)) {
+          && mayAddAttempt(call)
+          && !quarantineGate.isSuspect(call, nowMillis)) {
         hedge(call, nowMillis);
       }
     } else if (repetition == Repetition.RESUMABLE_STREAM
         && silent >= STREAM_SILENCE_MILLIS + call.route.pauseMillis()
         && call.runs + 1 < call.route.maxAttempts()) {
       call.retryAccount.reachedRunner();
-      if (retries.mayResume(call, nowMillis)) {
-        moveSilent(call, newest, nowMillis);
+      if (retryGate.mayResume(call, nowMillis)) {
+        resumeElsewhere(call, newest, nowMillis);
       }
     }
   }
 
-  private boolean mayRunBeside(Call call) {
+  private boolean mayAddAttempt(Call call) {
     return call.runs + call.activeAttempts.size() < call.route.maxAttempts()
         && call.sends < RetryRule.MAX_SENDS;
   }
 
   private void hedge(Call call, long nowMillis) {
     Optional<Candidate> second =
-        services.choose(candidates(call, null, nowMillis), random.nextDouble());
-    if (second.isPresent() && retries.chargeHedge(call, nowMillis)) {
+        servicePlacement.choose(candidates(call, null, nowMillis), random.nextDouble());
+    if (second.isPresent() && retryGate.chargeHedge(call, nowMillis)) {
       log.info("request-hedged", "request", call.id());
-      start(call, second.get().runner(), 0, nowMillis);
+      startAttempt(call, second.get().runner(), 0, nowMillis);
     }
   }
 
-  private void moveSilent(Call call, Call.ActiveAttempt silent, long nowMillis) {
+  private void resumeElsewhere(Call call, Call.ActiveAttempt silent, long nowMillis) {
     log.info("stream-silent", "request", call.id(), "runner", silent.runner.id());
     fleet.health(silent.runner).failed(nowMillis);
     call.excludedRunners.add(silent.runner.id());
-    quarantine.recordUnanswered(call, silent, nowMillis);
-    cancelAll(call, "silent");
+    quarantineGate.recordUnanswered(call, silent, nowMillis);
+    cancelAttempts(call, "silent");
     call.runs++;
     place(call, nowMillis);
   }
 
-  private void cancelAll(Call call, String why) {
-    for (Call.ActiveAttempt running : List.copyOf(call.activeAttempts)) {
-      call.activeAttempts.remove(running);
-      release(call, running);
-      if (running.attempt != null) {
-        call.mayHaveRun |= running.attempt.isHandedOn();
-        running.attempt.cancel(why);
+  private void cancelAttempts(Call call, String why) {
+    for (Call.ActiveAttempt active : List.copyOf(call.activeAttempts)) {
+      call.activeAttempts.remove(active);
+      releaseLoad(call, active);
+      if (active.attempt != null) {
+        call.mayHaveRun |= active.attempt.isHandedOn();
+        active.attempt.cancel(why);
       }
     }
   }
 
-  private void release(Call call, Call.ActiveAttempt running) {
-    fleet.fleetLoad().add(running.runner.id(), -1, -running.unreadTokens, 0, call.adapter());
-    running.unreadTokens = 0;
-    changed.run();
+  private void releaseLoad(Call call, Call.ActiveAttempt active) {
+    fleet.fleetLoad().add(active.runner.id(), -1, -active.unreadTokens, 0, call.adapter());
+    active.unreadTokens = 0;
+    inFlightListener.run();
   }
 
-  private void done(Call call, int status, String why, long now) {
+  private void finish(Call call, int status, String why, long now) {
     metrics.counter("requests.ended." + status).inc();
     if (status == HttpStatus.OK_200) {
-      wholeMillis.update(now - call.arrivedMillis);
+      totalMillis.update(now - call.arrivedMillis);
     }
     log.info(
         "request-done",
@@ -831,16 +831,16 @@
         why,
         "took_ms",
         now - call.arrivedMillis);
-    finished(call);
+    remove(call);
   }
 
-  private void finished(Call call) {
+  private void remove(Call call) {
     call.done = true;
     if (!call.mayHaveRun) {
       admission.refund(call.permitted, call.headers, call.arrivedMillis);
     }
     stopWaiting(call);
     calls.remove(call);
-    changed.run();
+    inFlightListener.run();
   }
 }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/RetryGate.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/RetryGate.java
@@ -36,7 +36,7 @@
   /** Returns whether a request could be sent again now. */
   boolean mayRetry(Call call, long nowMillis) {
     return call.retryAccount.maySend(fleet.hostCount(nowMillis), nowMillis)
-        || denied(call, "decided", nowMillis);
+        || recordDenial(call, "decided", nowMillis);
   }
 
   /** Returns whether a stream could go on at another runner now; asked again and again. */
@@ -46,7 +46,7 @@
 
   /** Takes what the next send of a request draws on the budget; false if it must not be made. */
   boolean chargeSend(Call call, long nowMillis) {
-    return call.retryAccount.pay(fleet.hostCount(nowMillis), nowMillis) || denied(call, "sent", nowMillis);
+    return call.retryAccount.pay(fleet.hostCount(nowMillis), nowMillis) || recordDenial(call, "sent", nowMillis);
   }
 
   /** Takes a second send beside one that runs; false if it must not be made. */
@@ -54,7 +54,7 @@
     return budget.tryRetry(call.service, fleet.hostCount(nowMillis), nowMillis);
   }
 
-  private boolean denied(Call call, String when, long nowMillis) {
+  private boolean recordDenial(Call call, String when, long nowMillis) {
     int hosts = fleet.hostCount(nowMillis);
     SharedRetryBudget.Usage usage = budget.usage(call.service, hosts, nowMillis);
     metrics.counter("retries.denied").inc();
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/StreamRelay.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/StreamRelay.java
@@ -16,7 +16,7 @@
 
   private final CallerExchange exchange;
   private final EventSplitter events = new EventSplitter();
-  private int attempt;
+  private int currentAttempt;
   private long lastChunkMillis;
 
   StreamRelay(CallerExchange exchange) {
@@ -25,20 +25,20 @@
 
   /** Expects the pieces of attempt {@code number} from now on. */
   synchronized void expectAttempt(int number) {
-    attempt = number;
+    currentAttempt = number;
     events.dropPartial();
   }
 
   /** Starts the answer; later attempts keep the head of the first. */
   synchronized void start(int number, int status, HttpFields headers) {
-    if (number == attempt) {
+    if (number == currentAttempt) {
       exchange.start(status, headers);
     }
   }
 
   /** Passes on what a piece completes; returns whether it completed the first event. */
   synchronized boolean relayChunk(int number, ByteBuffer piece, long nowMillis) {
-    if (number != attempt) {
+    if (number != currentAttempt) {
       return false;
     }
     lastChunkMillis = nowMillis;
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/WorkspaceMetrics.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/WorkspaceMetrics.java
@@ -12,7 +12,7 @@
    * Workspaces that are counted by name; later ones share one name, so that a configuration with
    * ever new names does not grow the registry without bound.
    */
-  private static final int MAX_NAMED = 256;
+  private static final int MAX_NAMED_WORKSPACES = 256;
 
   private static final String OTHERS = "others";
 
@@ -33,7 +33,7 @@
 
   private void count(Workspace workspace, String what) {
     boolean known = named.contains(workspace.name());
-    if (!known && named.size() < MAX_NAMED) {
+    if (!known && named.size() < MAX_NAMED_WORKSPACES) {
       known = named.add(workspace.name());
     }
     String name = known ? workspace.name() : OTHERS;
--- a/sequoia-node/src/main/java/org/sequoiahub/node/caller/BodyReader.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/caller/BodyReader.java
@@ -14,9 +14,9 @@
 
   private final Request request;
   private final long maxBytes;
-  private final Consumer<byte[]> whole;
-  private final Runnable tooLong;
-  private final Consumer<Throwable> failed;
+  private final Consumer<byte[]> onComplete;
+  private final Runnable onTooLong;
+  private final Consumer<Throwable> onFailure;
   private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
 
   BodyReader(
@@ -27,9 +27,9 @@
       Consumer<Throwable> failed) {
     this.request = request;
     this.maxBytes = maxBytes;
-    this.whole = whole;
-    this.tooLong = tooLong;
-    this.failed = failed;
+    this.onComplete = whole;
+    this.onTooLong = tooLong;
+    this.onFailure = failed;
   }
 
   void read() {
@@ -40,19 +40,19 @@
         return;
       }
       if (Content.Chunk.isFailure(chunk)) {
-        failed.accept(chunk.getFailure());
+        onFailure.accept(chunk.getFailure());
         return;
       }
       final boolean last = chunk.isLast();
       byte[] piece = BufferUtil.toArray(chunk.getByteBuffer());
       chunk.release();
       if (bytes.size() + piece.length > maxBytes) {
-        tooLong.run();
+        onTooLong.run();
         return;
       }
       bytes.write(piece, 0, piece.length);
       if (last) {
-        whole.accept(bytes.toByteArray());
+        onComplete.accept(bytes.toByteArray());
         return;
       }
     }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/caller/CallerEndPoint.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/caller/CallerEndPoint.java
@@ -21,12 +21,12 @@
  */
 public final class CallerEndPoint extends SocketChannelEndPoint {
 
-  private static final int LOOK_BYTES = 2_048;
+  private static final int PREFETCH_BYTES = 2_048;
 
   /** Filled by looking, emptied by the server; in write mode. */
-  private final ByteBuffer early = ByteBuffer.allocate(LOOK_BYTES);
+  private final ByteBuffer prefetched = ByteBuffer.allocate(PREFETCH_BYTES);
 
-  private boolean gone;
+  private boolean disconnected;
 
   CallerEndPoint(
       SocketChannel channel, ManagedSelector selector, SelectionKey key, Scheduler scheduler) {
@@ -35,37 +35,37 @@
 
   /** Returns whether the caller has closed the connection; call it only during a request. */
   public synchronized boolean isCallerDisconnected() {
-    if (gone || !isOpen()) {
+    if (disconnected || !isOpen()) {
       return true;
     }
-    if (early.position() > 0) {
+    if (prefetched.position() > 0) {
       // The next request waits behind this one: its sender is there.
       return false;
     }
     try {
-      gone = getChannel().read(early) < 0;
+      disconnected = getChannel().read(prefetched) < 0;
     } catch (IOException e) {
-      gone = true;
+      disconnected = true;
     }
-    return gone;
+    return disconnected;
   }
 
   @Override
   public synchronized int fill(ByteBuffer buffer) throws IOException {
-    if (early.position() == 0) {
+    if (prefetched.position() == 0) {
       return super.fill(buffer);
     }
-    early.flip();
+    prefetched.flip();
     int position = BufferUtil.flipToFill(buffer);
-    int filled = BufferUtil.put(early, buffer);
+    int filled = BufferUtil.put(prefetched, buffer);
     BufferUtil.flipToFlush(buffer, position);
-    early.compact();
+    prefetched.compact();
     return filled;
   }
 
   @Override
   public void fillInterested(Callback callback) {
-    if (hasEarly()) {
+    if (hasPrefetched()) {
       getScheduler().schedule(callback::succeeded, 0, TimeUnit.MILLISECONDS);
     } else {
       super.fillInterested(callback);
@@ -74,14 +74,14 @@
 
   @Override
   public boolean tryFillInterested(Callback callback) {
-    if (hasEarly()) {
+    if (hasPrefetched()) {
       getScheduler().schedule(callback::succeeded, 0, TimeUnit.MILLISECONDS);
       return true;
     }
     return super.tryFillInterested(callback);
   }
 
-  private synchronized boolean hasEarly() {
-    return early.position() > 0;
+  private synchronized boolean hasPrefetched() {
+    return prefetched.position() > 0;
   }
 }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/caller/CallerExchange.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/caller/CallerExchange.java
@@ -30,7 +30,7 @@
   private final PieceWriter writer;
   private boolean started;
   private boolean ended;
-  private boolean closing;
+  private boolean closeConnection;
 
   /** Creates an exchange for a request whose body has been read. */
   public CallerExchange(Request request, Response response, Callback callback, byte[] body) {
@@ -88,7 +88,7 @@
 
   /** Asks for the connection to be closed after this answer. */
   public synchronized void closeConnectionAfterResponse() {
-    closing = true;
+    closeConnection = true;
   }
 
   /** Gives the whole answer. */
@@ -99,7 +99,7 @@
       }
       started = true;
       ended = true;
-      head(status, headers);
+      writeHead(status, headers);
     }
     response.write(true, ByteBuffer.wrap(content), callback);
   }
@@ -115,7 +115,7 @@
       return;
     }
     started = true;
-    head(status, headers);
+    writeHead(status, headers);
     if (request.getConnectionMetaData().getHttpVersion() == HttpVersion.HTTP_1_1) {
       // Without this, the library lets an answer on a connection that is to be closed end with the
       // connection: were the process killed in the middle of a stream, the half that came would
@@ -165,10 +165,10 @@
     return started;
   }
 
-  private void head(int status, HttpFields headers) {
+  private void writeHead(int status, HttpFields headers) {
     response.setStatus(status);
     response.getHeaders().add(headers);
-    if (closing) {
+    if (closeConnection) {
       response.getHeaders().put(HttpHeader.CONNECTION, "close");
     }
   }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/caller/CallerServer.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/caller/CallerServer.java
@@ -44,14 +44,14 @@
   private static final int ACCEPT_QUEUE = 1_024;
 
   private final Server server;
-  private final ServerConnector callers;
+  private final ServerConnector callerConnector;
   private final HttpConfiguration callerConfiguration;
-  private final AddressDialect dialect = new AddressDialect();
+  private final AddressDialect addressDialect = new AddressDialect();
   private final Supplier<List<String>> addresses;
   private final long addressTtlMillis;
   private final BooleanSupplier ready;
   private final Supplier<CallerLimits> limits;
-  private final Consumer<CallerExchange> requests;
+  private final Consumer<CallerExchange> requestHandler;
   private final int readinessPort;
   private final int addressPort;
   private final int metricsPort;
@@ -83,7 +83,7 @@
     this.addressTtlMillis = addressTtlMillis;
     this.ready = ready;
     this.limits = limits;
-    this.requests = requests;
+    this.requestHandler = requests;
     this.readinessPort = readinessPort;
     this.addressPort = addressPort;
     this.metricsPort = metricsPort;
@@ -93,7 +93,7 @@
     threads.setDaemon(true);
     this.server = new Server(threads);
     this.callerConfiguration = configuration();
-    this.callers = connector(ip, callerPort, callerConfiguration);
+    this.callerConnector = connector(ip, callerPort, callerConfiguration);
     connector(ip, readinessPort, configuration());
     connector(ip, addressPort, configuration());
     if (metricsPort > 0) {
@@ -113,8 +113,8 @@
   public void apply(CallerLimits now) {
     callerConfiguration.setRequestHeaderSize(now.headerBytes());
     long idle = Math.max(MIN_IDLE_MILLIS, now.idleTimeoutMillis() + IDLE_MARGIN_MILLIS);
-    callers.setIdleTimeout(idle);
-    callers.getConnectedEndPoints().forEach(endPoint -> endPoint.setIdleTimeout(idle));
+    callerConnector.setIdleTimeout(idle);
+    callerConnector.getConnectedEndPoints().forEach(endPoint -> endPoint.setIdleTimeout(idle));
   }
 
   @Override
@@ -168,7 +168,7 @@
       } else if (port == metricsPort) {
         response.write(true, ByteBuffer.wrap(metrics.get().getBytes(UTF_8)), callback);
       } else {
-        accept(request, response, callback);
+        readRequest(request, response, callback);
       }
       return true;
     }
@@ -191,21 +191,21 @@
         return;
       }
       response.getHeaders().put(HttpHeader.CONTENT_TYPE, "application/json");
-      byte[] body = dialect.addresses(present, addressTtlMillis);
+      byte[] body = addressDialect.addresses(present, addressTtlMillis);
       response.write(true, ByteBuffer.wrap(body), callback);
     }
 
-    private void accept(Request request, Response response, Callback callback) {
+    private void readRequest(Request request, Response response, Callback callback) {
       new BodyReader(
               request,
               limits.get().bodyBytes(),
-              body -> requests.accept(new CallerExchange(request, response, callback, body)),
-              () -> tooLong(request, response, callback),
+              body -> requestHandler.accept(new CallerExchange(request, response, callback, body)),
+              () -> rejectBody(request, response, callback),
               callback::failed)
           .read();
     }
 
-    private void tooLong(Request request, Response response, Callback callback) {
+    private void rejectBody(Request request, Response response, Callback callback) {
       response.getHeaders().put(HttpHeader.CONNECTION, "close");
       CallerExchange exchange = new CallerExchange(request, response, callback, new byte[0]);
       exchange.respond(
