--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/Admission.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/Admission.java
@@ -18,14 +18,17 @@
 import org.sequoiahub.usersplatform.CallerDialect.CallerHeaders;
 
 /**
- * Decides by the configuration in force whether a request may be served at all: its route, its key,
- * its workspace's allowance. Decision thread only.
+ * Decides whether the configuration in force allows a request: by its route, its access key and the
+ * allowance of its workspace.
+ *
+ * <p>Its methods must be called on the decision thread.
  */
 final class Admission {
 
-  /** Retry-After while there is no configuration (ms): one comes within a second or two. */
+  /** Retry-After while there is no configuration (ms); one arrives within a second or two. */
   private static final long NO_CONFIGURATION_RETRY_AFTER_MILLIS = 500;
 
+  /** The response has no Retry-After. */
   private static final long NO_RETRY_AFTER = -1;
 
   private final Supplier<Optional<RoutingTable>> tables;
@@ -44,64 +47,68 @@
     this.log = requireNonNull(log, "log must not be null");
   }
 
-  /** The outcome for one request. */
+  /** The decision about one request. */
   sealed interface Result permits Permitted, Denied {}
 
   /**
    * A request that the configuration allows.
    *
-   * @param workspace who asks; null on a route that needs no key
+   * @param workspace the workspace that sent it; null on a route that needs no access key
    */
   record Permitted(RoutingTable table, Route route, @Nullable Workspace workspace)
       implements Result {
 
-    /** Returns the rank of the request: the workspace's goes before the route's. */
+    /** Returns the priority of the request: the workspace's, or the route's if that decides. */
     int priority() {
       return workspace != null && workspace.priority() != Workspace.ROUTE_DECIDES
           ? workspace.priority()
           : route.priority();
     }
 
-    /** Returns what is generated, if {@code service} generates; null for a plain service. */
+    /** Returns the requested generation if {@code service} has an engine; null otherwise. */
     @Nullable Generation generation(String service, CallerHeaders headers) {
       Optional<ServiceSpec> spec = table.service(service);
-      boolean engine = spec.isPresent() && spec.get().engine() != null;
-      return engine ? headers.generation() : null;
+      boolean hasEngine = spec.isPresent() && spec.get().engine() != null;
+      return hasEngine ? headers.generation() : null;
     }
   }
 
   /**
-   * A request that is answered at once; it has not run.
+   * A request that is rejected without having run.
    *
-   * @param retryMillis when it may come back; negative if it need not
+   * @param status the HTTP status of the response
+   * @param why the reason, for a human reader
+   * @param retryMillis the Retry-After of the response (ms); negative for none
    */
   record Denied(int status, String why, long retryMillis) implements Result {}
 
-  /** Returns whether a request may be served, before its allowance is looked at. */
+  /** Returns whether a request may be served, without regard to the allowance of its workspace. */
   Result admit(CallerExchange exchange, CallerHeaders headers) {
     Optional<RoutingTable> table = tables.get();
     if (table.isEmpty()) {
       return new Denied(
           HttpStatus.SERVICE_UNAVAILABLE_503,
-          "no configuration yet",
+          "this host has received no configuration yet",
           NO_CONFIGURATION_RETRY_AFTER_MILLIS);
     }
     Optional<Route> route = table.get().find(exchange.host(), exchange.path());
     if (route.isEmpty()) {
-      return new Denied(HttpStatus.NOT_FOUND_404, "no route", NO_RETRY_AFTER);
+      return new Denied(
+          HttpStatus.NOT_FOUND_404, "no route matches the request's host and path", NO_RETRY_AFTER);
     }
     Optional<Workspace> workspace = table.get().workspaces().holding(headers.key());
     if (needsKey(table.get(), route.get()) && workspace.isEmpty()) {
-      return new Denied(HttpStatus.UNAUTHORIZED_401, "unknown key", NO_RETRY_AFTER);
+      return new Denied(
+          HttpStatus.UNAUTHORIZED_401, "the access key is missing or unknown", NO_RETRY_AFTER);
     }
     if (headers.requestId().isEmpty()) {
-      return new Denied(HttpStatus.BAD_REQUEST_400, "the request has no id", NO_RETRY_AFTER);
+      return new Denied(HttpStatus.BAD_REQUEST_400, "the request id is missing", NO_RETRY_AFTER);
     }
     return new Permitted(
         table.get(), route.get(), route.get().open() ? null : workspace.orElse(null));
   }
 
-  /** Takes a request's cost from its workspace's allowance; empty if it may be served. */
+  /** Charges a request's cost to its workspace's allowance; empty if it may be served. */
   Optional<Denied> charge(Permitted permitted, CallerHeaders headers, long nowMillis) {
     Workspace workspace = permitted.workspace();
     if (workspace == null) {
@@ -131,30 +138,35 @@
     return Optional.of(
         new Denied(
             HttpStatus.TOO_MANY_REQUESTS_429,
-            "the workspace's allowance is used up",
+            "the workspace has exceeded its allowance",
             decision.retryMillis()));
   }
 
-  /** Gives back what a request cost that has not run. */
-  void refund(Permitted permitted, CallerHeaders headers, long takenMillis) {
+  /**
+   * Refunds the cost of a request that has not run.
+   *
+   * @param chargedMillis when the cost was charged (ms)
+   */
+  void refund(Permitted permitted, CallerHeaders headers, long chargedMillis) {
     Workspace workspace = permitted.workspace();
     if (workspace != null) {
       long cost = workspace.allowance().cost(headers.generation());
-      allowances.giveBack(workspace, cost, takenMillis);
+      allowances.giveBack(workspace, cost, chargedMillis);
     }
   }
 
   /**
-   * Returns whether the caller's key was withdrawn since a request was let in: one that waited must
-   * not start with it.
+   * Returns whether the caller's access key was revoked after a request was admitted; a waiting
+   * request must not be sent with a revoked key.
    */
   boolean isKeyRevoked(Permitted permitted, CallerHeaders headers) {
     Workspace workspace = permitted.workspace();
-    RoutingTable now = tables.get().orElse(permitted.table());
-    if (workspace == null || now == permitted.table()) {
+    RoutingTable current = tables.get().orElse(permitted.table());
+    if (workspace == null || current == permitted.table()) {
       return false;
     }
-    return now.workspaces().holding(headers.key()).isEmpty() && now.workspaces().areConfigured();
+    return current.workspaces().holding(headers.key()).isEmpty()
+        && current.workspaces().areConfigured();
   }
 
   private static boolean needsKey(RoutingTable table, Route route) {
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/Call.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/Call.java
@@ -15,7 +15,7 @@
 import org.sequoiahub.node.upstream.Attempt;
 import org.sequoiahub.usersplatform.CallerDialect.CallerHeaders;
 
-/** One caller's request while it is in progress; touched by the decision thread only. */
+/** The state of one caller's request while it is in progress; used by the decision thread only. */
 final class Call {
 
   final CallerExchange exchange;
@@ -24,54 +24,54 @@
   final Route route;
   final String service;
 
-  /** What a model request asks for; null for a request of a plain service. */
+  /** The generation that is requested; null for a request to a plain service. */
   final @Nullable Generation generation;
 
   final long arrivedMillis;
 
-  /** When nobody wants the answer any more. */
+  /** When the caller no longer waits for the response (ms). */
   private long deadlineMillis;
 
   final RetryAccount retryAccount;
   final StreamRelay relay;
   final List<ActiveAttempt> activeAttempts = new ArrayList<>();
 
-  /** Runners that failed or refused this request. */
+  /** Ids of the runners that failed or finally refused this request; they do not get it again. */
   final Set<String> excludedRunners = new HashSet<>();
 
-  /** Runners that refused this request once because its adapter was not there. */
+  /** Ids of the runners that refused this request once because they did not have its adapter. */
   final Set<String> adapterMissingAt = new HashSet<>();
 
-  /** Where the request waits for an adapter; null if it does not wait. */
+  /** The runner at which the request waits to be sent; null if it does not wait. */
   @Nullable RunnerEntry waitingAt;
 
-  /** Since when it waits there (ms). */
+  /** Since when it has waited at {@link #waitingAt} (ms). */
   long waitingSinceMillis;
 
-  /** When it is to be placed again while it waits (ms). */
+  /** When it is placed again at the latest while it waits (ms). */
   long nextPlacementMillis;
 
-  /** What {@link FleetView#holdingRevision} said of that runner when it was last placed. */
+  /** The {@link FleetView#holdingRevision} of {@link #waitingAt} when it was last placed. */
   long holdingRevision;
 
-  /** When it last looked at all runners while it waited (ms). */
+  /** When all runners were last evaluated for it while it waited (ms). */
   long lastFullScanMillis;
 
-  /** Prompt tokens that were counted at {@link #waitingAt}. */
+  /** Prompt tokens of the request that are counted at {@link #waitingAt}. */
   int waitingTokens;
 
-  /** Requests sent to runners, those that were refused included. */
+  /** Number of times that it was sent to a runner, including refused attempts. */
   int sends;
 
-  /** Attempts that may have run. */
+  /** Number of attempts that may have run. */
   int runs;
 
-  /** Whether a runner may have begun with it. */
+  /** Whether a runner may have started to run it. */
   boolean mayHaveRun;
 
   boolean done;
 
-  /** Made when it is first asked for. */
+  /** Computed on first use. */
   private @Nullable RequestFingerprint fingerprint;
 
   Call(
@@ -79,18 +79,18 @@
       CallerHeaders headers,
       Admission.Permitted permitted,
       String service,
-      RetryAccount retries,
+      RetryAccount retryAccount,
       long arrivedMillis,
-      long endMillis) {
+      long deadlineMillis) {
     this.exchange = exchange;
     this.headers = headers;
     this.permitted = permitted;
     this.route = permitted.route();
     this.service = service;
-    this.retryAccount = retries;
+    this.retryAccount = retryAccount;
     this.generation = permitted.generation(service, headers);
     this.arrivedMillis = arrivedMillis;
-    this.deadlineMillis = endMillis;
+    this.deadlineMillis = deadlineMillis;
     this.relay = new StreamRelay(exchange);
   }
 
@@ -99,8 +99,13 @@
     final int number;
     final RunnerEntry runner;
     final long startedMillis;
+
+    /** Prompt tokens that are counted at the runner as not read yet; 0 after the first event. */
     int unreadTokens;
+
     boolean firstEventReceived;
+
+    /** Null until the upstream client has started it. */
     @Nullable Attempt attempt;
 
     ActiveAttempt(int number, RunnerEntry runner, long startedMillis, int unreadTokens) {
@@ -111,7 +116,7 @@
     }
   }
 
-  /** Returns when the caller leaves if it has had no event until then. */
+  /** Returns when the caller gives up if it has received no event by then (ms). */
   long firstEventDeadlineMillis() {
     return Math.min(deadlineMillis, arrivedMillis + route.patienceMillis());
   }
@@ -120,17 +125,17 @@
     return deadlineMillis;
   }
 
-  /** Ends the request at a moment at the latest. */
-  void shortenDeadline(long millis) {
-    deadlineMillis = Math.min(deadlineMillis, millis);
+  /** Sets an earlier deadline; a later one has no effect. */
+  void shortenDeadline(long newDeadlineMillis) {
+    deadlineMillis = Math.min(deadlineMillis, newDeadlineMillis);
   }
 
-  /** Returns its rank, 0 first. */
+  /** Returns its priority; 0 is the most urgent. */
   int priority() {
     return permitted.priority();
   }
 
-  /** Returns the name of the workspace that asks; empty for none. */
+  /** Returns the name of the workspace that sent it; empty for none. */
   String workspaceName() {
     Workspace workspace = permitted.workspace();
     return workspace == null ? "" : workspace.name();
@@ -140,19 +145,19 @@
     return headers.requestId();
   }
 
-  /** Returns the number by which all hosts know this request again. */
+  /** Returns the fingerprint by which all hosts recognize this request. */
   RequestFingerprint fingerprint() {
-    RequestFingerprint known = fingerprint;
-    if (known == null) {
+    RequestFingerprint result = fingerprint;
+    if (result == null) {
       byte[] body = exchange.body();
-      known =
+      result =
           generation != null && body.length > 0
               ? RequestFingerprint.ofGeneration(generation.target(), body)
               : RequestFingerprint.ofPlain(
                   exchange.method(), exchange.host(), exchange.pathAndQuery(), body);
-      fingerprint = known;
+      fingerprint = result;
     }
-    return known;
+    return result;
   }
 
   /** Returns the adapter that the request uses, as model/adapter; empty for none. */
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/FleetView.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/FleetView.java
@@ -24,24 +24,29 @@
 import org.sequoiahub.core.upstream.RunnerEntry;
 import org.sequoiahub.core.upstream.RunnerRegistry;
 
-/** All that this host believes of the fleet, for the choice of a runner; decision thread only. */
+/**
+ * This host's view of the fleet, from which it builds the candidates for the choice of a runner.
+ *
+ * <p>Its methods must be called on the decision thread.
+ */
 public final class FleetView {
 
-  /** Wait assumed for an adapter that nobody has ordered yet (ms). */
+  /** Wait assumed for an adapter whose load has not been ordered yet (ms). */
   private static final long ADAPTER_LOAD_MILLIS = 250;
 
-  /** Wait assumed for an adapter that the runner dropped lately (ms): a tenth of a load. */
+  /** Wait assumed for an adapter that the runner evicted recently (ms): a tenth of a load. */
   private static final long ADAPTER_RELOAD_MILLIS = 25;
 
-  /** Wait after a refusal for an adapter (ms). */
+  /** Wait assumed for an adapter after a runner refused a request for it (ms). */
   private static final long REFUSAL_WAIT_MILLIS = 50;
 
-  /** Wait assumed for a base model (ms): the users' models take 0.6 to 1.9 s. */
+  /** Wait assumed for a base model (ms): the users' models take 0.6 to 1.9 s to load. */
   private static final long MODEL_LOAD_MILLIS = 2_000;
 
-  /** Part of a runner's memory that is believed to keep prompts; running requests use the rest. */
+  /** Fraction of a runner's cache assumed to keep prompts; running requests use the rest. */
   private static final double PROMPT_CACHE_FRACTION = 0.6;
 
+  /** Cache size assumed for a runner whose service has no engine specification (tokens). */
   private static final long DEFAULT_CACHE_TOKENS = 100_000;
 
   private final RunnerRegistry runners;
@@ -58,46 +63,55 @@
   private final Map<String, Long> refusedUntilMillis = new HashMap<>();
   private @Nullable RoutingTable table;
 
-  /** Told that a runner refused a request for an adapter that it should have. */
+  /** Notified when a runner refused a request for an adapter that it was expected to have. */
   @FunctionalInterface
   public interface MissingAdapterListener {
-    /** Receives the runner's id, the adapter and the present time. */
+    /**
+     * Handles a refusal.
+     *
+     * @param runner the runner's id
+     * @param target the adapter, as model/adapter
+     */
     void adapterMissing(String runner, String target, long nowMillis);
   }
 
   /**
    * Creates a view.
    *
-   * @param isSound whether a host is alive at a time
-   * @param hosts how many hosts share the retry budget at a time
+   * @param isHostAlive whether a host is alive at a time
+   * @param hostCount the number of hosts that share the retry budget at a time
    * @param newestVersion the newest published version of an adapter; 0 if none was published
    */
   public FleetView(
-      RunnerRegistry book,
+      RunnerRegistry runners,
       Holdings holdings,
-      FleetLoad loads,
+      FleetLoad fleetLoad,
       String failureDomain,
-      BiPredicate<String, Long> isSound,
-      LongFunction<Integer> hosts,
+      BiPredicate<String, Long> isHostAlive,
+      LongFunction<Integer> hostCount,
       ToIntFunction<String> newestVersion,
-      MissingAdapterListener missing) {
-    this.runners = book;
+      MissingAdapterListener missingAdapterListener) {
+    this.runners = runners;
     this.holdings = holdings;
-    this.fleetLoad = loads;
+    this.fleetLoad = fleetLoad;
     this.failureDomain = failureDomain;
-    this.isHostAlive = isSound;
-    this.hostCount = hosts;
+    this.isHostAlive = isHostAlive;
+    this.hostCount = hostCount;
     this.newestVersion = newestVersion;
-    this.missingAdapterListener = missing;
+    this.missingAdapterListener = missingAdapterListener;
   }
 
-  /** Puts a configuration in force. */
-  public void table(RoutingTable now) {
-    table = now;
+  /** Applies a configuration. */
+  public void table(RoutingTable newTable) {
+    table = newTable;
     pauseMillisByService.clear();
-    for (Route route : now.routes()) {
+    for (Route route : newTable.routes()) {
       if (route.repetition().isStream() && route.pauseMillis() > 0) {
-        route.services().forEach(to -> pauseMillisByService.merge(to.service(), route.pauseMillis(), Math::min));
+        route
+            .services()
+            .forEach(
+                target ->
+                    pauseMillisByService.merge(target.service(), route.pauseMillis(), Math::min));
       }
     }
   }
@@ -120,10 +134,11 @@
   }
 
   /**
-   * Records that a runner refused a request for an adapter that it should have.
+   * Records that a runner refused a request for an adapter that it was expected to have.
    *
-   * <p>What its holder told may be a few ms old: the adapter comes a little later, or has just been
-   * dropped. Until the holder's next word, requests wait instead of being refused again.
+   * <p>The holder's report may be a few milliseconds old: the adapter becomes ready slightly later,
+   * or has just been evicted. Until the holder's next report, requests wait instead of being
+   * refused again.
    */
   void recordRefusal(RunnerEntry runner, String target, long nowMillis) {
     refusedUntilMillis.put(runner.id() + " " + target, nowMillis + REFUSAL_WAIT_MILLIS);
@@ -139,11 +154,12 @@
     return health.computeIfAbsent(runner.id(), id -> new RunnerHealth());
   }
 
+  /** Records that a prompt was sent to a runner, which is then assumed to keep its parts. */
   void recordSentPrompt(RunnerEntry runner, Generation generation) {
     promptMemory(runner).read(generation);
   }
 
-  /** Returns the runners of a service that may get requests. */
+  /** Returns the runners of a service that may receive requests. */
   List<RunnerEntry> usableRunners(String service, long nowMillis) {
     List<RunnerEntry> usable = new ArrayList<>();
     for (RunnerEntry runner : runners.usable(nowMillis)) {
@@ -154,24 +170,27 @@
     return usable;
   }
 
-  /** Returns what the runners of a service are; empty for a plain service. */
+  /** Returns the engine specification of a service's runners; empty for a plain service. */
   Optional<EngineSpec> engineSpec(String service) {
     return table().flatMap(t -> t.service(service)).map(s -> s.engine());
   }
 
-  /** Returns the longest pause that callers of a service's streams accept (ms); 0 for none. */
+  /**
+   * Returns the longest pause between two events that all callers of a service's streams accept
+   * (ms); 0 if no route states one.
+   */
   long pauseMillis(String service) {
     return pauseMillisByService.getOrDefault(service, 0L);
   }
 
-  /** Returns the runners that hold models, with what their service says of them. */
+  /** Returns the usable runners that hold models, with the engine specification of each. */
   public Map<RunnerEntry, EngineSpec> engineSpecs(long nowMillis) {
-    // By identity: the hash of an entry goes over all that it says.
+    // By identity, as hashing a RunnerEntry covers all its fields.
     Map<RunnerEntry, EngineSpec> engines = new IdentityHashMap<>();
-    RoutingTable present = table;
-    if (present != null) {
+    RoutingTable currentTable = table;
+    if (currentTable != null) {
       for (RunnerEntry runner : runners.usable(nowMillis)) {
-        present
+        currentTable
             .service(runner.service())
             .map(service -> service.engine())
             .ifPresent(engine -> engines.put(runner, engine));
@@ -183,9 +202,10 @@
   /**
    * Returns a runner as a candidate for a request.
    *
-   * @param countedTokens prompt tokens with which the request is counted there already; negative if
-   *     it is not
-   * @param adapterUses requests that use the generation's adapter or wait for it, at all runners
+   * @param countedTokens prompt tokens of the request that are already counted at the runner;
+   *     negative if it is not counted there
+   * @param adapterUses number of requests, at all runners, that use the generation's adapter or
+   *     wait for it
    */
   Candidate candidate(
       RunnerEntry runner,
@@ -195,14 +215,14 @@
       long nowMillis) {
     boolean counted = countedTokens >= 0;
     int inFlight = fleetLoad.requests(runner.id(), nowMillis) - (counted ? 1 : 0);
-    long held = fleetLoad.heldTokens(runner.id(), nowMillis) - Math.max(0, countedTokens);
-    RunnerHealth results = health(runner);
+    long heldTokens = fleetLoad.heldTokens(runner.id(), nowMillis) - Math.max(0, countedTokens);
+    RunnerHealth runnerHealth = health(runner);
     Residency residency = residency(runner, generation, nowMillis);
     return new Candidate(
         runner,
         Math.max(0, inFlight),
         fleetLoad.unreadTokens(runner.id(), nowMillis),
-        Math.max(0, held),
+        Math.max(0, heldTokens),
         generation == null ? 0 : promptMemory(runner).unreadTokens(generation),
         residency.waitMillis,
         residency.kept,
@@ -210,15 +230,18 @@
         residency.present,
         residency.room,
         residency.ordered,
-        results.failureRate(nowMillis),
-        results.latencyMillis(),
+        runnerHealth.failureRate(nowMillis),
+        runnerHealth.latencyMillis(),
         runners.vanished(runner.instance()),
         runner.failureDomain().equals(failureDomain));
   }
 
   /**
-   * Returns whether a generation's adapter is at a runner or on its way there, by what was told
-   * last; cheaper than {@link #candidate}, which knows its version and when it comes too.
+   * Returns whether a generation's adapter is loaded at a runner or in transit to it, according to
+   * the latest report.
+   *
+   * <p>This is cheaper than {@link #candidate}, which also determines the adapter's version and
+   * when it becomes ready.
    */
   boolean isAdapterKnownAt(RunnerEntry runner, Generation generation) {
     String target = generation.target();
@@ -228,18 +251,21 @@
         .orElseGet(() -> runner.heldAdapters().containsKey(target));
   }
 
-  /** Returns a number that differs whenever what a runner holds has changed. */
+  /**
+   * Returns a number that changes whenever a runner's holding, or the host that orders it, does.
+   */
   long holdingRevision(RunnerEntry runner) {
     return holdings.changes(runner.id());
   }
 
-  /** Returns how many requests use a generation's adapter or wait for it, at all runners. */
+  /** Returns the number of requests at all runners that use or wait for a generation's adapter. */
   int adapterUses(@Nullable Generation generation, long nowMillis) {
     return generation == null || !generation.usesAdapter()
         ? 0
         : fleetLoad.usesEverywhere(generation.target(), nowMillis);
   }
 
+  /** Whether a runner has the model and adapter of a generation, and when they are ready. */
   private record Residency(
       boolean present, long waitMillis, boolean kept, boolean room, boolean ordered) {
 
@@ -256,17 +282,18 @@
     if (generation == null) {
       return Residency.present(0, true);
     }
-    Optional<Holdings.Holding> told = holdings.find(runner.id());
-    if (told.isEmpty()) {
-      boolean model = runner.heldModels().contains(generation.model());
-      boolean adapter =
+    Optional<Holdings.Holding> reported = holdings.find(runner.id());
+    if (reported.isEmpty()) {
+      boolean hasModel = runner.heldModels().contains(generation.model());
+      boolean hasAdapter =
           !generation.usesAdapter() || runner.heldAdapters().containsKey(generation.target());
-      boolean present = model && adapter;
-      long wait = present ? 0 : model ? ADAPTER_LOAD_MILLIS : MODEL_LOAD_MILLIS;
+      boolean present = hasModel && hasAdapter;
+      long wait = present ? 0 : hasModel ? ADAPTER_LOAD_MILLIS : MODEL_LOAD_MILLIS;
       return present ? Residency.present(0, false) : Residency.absent(wait, true, false);
     }
-    Holdings.Holding holding = told.get();
-    final long queue = holding.queueMillis() + Math.max(0, holding.ordersFromMillis() - nowMillis);
+    Holdings.Holding holding = reported.get();
+    final long queueMillis =
+        holding.queueMillis() + Math.max(0, holding.ordersFromMillis() - nowMillis);
     boolean ordered = isHostAlive.test(holding.host(), nowMillis);
     if (!holding.models().contains(generation.model())) {
       return Residency.absent(MODEL_LOAD_MILLIS, true, ordered);
@@ -275,18 +302,18 @@
       return Residency.present(0, ordered);
     }
     HeldItem item = holding.items().get(generation.target());
-    int wanted = newestVersion(generation.target());
-    if (item != null && item.version() >= wanted) {
-      long coming = Math.max(0, item.readyMillis() - nowMillis);
-      long refused = refusalWaitMillis(runner, generation.target(), nowMillis);
-      return Residency.present(Math.max(coming, refused), ordered);
+    int newest = newestVersion(generation.target());
+    if (item != null && item.version() >= newest) {
+      long transitMillis = Math.max(0, item.readyMillis() - nowMillis);
+      long refusalMillis = refusalWaitMillis(runner, generation.target(), nowMillis);
+      return Residency.present(Math.max(transitMillis, refusalMillis), ordered);
     }
     boolean room = holding.freePlaces() > 0;
     if (item == null && holdings.isKept(runner.id(), generation.target())) {
-      return new Residency(false, queue + ADAPTER_RELOAD_MILLIS, true, room, ordered);
+      return new Residency(false, queueMillis + ADAPTER_RELOAD_MILLIS, true, room, ordered);
     }
-    long bring = Math.max(ADAPTER_LOAD_MILLIS, holding.bringMillis());
-    return Residency.absent(queue + bring, room, ordered);
+    long loadMillis = Math.max(ADAPTER_LOAD_MILLIS, holding.bringMillis());
+    return Residency.absent(queueMillis + loadMillis, room, ordered);
   }
 
   private PromptMemory promptMemory(RunnerEntry runner) {
@@ -294,12 +321,14 @@
         runner.id(),
         id -> {
           long tokens =
-              engineSpec(runner.service()).map(EngineSpec::cacheTokens).orElse(DEFAULT_CACHE_TOKENS);
+              engineSpec(runner.service())
+                  .map(EngineSpec::cacheTokens)
+                  .orElse(DEFAULT_CACHE_TOKENS);
           return new PromptMemory(Math.max(1, (long) (tokens * PROMPT_CACHE_FRACTION)));
         });
   }
 
-  /** Forgets runners that are gone and refusals that no longer matter. */
+  /** Removes the state of runners that are gone and of refusals that have expired. */
   public void removeStaleEntries(long nowMillis) {
     Set<String> known = runners.incarnations();
     health.keySet().retainAll(known);
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/LocalResponses.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/LocalResponses.java
@@ -9,7 +9,7 @@
 import org.sequoiahub.usersplatform.CallerDialect;
 import org.sequoiahub.usersplatform.CallerDialect.CallerHeaders;
 
-/** Answers that come from this host and not from a runner. */
+/** Sends the responses that this host generates itself, rather than a runner. */
 final class LocalResponses {
 
   private static final double MILLIS_PER_SECOND = 1_000;
@@ -22,7 +22,7 @@
     this.log = log;
   }
 
-  /** Returns whether a status tells a caller that its request has not run and never will. */
+  /** Returns whether a status guarantees the caller that its request has not run and will not. */
   static boolean guaranteesNotRun(int status) {
     return status == HttpStatus.TOO_MANY_REQUESTS_429
         || status == HttpStatus.SERVICE_UNAVAILABLE_503
@@ -31,31 +31,37 @@
   }
 
   /**
-   * Refuses a request that has not run and will not.
+   * Rejects a request that has not run and will not.
    *
-   * @param retryMillis when the caller may come back
+   * @param reason the reason, for a human reader
+   * @param retryAfterMillis when the caller may retry (ms from now)
    */
-  void reject(CallerExchange exchange, CallerHeaders headers, String why, long retryMillis) {
-    respond(exchange, headers, HttpStatus.SERVICE_UNAVAILABLE_503, why, retryMillis);
+  void reject(
+      CallerExchange exchange, CallerHeaders headers, String reason, long retryAfterMillis) {
+    respond(exchange, headers, HttpStatus.SERVICE_UNAVAILABLE_503, reason, retryAfterMillis);
   }
 
   /**
-   * Ends a request.
+   * Responds to a request, which ends it.
    *
-   * @param why the reason, for people
-   * @param retryMillis when the caller may come back; negative to say nothing
+   * @param reason the reason, for a human reader
+   * @param retryAfterMillis when the caller may retry (ms from now); negative for no Retry-After
    */
   void respond(
-      CallerExchange exchange, CallerHeaders headers, int status, String why, long retryMillis) {
+      CallerExchange exchange,
+      CallerHeaders headers,
+      int status,
+      String reason,
+      long retryAfterMillis) {
     HttpFields.Mutable fields = HttpFields.build();
     if (!headers.requestId().isEmpty()) {
       fields.put(CallerDialect.requestId(headers.requestId()));
     }
-    if (retryMillis >= 0) {
-      fields.put(HttpHeader.RETRY_AFTER, Double.toString(retryMillis / MILLIS_PER_SECOND));
+    if (retryAfterMillis >= 0) {
+      fields.put(HttpHeader.RETRY_AFTER, Double.toString(retryAfterMillis / MILLIS_PER_SECOND));
     }
     metrics.counter("answers.own." + status).inc();
-    log.info("own-answer", "request", headers.requestId(), "status", status, "why", why);
-    exchange.respond(status, fields, why);
+    log.info("own-answer", "request", headers.requestId(), "status", status, "why", reason);
+    exchange.respond(status, fields, reason);
   }
 }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/QuarantineGate.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/QuarantineGate.java
@@ -16,28 +16,31 @@
 import org.sequoiahub.runtime.log.EventLog;
 
 /**
- * Watches how the attempts of this host's requests end, and holds back the requests under which
- * runners end; decision thread only.
+ * Records how the attempts of this host's requests end, and quarantines the requests during which
+ * runners terminate.
  *
- * <p>Of each request only the cheap half of the fingerprint is worked out, unless something is
- * known against one with the same half.
+ * <p>Only the cheap half of a request's fingerprint is computed, unless a suspect request with the
+ * same half is known. All methods must be called on the decision thread.
  */
 public final class QuarantineGate {
 
   /**
-   * An attempt that was given up without an answer counts if its runner turns out to have ended
-   * within this time (ms): a silent runner's entry lapses after 3.6 s, and hosts learn of it within
-   * a second more.
+   * An attempt that was abandoned without a response counts if its runner is found to have
+   * terminated within this time (ms): the entry of a silent runner expires after 3.6 s, and the
+   * hosts are notified within a further second.
    */
   private static final long UNANSWERED_RETENTION_MILLIS = 8_000;
 
   /**
-   * Attempts that are remembered at most for that, with their requests, whose fingerprint is worked
-   * out only when the runner has ended: callers may give up thousands under load.
+   * Maximum number of unanswered attempts that are retained with their requests, whose fingerprint
+   * is computed only when the runner has terminated. Under load callers may abandon thousands.
    */
   private static final int MAX_UNANSWERED = 128;
 
-  /** Proofs are looked for this often (ms); a broken connection counts without one for seconds. */
+  /**
+   * Interval between checks for confirmed terminations (ms); a broken connection counts for seconds
+   * without confirmation.
+   */
   private static final long MAINTENANCE_INTERVAL_MILLIS = 500;
 
   private final RequestQuarantine quarantine;
@@ -53,7 +56,7 @@
   /**
    * Creates a gate.
    *
-   * @param listener told what the other hosts need to know
+   * @param listener receives the observations that are passed on to the other hosts
    */
   public QuarantineGate(
       RequestQuarantine quarantine,
@@ -68,20 +71,23 @@
     this.log = log;
   }
 
-  /** Returns why a request may not be sent to a runner now; empty if it may. */
+  /** Returns why and until when a request is quarantined; empty if it may be sent to a runner. */
   Optional<Hold> hold(Call call, long nowMillis) {
     return quarantine.mayKnow(call.fingerprint().screen())
         ? quarantine.hold(call.fingerprint().value(), nowMillis)
         : Optional.empty();
   }
 
-  /** Returns whether a runner ended under a request lately: it is not sent to two at once. */
+  /**
+   * Returns whether a runner recently terminated while it ran a request; a suspect request must not
+   * be sent to two runners at once.
+   */
   boolean isSuspect(Call call, long nowMillis) {
     return quarantine.mayKnow(call.fingerprint().screen())
         && quarantine.isSuspect(call.fingerprint().value(), nowMillis);
   }
 
-  /** Logs and counts that a request was held back, with all that decided it. */
+  /** Logs and counts that a hold stopped a request, with the terminations that led to the hold. */
   void recordHold(Call call, Hold hold, long nowMillis) {
     metrics.counter("requests.held_back").inc();
     log.info(
@@ -98,21 +104,21 @@
         hold.untilMillis() - nowMillis);
   }
 
-  /** Records that the connection of an attempt broke before the answer was whole. */
+  /** Records that the connection of an attempt broke before the response was complete. */
   void recordBrokenConnection(Call call, Call.ActiveAttempt active, long nowMillis) {
     if (isLeaving(active.runner)) {
       return;
     }
-    boolean proved = runners.hasEnded(active.runner.idHash());
-    recordTermination(termination(call, active, nowMillis, proved), nowMillis);
+    boolean confirmed = runners.hasEnded(active.runner.idHash());
+    recordTermination(termination(call, active, nowMillis, confirmed), nowMillis);
   }
 
-  /** Records that nobody listens at a runner's address: its process has ended. */
+  /** Records that a connection to a runner's address was refused, so its process has terminated. */
   void recordConnectionRefused(RunnerEntry runner, long nowMillis) {
     runners.noteEnded(runner, nowMillis);
   }
 
-  /** Records that an attempt was given up without an answer: its runner may have gone silent. */
+  /** Records that an attempt was abandoned without a response; its runner may be silent. */
   void recordUnanswered(Call call, Call.ActiveAttempt active, long nowMillis) {
     boolean sent = active.attempt != null && active.attempt.isHandedOn();
     if (!sent || isLeaving(active.runner)) {
@@ -124,7 +130,7 @@
     }
   }
 
-  /** Records that a request had a good answer. */
+  /** Records that a request received a successful response. */
   void recordSuccess(Call call, long nowMillis) {
     quarantine.answered(call.fingerprint().screen(), nowMillis);
     if (quarantine.mayKnow(call.fingerprint().screen())
@@ -133,19 +139,20 @@
     }
   }
 
-  /** Looks for proofs that runners have ended, and forgets what is old. */
+  /** Confirms terminations of runners, and removes expired records; call it periodically. */
   public void runMaintenance(long nowMillis) {
     if (nowMillis - lastMaintenanceMillis < MAINTENANCE_INTERVAL_MILLIS) {
       return;
     }
     lastMaintenanceMillis = nowMillis;
-    for (Iterator<Unanswered> all = unanswered.iterator(); all.hasNext(); ) {
-      Unanswered attempt = all.next();
+    for (Iterator<Unanswered> attempts = unanswered.iterator(); attempts.hasNext(); ) {
+      Unanswered attempt = attempts.next();
       if (runners.hasEnded(attempt.running.runner.idHash())) {
-        all.remove();
-        recordTermination(termination(attempt.call, attempt.running, attempt.givenUpMillis, true), nowMillis);
+        attempts.remove();
+        recordTermination(
+            termination(attempt.call, attempt.running, attempt.givenUpMillis, true), nowMillis);
       } else if (nowMillis - attempt.givenUpMillis >= UNANSWERED_RETENTION_MILLIS) {
-        all.remove();
+        attempts.remove();
       }
     }
     if (!quarantine.isEmpty()) {
@@ -154,7 +161,7 @@
     }
   }
 
-  /** A runner that announced its leaving ends as planned, and not because of a request. */
+  /** Returns whether a runner announced that it leaves; no request causes its termination then. */
   private boolean isLeaving(RunnerEntry runner) {
     return runners
         .find(runner.instance())
@@ -202,6 +209,6 @@
         + (nowMillis - end.endedMillis())
         + "ms"
         + (end.begun() ? "(begun)" : "")
-        + (end.confirmed() ? "" : "(not proved)");
+        + (end.confirmed() ? "" : "(unconfirmed)");
   }
 }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/RequestCoordinator.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/RequestCoordinator.java
@@ -46,53 +46,66 @@
 import org.sequoiahub.usersplatform.CallerDialect.CallerHeaders;
 import org.sequoiahub.usersplatform.CallerDialect.RunnerHeaders;
 
-/** Takes requests from their arrival to their last byte; runs on the decision thread. */
+/**
+ * Coordinates each request from its arrival to the last byte of its response: admission, choice of
+ * a runner, attempts, retries and hedging.
+ *
+ * <p>Its methods must be called on the decision thread.
+ */
 public final class RequestCoordinator {
 
-  /** How often callers are looked after that may have gone (ms). */
+  /** Interval between checks for callers that have disconnected (ms). */
   private static final long CALLER_CHECK_INTERVAL_MILLIS = 100;
 
   /**
-   * For this long a request waits where it began to, unless its adapter is elsewhere (ms): a load
-   * and a half. A request that moves sooner goes to and fro and is last in each queue.
+   * How long a request waits at a runner before it may move to one that does not have its adapter
+   * (ms): the time of one and a half loads. A request that moved sooner would oscillate between
+   * runners and be the last in each queue.
    */
   private static final long MIN_WAIT_BEFORE_MOVE_MILLIS = 400;
 
   /**
-   * A waiting request looks at all runners this often at most (ms); between, only at the one where
-   * it waits and at those that have its adapter. What hosts tell each other comes no sooner, and a
-   * look costs more the more runners there are.
+   * Shortest interval between two evaluations of all runners for a waiting request (ms). In between
+   * only the runner where it waits and those that have its adapter are evaluated: hosts exchange
+   * their state no more often, and the cost of an evaluation grows with the number of runners.
    */
   private static final long FULL_SCAN_INTERVAL_MILLIS = 100;
 
   /**
-   * A request whose adapter is there waits for prompts ahead of it: it is placed again this often
-   * (ms).
+   * Interval at which a request is placed again whose adapter is ready, but which waits for the
+   * prompts ahead of it to be read (ms).
    */
   private static final long PROMPT_WAIT_INTERVAL_MILLIS = 30;
 
   /**
-   * One that waits for its adapter is placed again when what its runner holds changes, when the
-   * adapter is due, and this often (ms): in between it would only find the same again.
+   * Longest interval at which a request that waits for its adapter is placed again (ms). It is also
+   * placed when the adapter is due and when the holding of its runner changes; placing it more
+   * often would only give the same result.
    */
   private static final long ADAPTER_WAIT_INTERVAL_MILLIS = 100;
 
-  /** What requests wait for is told on a change and at least this often (ms): it grows old. */
+  /**
+   * Longest interval between two reports of the demand while requests wait (ms), as a report goes
+   * stale; each change is reported at once.
+   */
   private static final long DEMAND_REPORT_INTERVAL_MILLIS = 60;
 
-  /** Retry-After when no runner of the service is known (ms): entries come back within 2 s. */
+  /** Retry-After when no runner of the service is known (ms); entries reappear within 2 s. */
   private static final long NO_RUNNER_RETRY_AFTER_MILLIS = 500;
 
-  /** Shortest Retry-After of a refusal for want of room (ms). */
+  /** Shortest Retry-After of a rejection for lack of capacity (ms). */
   private static final long MIN_RETRY_AFTER_MILLIS = 100;
 
-  /** A second runner gets an idempotent request after this part of its target latency. */
+  /** Fraction of the target latency after which an idempotent request goes to a second runner. */
   private static final double HEDGE_DELAY_FRACTION = 0.5;
 
-  /** A resumable stream without an event for this long goes on elsewhere (ms). */
+  /**
+   * Time without an event, beyond the pause that its route accepts, after which a resumable stream
+   * is resumed at another runner (ms).
+   */
   private static final long STREAM_SILENCE_MILLIS = 1_500;
 
-  /** Deadline of a request that names none and whose route is generous (ms). */
+  /** Deadline of a request that states none (ms); the timeout of its route may be shorter. */
   private static final long DEFAULT_DEADLINE_MILLIS = 120_000;
 
   private final FleetView fleet;
@@ -124,20 +137,22 @@
   /**
    * Creates a coordinator.
    *
-   * @param keys hashes callers' access keys as the configuration's were
-   * @param changed told when what this host has in flight has changed
+   * @param keyHasher hashes callers' access keys in the same way as those of the configuration
+   * @param decisionThread executes tasks on the decision thread
+   * @param clock the monotonic time (ms)
+   * @param inFlightListener invoked when the load that this host has in flight has changed
    */
   public RequestCoordinator(
       FleetView fleet,
-      KeyHasher keys,
+      KeyHasher keyHasher,
       AllowanceKeeper allowances,
       UpstreamClient upstreams,
       SharedRetryBudget budget,
-      QuarantineGate quarantine,
+      QuarantineGate quarantineGate,
       LoadGuard loadGuard,
-      Consumer<Runnable> decisions,
+      Consumer<Runnable> decisionThread,
       LongSupplier clock,
-      Runnable changed,
+      Runnable inFlightListener,
       Random random,
       MetricRegistry metrics,
       EventLog log) {
@@ -145,21 +160,21 @@
     this.firstEventMillis = metrics.histogram("requests.first_event_ms");
     this.totalMillis = metrics.histogram("requests.whole_ms");
     this.fleet = fleet;
-    this.keyHasher = keys;
+    this.keyHasher = keyHasher;
     this.admission = new Admission(fleet::table, allowances, new WorkspaceMetrics(metrics), log);
     this.upstreams = upstreams;
     this.retryGate = new RetryGate(budget, fleet, metrics, log);
-    this.quarantineGate = quarantine;
+    this.quarantineGate = quarantineGate;
     this.loadGuard = loadGuard;
-    this.decisionThread = decisions;
+    this.decisionThread = decisionThread;
     this.clock = clock;
-    this.inFlightListener = changed;
+    this.inFlightListener = inFlightListener;
     this.random = random;
     this.log = log;
     this.localResponses = new LocalResponses(metrics, log);
   }
 
-  /** Takes a request whose body has been read. */
+  /** Handles a request whose body has been read completely. */
   public void handle(CallerExchange exchange) {
     final long now = clock.getAsLong();
     CallerHeaders headers = CallerDialect.decode(exchange.headers(), keyHasher);
@@ -182,43 +197,53 @@
       CallerExchange exchange, CallerHeaders headers, Admission.Permitted permitted, long now) {
     Route route = permitted.route();
     String service = route.service(random.nextDouble());
-    long deadline = headers.deadlineMillis() > 0 ? headers.deadlineMillis() : DEFAULT_DEADLINE_MILLIS;
-    long wanted = Math.min(deadline, route.timeoutMillis());
-    long end = now + wanted;
+    long requestedMillis =
+        headers.deadlineMillis() > 0 ? headers.deadlineMillis() : DEFAULT_DEADLINE_MILLIS;
+    long timeoutMillis = Math.min(requestedMillis, route.timeoutMillis());
+    long deadlineMillis = now + timeoutMillis;
     if (shutdown != null) {
-      if (!shutdown.takes(wanted, now)) {
-        localResponses.reject(exchange, headers, "stopping", MIN_RETRY_AFTER_MILLIS);
+      if (!shutdown.takes(timeoutMillis, now)) {
+        localResponses.reject(
+            exchange, headers, "this host is shutting down", MIN_RETRY_AFTER_MILLIS);
         return;
       }
-      end = Math.min(end, shutdown.lastWordMillis());
+      deadlineMillis = Math.min(deadlineMillis, shutdown.lastWordMillis());
     }
-    Optional<Admission.Denied> beyond = admission.charge(permitted, headers, now);
-    if (beyond.isPresent()) {
-      deny(exchange, headers, beyond.get());
+    Optional<Admission.Denied> denied = admission.charge(permitted, headers, now);
+    if (denied.isPresent()) {
+      deny(exchange, headers, denied.get());
       return;
     }
     Call call =
-        new Call(exchange, headers, permitted, service, retryGate.openAccount(service, now), now, end);
+        new Call(
+            exchange,
+            headers,
+            permitted,
+            service,
+            retryGate.openAccount(service, now),
+            now,
+            deadlineMillis);
     calls.add(call);
     metrics.counter("requests.accepted").inc();
     place(call, now);
   }
 
-  /** Does what is due: waiting requests, deadlines, silent runners, callers that left. */
+  /** Processes what is due: waiting requests, deadlines, silent runners, disconnected callers. */
   public void tick(long nowMillis) {
-    boolean look = nowMillis - lastCallerCheckMillis >= CALLER_CHECK_INTERVAL_MILLIS;
-    if (look) {
+    boolean checkCallers = nowMillis - lastCallerCheckMillis >= CALLER_CHECK_INTERVAL_MILLIS;
+    if (checkCallers) {
       lastCallerCheckMillis = nowMillis;
     }
     for (Call call : List.copyOf(calls)) {
       if (call.done) {
         continue;
       }
-      if (look && call.exchange.isCallerDisconnected()) {
+      if (checkCallers && call.exchange.isCallerDisconnected()) {
         log.info("caller-gone", "request", call.id());
-        call.activeAttempts.forEach(active -> quarantineGate.recordUnanswered(call, active, nowMillis));
-        cancelAttempts(call, "the caller has gone");
-        call.exchange.abort("the caller has gone");
+        call.activeAttempts.forEach(
+            active -> quarantineGate.recordUnanswered(call, active, nowMillis));
+        cancelAttempts(call, "the caller has disconnected");
+        call.exchange.abort("the caller has disconnected");
         remove(call);
       } else if (nowMillis >= call.deadlineMillis()) {
         expire(call, nowMillis);
@@ -239,15 +264,16 @@
         || fleet.holdingRevision(runner) != call.holdingRevision;
   }
 
-  /** Returns whether a request waits for something that may come any moment. */
+  /** Returns whether any request waits for a runner, which may become ready at any moment. */
   public boolean hasWaitingRequests() {
     return waitingCount > 0;
   }
 
-  /** Returns whether what requests wait for is to be told now; if so, it counts as told. */
+  /** Returns whether the demand must be reported now; if so, it is marked as reported. */
   public boolean markDemandsReportedIfDue(long nowMillis) {
-    boolean repeated = waitingCount > 0 && nowMillis - demandsReportedMillis >= DEMAND_REPORT_INTERVAL_MILLIS;
-    if (!demandsChanged && !repeated) {
+    boolean repeatDue =
+        waitingCount > 0 && nowMillis - demandsReportedMillis >= DEMAND_REPORT_INTERVAL_MILLIS;
+    if (!demandsChanged && !repeatDue) {
       return false;
     }
     demandsChanged = false;
@@ -255,7 +281,7 @@
     return true;
   }
 
-  /** Returns what requests wait for, by runner. */
+  /** Returns the demand of the waiting requests, by runner id. */
   public Map<String, List<Demand>> demands(long nowMillis) {
     Map<String, Map<String, Demand>> byRunner = new HashMap<>();
     for (Call call : calls) {
@@ -275,22 +301,25 @@
     return demands;
   }
 
-  /** Asks callers to close their connections, and takes only what can be finished. */
-  public void beginShutdown(Shutdown begun) {
-    shutdown = begun;
+  /**
+   * Begins a shutdown: callers are asked to close their connections, and from now on only requests
+   * that can finish in time are accepted.
+   */
+  public void beginShutdown(Shutdown requested) {
+    shutdown = requested;
     calls.forEach(
         call -> {
           call.exchange.closeConnectionAfterResponse();
-          call.shortenDeadline(begun.lastWordMillis());
+          call.shortenDeadline(requested.lastWordMillis());
         });
   }
 
-  /** Does what is due now and then. */
+  /** Publishes the metrics of the retry budget; call it periodically. */
   public void publishMetrics(long nowMillis) {
     retryGate.publish(nowMillis);
   }
 
-  /** Returns how many requests are in progress. */
+  /** Returns the number of requests in progress. */
   public int inProgressCount() {
     return calls.size();
   }
@@ -303,7 +332,7 @@
     Optional<Hold> hold = quarantineGate.hold(call, nowMillis);
     if (hold.isPresent()) {
       quarantineGate.recordHold(call, hold.get(), nowMillis);
-      fail(call, "held back: runners ended under this request", 0);
+      fail(call, "quarantined: runners terminated while they ran this request", 0);
     } else if (call.generation == null) {
       placePlain(call, nowMillis);
     } else {
@@ -311,22 +340,22 @@
     }
   }
 
-  /** Ends a request whose key was withdrawn before it could start, or start again. */
+  /** Ends a request whose access key was revoked before it could be sent, or sent again. */
   private void rejectRevokedKey(Call call, long nowMillis) {
-    String why = "the key was withdrawn";
+    String reason = "the access key has been revoked";
     if (call.exchange.isStarted()) {
-      call.exchange.abort(why);
+      call.exchange.abort(reason);
     } else {
-      localResponses.respond(call.exchange, call.headers, HttpStatus.UNAUTHORIZED_401, why, -1);
+      localResponses.respond(call.exchange, call.headers, HttpStatus.UNAUTHORIZED_401, reason, -1);
     }
-    finish(call, HttpStatus.UNAUTHORIZED_401, why, nowMillis);
+    finish(call, HttpStatus.UNAUTHORIZED_401, reason, nowMillis);
   }
 
   private void placePlain(Call call, long nowMillis) {
     List<Candidate> candidates = candidates(call, null, nowMillis);
     Optional<Candidate> chosen = servicePlacement.choose(candidates, random.nextDouble());
     if (chosen.isEmpty()) {
-      fail(call, "no runner", NO_RUNNER_RETRY_AFTER_MILLIS);
+      fail(call, "no usable runner for the service", NO_RUNNER_RETRY_AFTER_MILLIS);
       return;
     }
     startAttempt(call, chosen.get().runner(), 0, nowMillis);
@@ -337,16 +366,17 @@
     RunnerEntry before = call.waitingAt;
     StreamLimits limits = streamLimits(call, nowMillis);
     Optional<GenerationPlacement.Choice> chosen =
-        generationPlacement.choose(generation, limits, candidates, before == null ? "" : before.id());
+        generationPlacement.choose(
+            generation, limits, candidates, before == null ? "" : before.id());
     if (chosen.isEmpty()) {
-      fail(call, "no runner", NO_RUNNER_RETRY_AFTER_MILLIS);
+      fail(call, "no usable runner for the service", NO_RUNNER_RETRY_AFTER_MILLIS);
       return;
     }
     GenerationPlacement.Choice choice = chosen.get();
     Candidate candidate = choice.candidate();
     if (nowMillis + choice.firstTokenMillis() > call.firstEventDeadlineMillis()) {
-      // Whoever returns sooner is refused again.
-      fail(call, "would be late", (long) choice.firstTokenMillis());
+      // A caller that retries sooner would be rejected again.
+      fail(call, "the first event would miss its deadline", (long) choice.firstTokenMillis());
       return;
     }
     Optional<Hold> load = candidate.present() ? Optional.empty() : loadHold(call, nowMillis);
@@ -354,12 +384,12 @@
       quarantineGate.recordHold(call, load.get(), nowMillis);
       fail(
           call,
-          "held back: runners ended while they loaded its adapter",
+          "quarantined: runners terminated while they loaded the request's adapter",
           load.get().untilMillis() - nowMillis);
       return;
     }
-    boolean there = candidate.present() && candidate.adapterWaitMillis() <= 0;
-    if (there && generationPlacement.mayRead(candidate, limits)) {
+    boolean ready = candidate.present() && candidate.adapterWaitMillis() <= 0;
+    if (ready && generationPlacement.mayRead(candidate, limits)) {
       startAttempt(call, candidate.runner(), candidate.unreadTokens(), nowMillis);
     } else {
       waitAt(call, candidate, nowMillis);
@@ -373,7 +403,7 @@
         : loadGuard.hold(adapter, fleet.newestVersion(adapter), nowMillis);
   }
 
-  /** Records that a request, and the adapter that it used, had a good answer. */
+  /** Records a successful response for a request and for the adapter that it used. */
   private void recordSuccess(Call call, long nowMillis) {
     quarantineGate.recordSuccess(call, nowMillis);
     String adapter = call.adapter();
@@ -383,44 +413,50 @@
   }
 
   /**
-   * Returns the runners that a request chooses from: all, but while it has not waited long or has
-   * just looked round, only the one where it waits and those that have its adapter. What hosts tell
-   * of queues changes from one datagram to the next, and each move begins another wait at its end.
+   * Returns the runners among which a request may choose.
+   *
+   * <p>These are all usable runners of its service. A waiting request that has not waited long, or
+   * for which all runners were evaluated recently, chooses only among the one where it waits and
+   * those that have its adapter: the queues that hosts report change from one datagram to the next,
+   * and each move begins another wait at the end of a queue.
    */
-  private List<RunnerEntry> eligibleRunners(Call call, @Nullable Generation generation, long nowMillis) {
+  private List<RunnerEntry> eligibleRunners(
+      Call call, @Nullable Generation generation, long nowMillis) {
     List<RunnerEntry> usable = fleet.usableRunners(call.service, nowMillis);
     RunnerEntry before = call.waitingAt;
     if (before == null || generation == null) {
       return usable;
     }
-    boolean settling = nowMillis - call.waitingSinceMillis < MIN_WAIT_BEFORE_MOVE_MILLIS;
-    if (!settling && nowMillis - call.lastFullScanMillis >= FULL_SCAN_INTERVAL_MILLIS) {
+    boolean mustStay = nowMillis - call.waitingSinceMillis < MIN_WAIT_BEFORE_MOVE_MILLIS;
+    if (!mustStay && nowMillis - call.lastFullScanMillis >= FULL_SCAN_INTERVAL_MILLIS) {
       call.lastFullScanMillis = nowMillis;
       return usable;
     }
     boolean stillUsable = false;
-    List<RunnerEntry> few = new ArrayList<>();
+    List<RunnerEntry> preferred = new ArrayList<>();
     for (RunnerEntry runner : usable) {
       boolean here = runner.id().equals(before.id());
       stillUsable |= here;
       if (here || fleet.isAdapterKnownAt(runner, generation)) {
-        few.add(runner);
+        preferred.add(runner);
       }
     }
-    return stillUsable ? few : usable;
+    return stillUsable ? preferred : usable;
   }
 
   private StreamLimits streamLimits(Call call, long nowMillis) {
     int tokensPerEvent = fleet.engineSpec(call.service).map(EngineSpec::tokensPerEvent).orElse(1);
-    long inTime = call.arrivedMillis + call.route.targetLatencyMillis() - nowMillis;
-    return new StreamLimits(fleet.pauseMillis(call.service), tokensPerEvent, inTime);
+    long inTimeMillis = call.arrivedMillis + call.route.targetLatencyMillis() - nowMillis;
+    return new StreamLimits(fleet.pauseMillis(call.service), tokensPerEvent, inTimeMillis);
   }
 
   private void waitAt(Call call, Candidate candidate, long nowMillis) {
     long adapterWait = candidate.adapterWaitMillis();
     call.nextPlacementMillis =
         nowMillis
-            + (adapterWait > 0 ? Math.min(ADAPTER_WAIT_INTERVAL_MILLIS, adapterWait) : PROMPT_WAIT_INTERVAL_MILLIS);
+            + (adapterWait > 0
+                ? Math.min(ADAPTER_WAIT_INTERVAL_MILLIS, adapterWait)
+                : PROMPT_WAIT_INTERVAL_MILLIS);
     call.holdingRevision = fleet.holdingRevision(candidate.runner());
     RunnerEntry before = call.waitingAt;
     if (before != null && before.id().equals(candidate.runner().id())) {
@@ -462,7 +498,8 @@
     List<Candidate> candidates = new ArrayList<>();
     int adapterUses = fleet.adapterUses(generation, nowMillis);
     for (RunnerEntry runner : eligibleRunners(call, generation, nowMillis)) {
-      boolean alreadyRunning = call.activeAttempts.stream().anyMatch(r -> r.runner.id().equals(runner.id()));
+      boolean alreadyRunning =
+          call.activeAttempts.stream().anyMatch(r -> r.runner.id().equals(runner.id()));
       if (!call.excludedRunners.contains(runner.id()) && !alreadyRunning) {
         boolean counted = call.waitingAt != null && call.waitingAt.id().equals(runner.id());
         candidates.add(
@@ -475,7 +512,7 @@
 
   private void startAttempt(Call call, RunnerEntry runner, int unreadTokens, long nowMillis) {
     if (!retryGate.chargeSend(call, nowMillis)) {
-      fail(call, "no retry is left", MIN_RETRY_AFTER_MILLIS);
+      fail(call, "the retry budget is exhausted", MIN_RETRY_AFTER_MILLIS);
       return;
     }
     stopWaiting(call);
@@ -488,7 +525,7 @@
     }
     inFlightListener.run();
     String lastEvent = call.relay.lastEventId();
-    RunnerHeaders ours =
+    RunnerHeaders headers =
         new RunnerHeaders(
             runner.instance(),
             call.deadlineMillis() - nowMillis,
@@ -522,13 +559,13 @@
             call.exchange.method(),
             call.exchange.pathAndQuery(),
             call.id(),
-            CallerDialect.toRunner(call.exchange.headers(), ours),
+            CallerDialect.toRunner(call.exchange.headers(), headers),
             call.exchange.body(),
             call.route.repetition().isStream(),
             new CallAttemptListener(call, active));
   }
 
-  /** Passes pieces on at once and everything else to the decision thread. */
+  /** Relays chunks to the caller at once and passes all other events to the decision thread. */
   private final class CallAttemptListener implements AttemptListener {
     private final Call call;
     private final Call.ActiveAttempt active;
@@ -544,8 +581,8 @@
     }
 
     @Override
-    public void streamPiece(ByteBuffer piece) {
-      if (call.relay.relayChunk(active.number, piece, clock.getAsLong())) {
+    public void streamPiece(ByteBuffer chunk) {
+      if (call.relay.relayChunk(active.number, chunk, clock.getAsLong())) {
         decisionThread.accept(() -> onFirstEvent(call, active));
       }
     }
@@ -611,8 +648,9 @@
   }
 
   /**
-   * Tells by which number a request is known again whose answer was lost: a request that ends the
-   * runners that run it comes back under new ids, at other hosts.
+   * Logs the fingerprint of a request whose response was lost. A request that terminates the
+   * runners that run it comes back under new ids and at other hosts, where only its fingerprint
+   * identifies it.
    */
   private void logLostResponse(Call call, Call.ActiveAttempt active, long now) {
     log.info(
@@ -629,11 +667,12 @@
         now - active.startedMillis);
   }
 
-  private void onResponse(Call call, Call.ActiveAttempt active, Outcome.Answered answered, long now) {
+  private void onResponse(
+      Call call, Call.ActiveAttempt active, Outcome.Answered answered, long now) {
     call.runs++;
     if (answered.status() < HttpStatus.INTERNAL_SERVER_ERROR_500) {
       fleet.health(active.runner).succeeded(now - active.startedMillis, now);
-      cancelAttempts(call, "answered");
+      cancelAttempts(call, "another attempt was answered");
       if (HttpStatus.isSuccess(answered.status())) {
         recordSuccess(call, now);
       }
@@ -641,28 +680,41 @@
       return;
     }
     fleet.health(active.runner).failed(now);
-    onAttemptFailed(call, active, Ending.FAILED, "status " + answered.status(), answered, now);
+    onAttemptFailed(
+        call,
+        active,
+        Ending.FAILED,
+        "the runner failed with status " + answered.status(),
+        answered,
+        now);
   }
 
   private void onRefusal(Call call, Call.ActiveAttempt active, Outcome.Refused refused, long now) {
-    boolean mayComeLater = !call.adapter().isEmpty() && call.adapterMissingAt.add(active.runner.id());
-    if (mayComeLater) {
-      // The adapter was to be there: it comes a little later, or was dropped.
+    boolean mayBecomeReady =
+        !call.adapter().isEmpty() && call.adapterMissingAt.add(active.runner.id());
+    if (mayBecomeReady) {
+      // The adapter was expected there: it becomes ready slightly later, or was evicted.
       fleet.recordRefusal(active.runner, call.adapter(), now);
     } else {
-      // Refused twice, what the runner's holder tells of it is wrong: another runner is tried.
+      // A second refusal shows that the holder's report is wrong: another runner is tried.
       call.excludedRunners.add(active.runner.id());
       fleet.health(active.runner).failed(now);
     }
-    onAttemptFailed(call, active, Ending.REFUSED, "refused " + refused.status(), null, now);
+    onAttemptFailed(
+        call,
+        active,
+        Ending.REFUSED,
+        "the runner refused the request with status " + refused.status(),
+        null,
+        now);
   }
 
   private void onAttemptFailed(
       Call call,
       Call.ActiveAttempt active,
       Ending ending,
-      String why,
-      Outcome.@Nullable Answered answer,
+      String reason,
+      Outcome.@Nullable Answered response,
       long now) {
     metrics.counter("attempts.ended." + ending.name().toLowerCase(Locale.ROOT)).inc();
     log.info(
@@ -674,7 +726,7 @@
         "ending",
         ending,
         "why",
-        why,
+        reason,
         "sends",
         call.sends,
         "runs",
@@ -687,7 +739,7 @@
     if (!call.activeAttempts.isEmpty()) {
       return;
     }
-    boolean again =
+    boolean mayOfferAgain =
         RetryRule.mayOfferAgain(
             ending,
             call.route.repetition(),
@@ -698,19 +750,19 @@
     if (RetryRule.drawsOnBudget(ending)) {
       call.retryAccount.reachedRunner();
     }
-    if (again && retryGate.mayRetry(call, now)) {
+    if (mayOfferAgain && retryGate.mayRetry(call, now)) {
       place(call, now);
-    } else if (answer != null) {
-      forwardResponse(call, answer, now);
+    } else if (response != null) {
+      forwardResponse(call, response, now);
     } else {
-      fail(call, why, MIN_RETRY_AFTER_MILLIS);
+      fail(call, reason, MIN_RETRY_AFTER_MILLIS);
     }
   }
 
-  /** Gives the caller a runner's whole answer. */
+  /** Forwards a runner's complete response to the caller. */
   private void forwardResponse(Call call, Outcome.Answered answered, long now) {
     if (LocalResponses.guaranteesNotRun(answered.status())) {
-      // The runner does not say that it has not run; the status alone would.
+      // The status would promise that the request has not run, which the runner did not state.
       localResponses.respond(
           call.exchange, call.headers, HttpStatus.BAD_GATEWAY_502, "the runner failed", -1);
     } else {
@@ -719,54 +771,61 @@
     finish(call, answered.status(), "", now);
   }
 
-  /** Ends a request that cannot be served, with a status that tells the truth. */
-  private void fail(Call call, String why, long retryMillis) {
+  /**
+   * Ends a request that cannot be served, with a status that tells whether it may have run.
+   *
+   * @param retryAfterMillis when the caller may retry if the request has not run (ms)
+   */
+  private void fail(Call call, String reason, long retryAfterMillis) {
     long now = clock.getAsLong();
-    cancelAttempts(call, "given up");
+    cancelAttempts(call, "the request has failed");
     Optional<Hold> hold = quarantineGate.hold(call, now);
     boolean started = call.exchange.isStarted();
     if (started) {
-      call.exchange.abort(why);
+      call.exchange.abort(reason);
     } else if (call.runs > 0) {
-      // It may come back at once, unless it would only be held back.
-      long retry = hold.map(h -> h.untilMillis() - now).orElse(-1L);
-      localResponses.respond(call.exchange, call.headers, HttpStatus.BAD_GATEWAY_502, why, retry);
+      // The caller may retry at once, unless the request is quarantined.
+      long retryAfter = hold.map(h -> h.untilMillis() - now).orElse(-1L);
+      localResponses.respond(
+          call.exchange, call.headers, HttpStatus.BAD_GATEWAY_502, reason, retryAfter);
     } else {
-      long retry = hold.map(h -> h.untilMillis() - now).orElse(retryMillis);
-      localResponses.reject(call.exchange, call.headers, why, Math.max(MIN_RETRY_AFTER_MILLIS, retry));
+      long retryAfter = hold.map(h -> h.untilMillis() - now).orElse(retryAfterMillis);
+      localResponses.reject(
+          call.exchange, call.headers, reason, Math.max(MIN_RETRY_AFTER_MILLIS, retryAfter));
     }
-    finish(call, started ? 0 : call.runs > 0 ? 502 : 503, why, now);
+    finish(call, started ? 0 : call.runs > 0 ? 502 : 503, reason, now);
   }
 
   private void expire(Call call, long nowMillis) {
-    boolean handedOn =
+    boolean mayHaveReachedRunner =
         call.activeAttempts.stream().anyMatch(r -> r.attempt != null && r.attempt.isHandedOn());
     call.activeAttempts.forEach(active -> quarantineGate.recordUnanswered(call, active, nowMillis));
-    cancelAttempts(call, "deadline");
+    cancelAttempts(call, "deadline exceeded");
     if (call.exchange.isStarted()) {
-      call.exchange.abort("deadline");
-    } else if (handedOn || call.runs > 0) {
-      localResponses.respond(call.exchange, call.headers, HttpStatus.GATEWAY_TIMEOUT_504, "deadline", -1);
+      call.exchange.abort("deadline exceeded");
+    } else if (mayHaveReachedRunner || call.runs > 0) {
+      localResponses.respond(
+          call.exchange, call.headers, HttpStatus.GATEWAY_TIMEOUT_504, "deadline exceeded", -1);
     } else {
-      localResponses.reject(call.exchange, call.headers, "deadline", 0);
+      localResponses.reject(call.exchange, call.headers, "deadline exceeded", 0);
     }
-    finish(call, HttpStatus.GATEWAY_TIMEOUT_504, "deadline", nowMillis);
+    finish(call, HttpStatus.GATEWAY_TIMEOUT_504, "deadline exceeded", nowMillis);
   }
 
   private void checkActiveAttempts(Call call, long nowMillis) {
     Call.ActiveAttempt newest = call.activeAttempts.get(call.activeAttempts.size() - 1);
-    long silent = nowMillis - Math.max(newest.startedMillis, call.relay.lastChunkMillis());
+    long silentMillis = nowMillis - Math.max(newest.startedMillis, call.relay.lastChunkMillis());
     Repetition repetition = call.route.repetition();
     if (repetition == Repetition.IDEMPOTENT) {
-      long patience = (long) (call.route.targetLatencyMillis() * HEDGE_DELAY_FRACTION);
+      long hedgeDelayMillis = (long) (call.route.targetLatencyMillis() * HEDGE_DELAY_FRACTION);
       if (call.activeAttempts.size() == 1
-          && silent >= patience
+          && silentMillis >= hedgeDelayMillis
           && mayAddAttempt(call)
           && !quarantineGate.isSuspect(call, nowMillis)) {
         hedge(call, nowMillis);
       }
     } else if (repetition == Repetition.RESUMABLE_STREAM
-        && silent >= STREAM_SILENCE_MILLIS + call.route.pauseMillis()
+        && silentMillis >= STREAM_SILENCE_MILLIS + call.route.pauseMillis()
         && call.runs + 1 < call.route.maxAttempts()) {
       call.retryAccount.reachedRunner();
       if (retryGate.mayResume(call, nowMillis)) {
@@ -794,18 +853,18 @@
     fleet.health(silent.runner).failed(nowMillis);
     call.excludedRunners.add(silent.runner.id());
     quarantineGate.recordUnanswered(call, silent, nowMillis);
-    cancelAttempts(call, "silent");
+    cancelAttempts(call, "the runner sent no event for too long");
     call.runs++;
     place(call, nowMillis);
   }
 
-  private void cancelAttempts(Call call, String why) {
+  private void cancelAttempts(Call call, String reason) {
     for (Call.ActiveAttempt active : List.copyOf(call.activeAttempts)) {
       call.activeAttempts.remove(active);
       releaseLoad(call, active);
       if (active.attempt != null) {
         call.mayHaveRun |= active.attempt.isHandedOn();
-        active.attempt.cancel(why);
+        active.attempt.cancel(reason);
       }
     }
   }
@@ -816,7 +875,7 @@
     inFlightListener.run();
   }
 
-  private void finish(Call call, int status, String why, long now) {
+  private void finish(Call call, int status, String reason, long now) {
     metrics.counter("requests.ended." + status).inc();
     if (status == HttpStatus.OK_200) {
       totalMillis.update(now - call.arrivedMillis);
@@ -828,7 +887,7 @@
         "status",
         status,
         "why",
-        why,
+        reason,
         "took_ms",
         now - call.arrivedMillis);
     remove(call);
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/RetryGate.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/RetryGate.java
@@ -11,7 +11,7 @@
 import org.sequoiahub.core.retry.SharedRetryBudget;
 import org.sequoiahub.runtime.log.EventLog;
 
-/** Asks the retry budget before requests are sent again, and tells operators what came of it. */
+/** Checks the retry budget before requests are sent again, and logs and publishes its use. */
 final class RetryGate {
 
   private final SharedRetryBudget budget;
@@ -27,29 +27,33 @@
     this.log = requireNonNull(log, "log must not be null");
   }
 
-  /** Counts a request and returns its account. */
+  /** Counts a new request of a service and returns its retry account. */
   RetryAccount openAccount(String service, long nowMillis) {
     budget.request(service, nowMillis);
     return new RetryAccount(budget, service);
   }
 
-  /** Returns whether a request could be sent again now. */
+  /** Returns whether the budget allows a request to be sent again now; logs a denial. */
   boolean mayRetry(Call call, long nowMillis) {
     return call.retryAccount.maySend(fleet.hostCount(nowMillis), nowMillis)
         || recordDenial(call, "decided", nowMillis);
   }
 
-  /** Returns whether a stream could go on at another runner now; asked again and again. */
+  /**
+   * Returns whether the budget allows a stream to be resumed at another runner now; a denial is not
+   * logged, as this is polled.
+   */
   boolean mayResume(Call call, long nowMillis) {
     return call.retryAccount.maySend(fleet.hostCount(nowMillis), nowMillis);
   }
 
-  /** Takes what the next send of a request draws on the budget; false if it must not be made. */
+  /** Charges the next send of a request to the budget; false if it must not be made. */
   boolean chargeSend(Call call, long nowMillis) {
-    return call.retryAccount.pay(fleet.hostCount(nowMillis), nowMillis) || recordDenial(call, "sent", nowMillis);
+    return call.retryAccount.pay(fleet.hostCount(nowMillis), nowMillis)
+        || recordDenial(call, "sent", nowMillis);
   }
 
-  /** Takes a second send beside one that runs; false if it must not be made. */
+  /** Charges a send beside an active attempt to the budget; false if it must not be made. */
   boolean chargeHedge(Call call, long nowMillis) {
     return budget.tryRetry(call.service, fleet.hostCount(nowMillis), nowMillis);
   }
@@ -75,7 +79,10 @@
     return false;
   }
 
-  /** Tells the retries taken and left at this host; the sums over all hosts are the fleet's. */
+  /**
+   * Publishes the retries taken and left at this host; the fleet's values are the sums over all
+   * hosts.
+   */
   void publish(long nowMillis) {
     int hosts = fleet.hostCount(nowMillis);
     for (String service : budget.services()) {
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/StreamRelay.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/StreamRelay.java
@@ -7,10 +7,10 @@
 import org.sequoiahub.node.caller.CallerExchange;
 
 /**
- * Passes a stream's events on to its caller, over all attempts at it.
+ * Relays the complete events of a stream to its caller, across all attempts.
  *
- * <p>Pieces come on client threads, the change of the attempt on the decision thread; a piece of an
- * attempt that has been given up is dropped.
+ * <p>Thread-safe: chunks arrive on HTTP client threads, while the current attempt changes on the
+ * decision thread. Chunks of an attempt that is no longer current are dropped.
  */
 final class StreamRelay {
 
@@ -23,34 +23,34 @@
     this.exchange = exchange;
   }
 
-  /** Expects the pieces of attempt {@code number} from now on. */
+  /** Relays only chunks of attempt {@code number} from now on. */
   synchronized void expectAttempt(int number) {
     currentAttempt = number;
     events.dropPartial();
   }
 
-  /** Starts the answer; later attempts keep the head of the first. */
+  /** Starts the response; it keeps the head of the first attempt if later ones follow. */
   synchronized void start(int number, int status, HttpFields headers) {
     if (number == currentAttempt) {
       exchange.start(status, headers);
     }
   }
 
-  /** Passes on what a piece completes; returns whether it completed the first event. */
-  synchronized boolean relayChunk(int number, ByteBuffer piece, long nowMillis) {
+  /** Relays the events that a chunk completes; returns whether it completed the first event. */
+  synchronized boolean relayChunk(int number, ByteBuffer chunk, long nowMillis) {
     if (number != currentAttempt) {
       return false;
     }
     lastChunkMillis = nowMillis;
-    boolean none = events.wholeEvents() == 0;
-    byte[] complete = events.accept(BufferUtil.toArray(piece));
+    boolean noneBefore = events.wholeEvents() == 0;
+    byte[] complete = events.accept(BufferUtil.toArray(chunk));
     if (complete.length > 0) {
       exchange.writeChunk(ByteBuffer.wrap(complete));
     }
-    return none && events.wholeEvents() > 0;
+    return noneBefore && events.wholeEvents() > 0;
   }
 
-  /** Completes the answer. */
+  /** Relays what is left of the last chunk and completes the response. */
   synchronized void complete() {
     byte[] rest = events.rest();
     if (rest.length > 0) {
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/WorkspaceMetrics.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/WorkspaceMetrics.java
@@ -5,12 +5,12 @@
 import java.util.Set;
 import org.sequoiahub.core.workspace.Workspace;
 
-/** Counts what workspaces ask for and what their limits refuse. */
+/** Counts the requests of each workspace and those that its allowance rejects. */
 final class WorkspaceMetrics {
 
   /**
-   * Workspaces that are counted by name; later ones share one name, so that a configuration with
-   * ever new names does not grow the registry without bound.
+   * Maximum number of workspaces that are counted by name. Further ones share one name, so that
+   * configurations with ever new names do not grow the registry without bound.
    */
   private static final int MAX_NAMED_WORKSPACES = 256;
 
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/package-info.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/package-info.java
@@ -1,4 +1,4 @@
-/** A caller's request from its arrival to its last byte. */
+/** Processing of callers' requests: admission, choice of a runner, attempts and responses. */
 @NullMarked
 package org.sequoiahub.node.call;
 
