--- a/sequoia-node/src/main/java/org/sequoiahub/node/caller/BodyReader.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/caller/BodyReader.java
@@ -7,8 +7,8 @@
 import org.eclipse.jetty.util.BufferUtil;
 
 /**
- * Reads a request's whole body before anything is done with the request: a body that is cut short
- * or too long then reaches no runner, and a request can be given to a second one.
+ * Reads the complete body of a request before the request is processed, so that a truncated or
+ * oversized body reaches no runner, and the request can be sent to a second runner.
  */
 final class BodyReader {
 
@@ -19,19 +19,28 @@
   private final Consumer<Throwable> onFailure;
   private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
 
+  /**
+   * Creates a reader; at most one of the callbacks is invoked.
+   *
+   * @param maxBytes the largest body that is accepted (bytes)
+   * @param onComplete receives the complete body
+   * @param onTooLong invoked when the body exceeds {@code maxBytes}
+   * @param onFailure receives the failure if the body cannot be read
+   */
   BodyReader(
       Request request,
       long maxBytes,
-      Consumer<byte[]> whole,
-      Runnable tooLong,
-      Consumer<Throwable> failed) {
+      Consumer<byte[]> onComplete,
+      Runnable onTooLong,
+      Consumer<Throwable> onFailure) {
     this.request = request;
     this.maxBytes = maxBytes;
-    this.onComplete = whole;
-    this.onTooLong = tooLong;
-    this.onFailure = failed;
+    this.onComplete = onComplete;
+    this.onTooLong = onTooLong;
+    this.onFailure = onFailure;
   }
 
+  /** Reads what is available, and continues when more arrives. */
   void read() {
     while (true) {
       Content.Chunk chunk = request.read();
@@ -44,13 +53,13 @@
         return;
       }
       final boolean last = chunk.isLast();
-      byte[] piece = BufferUtil.toArray(chunk.getByteBuffer());
+      byte[] content = BufferUtil.toArray(chunk.getByteBuffer());
       chunk.release();
-      if (bytes.size() + piece.length > maxBytes) {
+      if (bytes.size() + content.length > maxBytes) {
         onTooLong.run();
         return;
       }
-      bytes.write(piece, 0, piece.length);
+      bytes.write(content, 0, content.length);
       if (last) {
         onComplete.accept(bytes.toByteArray());
         return;
--- a/sequoia-node/src/main/java/org/sequoiahub/node/caller/CallerEndPoint.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/caller/CallerEndPoint.java
@@ -12,18 +12,21 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * A caller's connection that can tell whether the caller has gone while its request is in progress.
+ * A caller's connection that detects whether the caller has disconnected while its request is in
+ * progress.
  *
- * <p>The server reads nothing between a request's last byte and the end of its answer, so it does
- * not notice a caller that closes the connection meanwhile, and the runner goes on working for
- * nobody. Looking means reading; bytes found that way belong to the caller's next request and are
- * handed to the server when it reads again.
+ * <p>The server reads nothing between the last byte of a request and the end of the response.
+ * Without this check it would not notice that a caller closes the connection in between, and the
+ * runner would continue to work on a response that nobody receives. Checking requires a read; bytes
+ * that it returns belong to the caller's next request and are passed to the server when it reads
+ * again.
  */
 public final class CallerEndPoint extends SocketChannelEndPoint {
 
+  /** Capacity of the buffer for bytes that a check reads. */
   private static final int PREFETCH_BYTES = 2_048;
 
-  /** Filled by looking, emptied by the server; in write mode. */
+  /** Filled by checks and drained by the server; in write mode. */
   private final ByteBuffer prefetched = ByteBuffer.allocate(PREFETCH_BYTES);
 
   private boolean disconnected;
@@ -33,13 +36,13 @@
     super(channel, selector, key, scheduler);
   }
 
-  /** Returns whether the caller has closed the connection; call it only during a request. */
+  /** Returns whether the caller has closed the connection; call it only while a request runs. */
   public synchronized boolean isCallerDisconnected() {
     if (disconnected || !isOpen()) {
       return true;
     }
     if (prefetched.position() > 0) {
-      // The next request waits behind this one: its sender is there.
+      // The next request has already arrived, so the caller is still connected.
       return false;
     }
     try {
--- a/sequoia-node/src/main/java/org/sequoiahub/node/caller/CallerExchange.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/caller/CallerExchange.java
@@ -14,10 +14,10 @@
 import org.sequoiahub.runtime.http.PieceWriter;
 
 /**
- * One caller's request, read whole, and its answer, which is given once.
+ * One caller's request with its complete body, and its response, which is sent once.
  *
- * <p>Safe to use from any thread. A second answer is ignored, as a timeout and an upstream's answer
- * may meet.
+ * <p>Thread-safe. A second response is ignored, since a timeout and the response of an upstream may
+ * coincide.
  */
 public final class CallerExchange {
 
@@ -62,7 +62,7 @@
     return host == null ? "" : host;
   }
 
-  /** Returns the IP number that the request came from. */
+  /** Returns the IP address that the request came from. */
   public String callerIp() {
     return Request.getRemoteAddr(request);
   }
@@ -83,15 +83,17 @@
       return true;
     }
     EndPoint endPoint = request.getConnectionMetaData().getConnection().getEndPoint();
-    return endPoint instanceof CallerEndPoint caller ? caller.isCallerDisconnected() : !endPoint.isOpen();
+    return endPoint instanceof CallerEndPoint caller
+        ? caller.isCallerDisconnected()
+        : !endPoint.isOpen();
   }
 
-  /** Asks for the connection to be closed after this answer. */
+  /** Requests that the connection is closed after this response. */
   public synchronized void closeConnectionAfterResponse() {
     closeConnection = true;
   }
 
-  /** Gives the whole answer. */
+  /** Sends a complete response. */
   public void respond(int status, HttpFields headers, byte[] content) {
     synchronized (this) {
       if (started || ended) {
@@ -104,12 +106,12 @@
     response.write(true, ByteBuffer.wrap(content), callback);
   }
 
-  /** Gives an answer of our own, with a text for people. */
+  /** Sends a complete response with a line of text for a human reader. */
   public void respond(int status, HttpFields headers, String text) {
     respond(status, headers, (text + "\n").getBytes(UTF_8));
   }
 
-  /** Starts an answer whose pieces follow. */
+  /** Starts a response whose content follows in chunks. */
   public synchronized void start(int status, HttpFields headers) {
     if (started || ended) {
       return;
@@ -117,14 +119,14 @@
     started = true;
     writeHead(status, headers);
     if (request.getConnectionMetaData().getHttpVersion() == HttpVersion.HTTP_1_1) {
-      // Without this, the library lets an answer on a connection that is to be closed end with the
-      // connection: were the process killed in the middle of a stream, the half that came would
-      // look whole.
+      // Otherwise Jetty delimits a response by the end of the connection if that is to be closed.
+      // If the process were then killed during a stream, the truncated response would look
+      // complete.
       response.getHeaders().put(HttpHeader.TRANSFER_ENCODING, CHUNKED);
     }
   }
 
-  /** Passes on a piece; false if the caller is gone. */
+  /** Writes a chunk of a response that was started; false if the caller has disconnected. */
   public boolean writeChunk(ByteBuffer bytes) {
     synchronized (this) {
       if (!started || ended) {
@@ -134,7 +136,7 @@
     return writer.write(bytes, false);
   }
 
-  /** Ends an answer that was started: it is complete. */
+  /** Completes a response that was started. */
   public void complete() {
     synchronized (this) {
       if (!started || ended) {
@@ -145,8 +147,8 @@
     writer.write(ByteBuffer.allocate(0), true);
   }
 
-  /** Ends an answer without completing it, so that the caller sees that it is cut. */
-  public void abort(String why) {
+  /** Ends a response without completing it, so that the caller detects that it is truncated. */
+  public void abort(String reason) {
     synchronized (this) {
       if (ended) {
         return;
@@ -154,13 +156,13 @@
       ended = true;
       started = true;
     }
-    // Failing the callback would wait for a piece that a silent caller never takes.
+    // Failing the callback would wait for a chunk that an unresponsive caller never reads.
     EndPoint endPoint = request.getConnectionMetaData().getConnection().getEndPoint();
-    writer.abort(new IOException(why));
+    writer.abort(new IOException(reason));
     endPoint.close();
   }
 
-  /** Returns whether the first byte of the answer may have been sent. */
+  /** Returns whether the first byte of the response may have been sent. */
   public synchronized boolean isStarted() {
     return started;
   }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/caller/CallerServer.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/caller/CallerServer.java
@@ -28,19 +28,24 @@
 import org.sequoiahub.core.routing.CallerLimits;
 import org.sequoiahub.usersplatform.AddressDialect;
 
-/** The ports that callers and the platform connect to. */
+/** HTTP server with the ports to which callers and the platform connect. */
 public final class CallerServer implements AutoCloseable {
 
   private static final int MAX_THREADS = 12;
   private static final int MIN_THREADS = 3;
 
-  /** Callers use a kept connection until shortly before the limit; ours must not end sooner. */
+  /**
+   * Time by which the idle timeout exceeds the limit of the configuration (ms): callers reuse a
+   * connection until shortly before that limit, and the server must not close it sooner.
+   */
   private static final long IDLE_MARGIN_MILLIS = 3_000;
 
-  /** No answer of a route takes longer between two bytes. */
+  /** Shortest idle timeout (ms); no route's response takes longer between two bytes. */
   private static final long MIN_IDLE_MILLIS = 20_000;
 
-  /** Connections waiting to be accepted; a full queue costs a caller seconds. */
+  /**
+   * Maximum number of connections that wait to be accepted; a full queue delays callers by seconds.
+   */
   private static final int ACCEPT_QUEUE = 1_024;
 
   private final Server server;
@@ -58,14 +63,15 @@
   private final Supplier<String> metrics;
 
   /**
-   * Creates the ports; {@link #start} opens them.
+   * Creates a server; {@link #start} opens its ports.
    *
-   * @param metricsPort where metrics are served as text; 0 for nowhere
-   * @param addresses callers' addresses of all hosts that take requests
-   * @param ready whether this host takes requests
-   * @param limits what callers may send now
+   * @param metricsPort the port that serves the metrics as text; 0 for none
+   * @param addressTtlMillis how long a caller may use the addresses that it received (ms)
+   * @param addresses the addresses, for callers, of all hosts that accept requests
+   * @param ready whether this host accepts requests
+   * @param limits the present limits on callers' requests
    * @param metrics the text of the metrics
-   * @param requests receives each request once its body has been read
+   * @param requestHandler receives each request once its body has been read
    */
   public CallerServer(
       String ip,
@@ -78,12 +84,12 @@
       BooleanSupplier ready,
       Supplier<CallerLimits> limits,
       Supplier<String> metrics,
-      Consumer<CallerExchange> requests) {
+      Consumer<CallerExchange> requestHandler) {
     this.addresses = addresses;
     this.addressTtlMillis = addressTtlMillis;
     this.ready = ready;
     this.limits = limits;
-    this.requestHandler = requests;
+    this.requestHandler = requestHandler;
     this.readinessPort = readinessPort;
     this.addressPort = addressPort;
     this.metricsPort = metricsPort;
@@ -109,12 +115,15 @@
     server.start();
   }
 
-  /** Applies limits to present and future connections. */
-  public void apply(CallerLimits now) {
-    callerConfiguration.setRequestHeaderSize(now.headerBytes());
-    long idle = Math.max(MIN_IDLE_MILLIS, now.idleTimeoutMillis() + IDLE_MARGIN_MILLIS);
-    callerConnector.setIdleTimeout(idle);
-    callerConnector.getConnectedEndPoints().forEach(endPoint -> endPoint.setIdleTimeout(idle));
+  /** Applies limits to existing and future connections. */
+  public void apply(CallerLimits newLimits) {
+    callerConfiguration.setRequestHeaderSize(newLimits.headerBytes());
+    long idleTimeoutMillis =
+        Math.max(MIN_IDLE_MILLIS, newLimits.idleTimeoutMillis() + IDLE_MARGIN_MILLIS);
+    callerConnector.setIdleTimeout(idleTimeoutMillis);
+    callerConnector
+        .getConnectedEndPoints()
+        .forEach(endPoint -> endPoint.setIdleTimeout(idleTimeoutMillis));
   }
 
   @Override
@@ -126,7 +135,8 @@
     HttpConfiguration http = new HttpConfiguration();
     http.setSendServerVersion(false);
     http.setSendDateHeader(false);
-    // Paths are passed on as they came; what looks ambiguous to a file server is a plain name here.
+    // Paths are forwarded unchanged; a path that a file server considers ambiguous is a plain name
+    // here.
     http.setUriCompliance(UriCompliance.UNSAFE);
     return http;
   }
@@ -141,7 +151,7 @@
     return connector;
   }
 
-  /** Makes connections that can tell whether their caller has gone. */
+  /** Creates connections that detect whether their caller has disconnected. */
   private static final class CallerConnector extends ServerConnector {
     CallerConnector(Server server, ConnectionFactory http) {
       super(server, 1, 1, http);
@@ -156,6 +166,7 @@
     }
   }
 
+  /** Handles a request according to the port on which it arrived. */
   private final class PortHandler extends Handler.Abstract.NonBlocking {
 
     @Override
@@ -184,14 +195,14 @@
         Response.writeError(request, response, callback, HttpStatus.NOT_FOUND_404);
         return;
       }
-      List<String> present = addresses.get();
-      if (present.isEmpty()) {
+      List<String> currentAddresses = addresses.get();
+      if (currentAddresses.isEmpty()) {
         response.setStatus(HttpStatus.SERVICE_UNAVAILABLE_503);
         response.write(true, ByteBuffer.allocate(0), callback);
         return;
       }
       response.getHeaders().put(HttpHeader.CONTENT_TYPE, "application/json");
-      byte[] body = addressDialect.addresses(present, addressTtlMillis);
+      byte[] body = addressDialect.addresses(currentAddresses, addressTtlMillis);
       response.write(true, ByteBuffer.wrap(body), callback);
     }
 
@@ -209,7 +220,9 @@
       response.getHeaders().put(HttpHeader.CONNECTION, "close");
       CallerExchange exchange = new CallerExchange(request, response, callback, new byte[0]);
       exchange.respond(
-          HttpStatus.PAYLOAD_TOO_LARGE_413, HttpFields.EMPTY, "the body is over the limit");
+          HttpStatus.PAYLOAD_TOO_LARGE_413,
+          HttpFields.EMPTY,
+          "the request body exceeds the size limit");
     }
   }
 }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/caller/PlainErrorHandler.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/caller/PlainErrorHandler.java
@@ -9,7 +9,7 @@
 import org.eclipse.jetty.server.handler.ErrorHandler;
 import org.eclipse.jetty.util.Callback;
 
-/** Answers what never became a request with its status and one line, and no page. */
+/** Reports the status of a rejected request as one line of plain text, not as an HTML page. */
 final class PlainErrorHandler extends ErrorHandler {
 
   @Override
--- a/sequoia-node/src/main/java/org/sequoiahub/node/caller/package-info.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/caller/package-info.java
@@ -1,4 +1,4 @@
-/** The callers' side: connections, requests and answers over HTTP. */
+/** HTTP server for callers: connections, requests and responses. */
 @NullMarked
 package org.sequoiahub.node.caller;
 
