--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/RetryGate.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/RetryGate.java
@@ -58,6 +58,7 @@
     return budget.tryRetry(call.service, fleet.hostCount(nowMillis), nowMillis);
   }
 
+  /** Logs and counts a denied retry; always returns false. */
   private boolean recordDenial(Call call, String when, long nowMillis) {
     int hosts = fleet.hostCount(nowMillis);
     SharedRetryBudget.Usage usage = budget.usage(call.service, hosts, nowMillis);
