--- a/sequoia-node/src/main/java/org/sequoiahub/node/Node.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/Node.java
@@ -445,7 +445,7 @@
     calls.tick(nowMillis);
     if (calls.demandsDue(nowMillis)) {
       Map<String, List<Demand>> demands = calls.demands(nowMillis);
-      holder.localDemands(demands, nowMillis);
+      holder.updateLocalDemands(demands, nowMillis);
       demandSender.tell(demands, nowMillis);
     }
     if (nowMillis - slowTickMillis >= SLOW_TICK_MILLIS) {
@@ -511,7 +511,7 @@
   }
 
   private void missing(String runner, String target, long nowMillis) {
-    holder.missing(runner, target, nowMillis);
+    holder.recordMissingAdapter(runner, target, nowMillis);
     demandSender.refused(runner, target);
   }
 
@@ -546,9 +546,9 @@
         runnerEnds.heard(from, datagram.getIncarnation(), ip, now);
       }
       case DIGEST -> peers.receivedDigest(ip, datagram, now);
-      case CLAIM -> holder.claimed(from, ip, datagram.getClaim(), now);
-      case GRANT -> holder.granted(from, datagram.getGrant(), now);
-      case RELEASE -> holder.released(from, datagram.getRelease());
+      case CLAIM -> holder.handleClaim(from, ip, datagram.getClaim(), now);
+      case GRANT -> holder.handleGrant(from, datagram.getGrant(), now);
+      case RELEASE -> holder.handleRelease(from, datagram.getRelease());
       case DEMAND -> demanded(from, ip, datagram.getDemand(), now);
       case ENDS -> runnerEnds.received(from, ip, datagram.getEnds(), now);
       default -> log.warning("datagram-dropped", "from", from, "why", "unknown body");
@@ -560,13 +560,14 @@
     for (AdapterDemand demand : report.getDemandsList()) {
       runners.add(demand.getRunner());
       if (demand.getRefused()) {
-        holder.missing(demand.getRunner(), demand.getAdapter(), nowMillis);
+        holder.recordMissingAdapter(demand.getRunner(), demand.getAdapter(), nowMillis);
       } else {
-        holder.remoteDemand(from, demand.getRunner(), StateCodec.decodeDemand(demand), nowMillis);
+        holder.updateRemoteDemand(
+            from, demand.getRunner(), StateCodec.decodeDemand(demand), nowMillis);
       }
     }
     if (shape.isLarge()) {
-      holder.answerDemands(ip, runners, nowMillis);
+      holder.sendHoldings(ip, runners, nowMillis);
     }
   }
 
@@ -582,7 +583,7 @@
   }
 
   /** Takes in records as if another host had passed them on that knows no others. */
-  void adopt(List<StoredItem> items) {
+  void applyRecords(List<StoredItem> items) {
     passedOn(new PulledRecords(host.ip(), items, 0, 0, 0));
   }
 
@@ -607,7 +608,7 @@
             .setRunnersRevision(store.newestRunnersRevision());
     state.setLoadsComplete(complete);
     StateCodec.addUses(state, complete ? allUses() : changedUses());
-    Set<String> told = leaving || !withHoldings ? Set.of() : holder.told(now);
+    Set<String> told = leaving || !withHoldings ? Set.of() : holder.advertisedRunners(now);
     for (String runner : told) {
       holdings
           .find(runner)
--- a/sequoia-node/src/main/java/org/sequoiahub/node/NodeMain.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/NodeMain.java
@@ -31,9 +31,9 @@
         settings -> {
           Path file = file(settings);
           Node node = Node.start(settings, read(file), startedMillis);
-          SettingsWatch watch = new SettingsWatch(file, node::reload);
+          SettingsReloader watch = new SettingsReloader(file, node::reload);
           watch.start();
-          Signals.onHangup(watch::readNow);
+          Signals.onHangup(watch::reload);
           return node::leave;
         });
   }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/SelfCheck.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/SelfCheck.java
@@ -66,7 +66,7 @@
         nodes.add(Node.start(own, settings(ip, ports), MonotonicClock.SYSTEM.nowMillis()));
       }
       good = answersWithoutRecords(client, ports);
-      nodes.get(0).adopt(SampleRecords.records(runner.address()));
+      nodes.get(0).applyRecords(SampleRecords.records(runner.address()));
       good &= serves(client, ports.get(0));
       for (Node node : nodes) {
         node.stop();
--- a/sequoia-node/src/main/java/org/sequoiahub/node/SettingsWatch.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/SettingsReloader.java
@@ -13,7 +13,7 @@
  * Reads the platform's settings file again on a signal and now and then, as it also changes without
  * one. A file that cannot be used leaves the settings in force.
  */
-final class SettingsWatch {
+final class SettingsReloader {
 
   /** How often the file is read (ms): it is a few KB, and its changes are not urgent. */
   private static final long PERIOD_MILLIS = 2_000;
@@ -23,7 +23,7 @@
   private final EventLog log = new EventLog("node", "settings");
   private @Nullable HostSettings last;
 
-  SettingsWatch(Path file, Consumer<HostSettings> changed) {
+  SettingsReloader(Path file, Consumer<HostSettings> changed) {
     this.file = file;
     this.changed = changed;
   }
@@ -34,7 +34,7 @@
     thread.start();
   }
 
-  synchronized void readNow() {
+  synchronized void reload() {
     try {
       HostSettings now = SettingsFile.read(file);
       boolean news = last != null && !now.equals(last);
@@ -50,7 +50,7 @@
   private void run() {
     try {
       while (true) {
-        readNow();
+        reload();
         TimeUnit.MILLISECONDS.sleep(PERIOD_MILLIS);
       }
     } catch (InterruptedException e) {
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/QuarantineGate.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/QuarantineGate.java
@@ -114,7 +114,7 @@
 
   /** Records that an attempt was given up without an answer: its runner may have gone silent. */
   void unanswered(Call call, Call.Running running, long nowMillis) {
-    boolean sent = running.attempt != null && running.attempt.isHandedOn();
+    boolean sent = running.attempt != null && running.attempt.mayHaveReachedRunner();
     if (!sent || isLeaving(running.runner)) {
       return;
     }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/RequestCoordinator.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/RequestCoordinator.java
@@ -544,7 +544,7 @@
     }
 
     @Override
-    public void streamPiece(ByteBuffer piece) {
+    public void streamContent(ByteBuffer piece) {
       if (call.relay.piece(running.number, piece, clock.getAsLong())) {
         decisions.accept(() -> firstEvent(call, running));
       }
@@ -584,7 +584,7 @@
     }
     call.mayHaveRun |= !(outcome instanceof Outcome.Refused || outcome instanceof Outcome.NotSent);
     long now = clock.getAsLong();
-    if (outcome instanceof Outcome.StreamEnded) {
+    if (outcome instanceof Outcome.StreamCompleted) {
       fleet.health(running.runner).succeeded(now - running.startedMillis, now);
       call.relay.end();
       served(call, now);
@@ -595,18 +595,18 @@
       refused(call, running, refused, now);
     } else if (outcome instanceof Outcome.NotSent notSent) {
       fleet.health(running.runner).unreachable(now);
-      if (notSent.refused()) {
+      if (notSent.connectionRefused()) {
         quarantine.nobodyListens(running.runner, now);
       }
-      failed(call, running, Ending.NOT_SENT, notSent.why(), null, now);
-    } else if (outcome instanceof Outcome.Lost lost) {
+      failed(call, running, Ending.NOT_SENT, notSent.reason(), null, now);
+    } else if (outcome instanceof Outcome.ResponseLost lost) {
       call.runs++;
       fleet.health(running.runner).failed(now);
       logLost(call, running, now);
-      if (lost.connectionBroke()) {
+      if (lost.connectionBroken()) {
         quarantine.broken(call, running, now);
       }
-      failed(call, running, Ending.LOST, lost.why(), null, now);
+      failed(call, running, Ending.LOST, lost.reason(), null, now);
     }
   }
 
@@ -740,7 +740,7 @@
 
   private void expired(Call call, long nowMillis) {
     boolean handedOn =
-        call.running.stream().anyMatch(r -> r.attempt != null && r.attempt.isHandedOn());
+        call.running.stream().anyMatch(r -> r.attempt != null && r.attempt.mayHaveReachedRunner());
     call.running.forEach(running -> quarantine.unanswered(call, running, nowMillis));
     cancelAll(call, "deadline");
     if (call.exchange.isStarted()) {
@@ -804,7 +804,7 @@
       call.running.remove(running);
       release(call, running);
       if (running.attempt != null) {
-        call.mayHaveRun |= running.attempt.isHandedOn();
+        call.mayHaveRun |= running.attempt.mayHaveReachedRunner();
         running.attempt.cancel(why);
       }
     }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/holder/HolderChoice.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/holder/HolderSelector.java
@@ -13,7 +13,7 @@
 import org.sequoiahub.usersplatform.HostSettings;
 
 /** Which host should order a runner, as far as this host knows the fleet. */
-final class HolderChoice {
+final class HolderSelector {
 
   /** Hosts are being restarted in turn if one said this long ago at most that it leaves (ms). */
   private static final long ROLLING_MILLIS = 10_000;
@@ -31,7 +31,7 @@
    *
    * @param incarnation which process of this host this is, as the others are told
    */
-  HolderChoice(
+  HolderSelector(
       HostSettings settings, long incarnation, Members<HostState> members, FleetShape shape) {
     this.settings = settings;
     this.incarnation = incarnation;
@@ -40,7 +40,7 @@
   }
 
   /** Returns whether this host should order a runner. */
-  boolean isThisHost(RunnerEntry runner, long nowMillis) {
+  boolean selectsThisHost(RunnerEntry runner, long nowMillis) {
     return first(runner, nowMillis).equals(settings.host());
   }
 
--- a/sequoia-node/src/main/java/org/sequoiahub/node/holder/HolderService.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/holder/HolderService.java
@@ -118,7 +118,7 @@
   private final HostSettings settings;
   private final Members<HostState> members;
   private final FleetShape shape;
-  private final HolderChoice choice;
+  private final HolderSelector choice;
   private final LeaseGranter granter;
   private final Holdings holdings;
   private final FleetLoad loads;
@@ -234,7 +234,7 @@
     this.settings = settings;
     this.members = members;
     this.shape = shape;
-    this.choice = new HolderChoice(settings, incarnation, members, shape);
+    this.choice = new HolderSelector(settings, incarnation, members, shape);
     this.holdings = holdings;
     this.loads = loads;
     this.orders = orders;
@@ -318,13 +318,13 @@
   }
 
   /** Sets what this host's own requests wait for, by runner, and orders at once. */
-  public void localDemands(Map<String, List<Demand>> demands, long nowMillis) {
+  public void updateLocalDemands(Map<String, List<Demand>> demands, long nowMillis) {
     localDemands = demands;
     demands.keySet().forEach(runner -> pump(runner, nowMillis));
   }
 
   /** Takes in what another host's requests wait for. */
-  public void remoteDemand(String host, String runner, Demand demand, long nowMillis) {
+  public void updateRemoteDemand(String host, String runner, Demand demand, long nowMillis) {
     RemoteDemand before =
         remoteDemands
             .computeIfAbsent(runner, id -> new HashMap<>())
@@ -341,7 +341,7 @@
    * <p>Through delegates it would learn when an adapter comes 0.2 s later on average, which is most
    * of the time that a load takes.
    */
-  public void answerDemands(String ip, Set<String> runners, long nowMillis) {
+  public void sendHoldings(String ip, Set<String> runners, long nowMillis) {
     Digest.Builder digest = Digest.newBuilder();
     for (String runner : runners) {
       Held entry = heldLife(runner);
@@ -373,7 +373,7 @@
   }
 
   /** Records that a runner refused a request for an adapter that it should have. */
-  public void missing(String runner, String target, long nowMillis) {
+  public void recordMissingAdapter(String runner, String target, long nowMillis) {
     Held entry = heldLife(runner);
     if (entry != null && entry.residency != null) {
       entry.residency.missing(target, nowMillis);
@@ -382,7 +382,7 @@
   }
 
   /** Answers another host's claim. */
-  public void claimed(String host, String ip, LeaseClaim claim, long nowMillis) {
+  public void handleClaim(String host, String ip, LeaseClaim claim, long nowMillis) {
     LeaseGrant.Builder grant =
         LeaseGrant.newBuilder()
             .setClaimSentMs(claim.getSentMs())
@@ -404,7 +404,7 @@
   }
 
   /** Takes in another host's grant. */
-  public void granted(String host, LeaseGrant grant, long nowMillis) {
+  public void handleGrant(String host, LeaseGrant grant, long nowMillis) {
     for (String runner : grant.getGrantedList()) {
       Held entry = held.get(runner);
       if (entry != null) {
@@ -421,7 +421,7 @@
   }
 
   /** Takes in that another host gave its leases up. */
-  public void released(String host, LeaseRelease release) {
+  public void handleRelease(String host, LeaseRelease release) {
     release.getRunnersList().forEach(runner -> granter.release(runner, host));
   }
 
@@ -438,12 +438,12 @@
   }
 
   /** Returns the runners that this host orders now. */
-  public Set<String> ordered(long nowMillis) {
+  public Set<String> orderedRunners(long nowMillis) {
     return runners(entry -> mayOrder(entry, nowMillis));
   }
 
   /** Returns the runners of which this host tells the others what they hold. */
-  public Set<String> told(long nowMillis) {
+  public Set<String> advertisedRunners(long nowMillis) {
     return runners(entry -> mayTell(entry, nowMillis));
   }
 
@@ -505,7 +505,7 @@
         && nowMillis - holding.get().toldMillis() < HOLDER_SILENT_MILLIS) {
       return false;
     }
-    return choice.isThisHost(runner, nowMillis);
+    return choice.selectsThisHost(runner, nowMillis);
   }
 
   private void claim(long nowMillis) {
@@ -574,7 +574,7 @@
     if (!lately && entry.residency != null) {
       log.warning("runner-lost", "runner", entry.runner.id());
       held.remove(entry.runner.instance());
-    } else if (!lately && !choice.isThisHost(entry.runner, nowMillis)) {
+    } else if (!lately && !choice.selectsThisHost(entry.runner, nowMillis)) {
       // Hosts that granted the claim would refuse the right host for the rest of the lease.
       held.remove(entry.runner.instance());
       release(Set.of(entry.runner.instance()), nowMillis);
--- a/sequoia-node/src/main/java/org/sequoiahub/node/upstream/Attempt.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/upstream/Attempt.java
@@ -58,7 +58,7 @@
   }
 
   /** Returns whether the runner may have received the request. */
-  public boolean isHandedOn() {
+  public boolean mayHaveReachedRunner() {
     return handedOn;
   }
 
@@ -66,13 +66,13 @@
     AnswerHeaders answer = CallerDialect.decodeAnswer(response.getStatus(), response.getHeaders());
     // A runner may send a second answer to an earlier request, where ours is due. Its id tells.
     if (!answer.requestId().isEmpty() && !answer.requestId().equals(requestId)) {
-      end(new Outcome.Lost("answer to another request", false));
+      end(new Outcome.ResponseLost("answer to another request", false));
       request.abort(new IOException("answer to another request"));
       return;
     }
     boolean good = HttpStatus.isSuccess(response.getStatus());
     if (good && (!answer.intact() || answer.requestId().isEmpty())) {
-      end(new Outcome.Lost("answer without digest or id", false));
+      end(new Outcome.ResponseLost("answer without digest or id", false));
       request.abort(new IOException("answer without digest or id"));
       return;
     }
@@ -87,7 +87,7 @@
     if (!streaming) {
       byte[] piece = BufferUtil.toArray(content);
       if (held.size() + piece.length > MAX_HELD_BYTES) {
-        end(new Outcome.Lost("answer too large", false));
+        end(new Outcome.ResponseLost("answer too large", false));
         request.abort(new IOException("answer too large"));
         return;
       }
@@ -98,7 +98,7 @@
       streamHeadTold = true;
       listener.streamStarted(response.getStatus(), CallerDialect.toCaller(answerHeaders));
     }
-    listener.streamPiece(ByteBuffer.wrap(BufferUtil.toArray(content)));
+    listener.streamContent(ByteBuffer.wrap(BufferUtil.toArray(content)));
   }
 
   private void complete(Result result) {
@@ -108,7 +108,7 @@
       // Bytes that are no answer say that the runner's process was there to send them.
       boolean broke = !(failure instanceof HttpResponseException);
       boolean refused = failure instanceof ConnectException;
-      end(handedOn ? new Outcome.Lost(why, broke) : new Outcome.NotSent(why, refused));
+      end(handedOn ? new Outcome.ResponseLost(why, broke) : new Outcome.NotSent(why, refused));
       return;
     }
     int status = result.getResponse().getStatus();
@@ -116,7 +116,7 @@
       if (!streamHeadTold) {
         listener.streamStarted(status, CallerDialect.toCaller(answerHeaders));
       }
-      end(new Outcome.StreamEnded());
+      end(new Outcome.StreamCompleted());
     } else if (CallerDialect.decodeAnswer(status, answerHeaders).notRun()) {
       end(new Outcome.Refused(status));
     } else {
--- a/sequoia-node/src/main/java/org/sequoiahub/node/upstream/AttemptListener.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/upstream/AttemptListener.java
@@ -10,7 +10,7 @@
   void streamStarted(int status, HttpFields headers);
 
   /** Receives a piece of a good stream; the buffer is the receiver's. */
-  void streamPiece(ByteBuffer piece);
+  void streamContent(ByteBuffer piece);
 
   /** Told once how the attempt ended. */
   void ended(Outcome outcome);
--- a/sequoia-node/src/main/java/org/sequoiahub/node/upstream/Outcome.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/upstream/Outcome.java
@@ -8,11 +8,11 @@
   /**
    * Nothing reached the runner.
    *
-   * @param why what was seen
-   * @param refused whether the connection was refused: nobody listens at the runner's address any
-   *     more
+   * @param reason what was seen
+   * @param connectionRefused whether the connection was refused: nobody listens at the runner's
+   *     address any more
    */
-  record NotSent(String why, boolean refused) implements Outcome {}
+  record NotSent(String reason, boolean connectionRefused) implements Outcome {}
 
   /** The runner said that it did not run the request and will not. */
   record Refused(int status) implements Outcome {}
@@ -21,14 +21,14 @@
   record Answered(int status, HttpFields headers, byte[] body) implements Outcome {}
 
   /** A stream reached its proper end; its pieces were passed on. */
-  record StreamEnded() implements Outcome {}
+  record StreamCompleted() implements Outcome {}
 
   /**
    * The request may have run, and its answer is lost or broken off.
    *
-   * @param why what was seen
-   * @param connectionBroke whether the connection broke before the answer was whole, as it does
+   * @param reason what was seen
+   * @param connectionBroken whether the connection broke before the answer was whole, as it does
    *     when the runner's process ends; else the runner sent something that is no answer
    */
-  record Lost(String why, boolean connectionBroke) implements Outcome {}
+  record ResponseLost(String reason, boolean connectionBroken) implements Outcome {}
 }
--- a/sequoia-node/src/test/java/org/sequoiahub/node/LoopbackFleet.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/LoopbackFleet.java
@@ -105,20 +105,23 @@
    * Starts a runner that ends under each request whose body holds {@code text}. Its entry is then
    * removed and another runner started in its place, which does the same.
    */
-  void startMortalRunner(String id, String service, String model, String text) throws Exception {
+  void startRunnerTerminatedByRequest(String id, String service, String model, String text)
+      throws Exception {
     startRunner(id, service, model)
         .endUnder(
-            text, ended -> replace(ended, next -> startMortalRunner(next, service, model, text)));
+            text,
+            ended ->
+                replace(ended, next -> startRunnerTerminatedByRequest(next, service, model, text)));
   }
 
   /** The same with a runner that ends whenever it is ordered to load an adapter. */
-  void startRunnerThatCannotLoad(String id, String service, String model, String adapter)
+  void startRunnerTerminatedByLoad(String id, String service, String model, String adapter)
       throws Exception {
     startRunner(id, service, model)
         .endWhenLoading(
             adapter,
             ended ->
-                replace(ended, next -> startRunnerThatCannotLoad(next, service, model, adapter)));
+                replace(ended, next -> startRunnerTerminatedByLoad(next, service, model, adapter)));
   }
 
   /** Starts a runner with the id that it is given. */
@@ -137,17 +140,17 @@
   }
 
   /** All runners lose the answers of requests whose body holds {@code text}; of none if empty. */
-  void loseAnswersOf(String text) {
+  void loseResponsesTo(String text) {
     runners.forEach(runner -> runner.loseAnswersOf(text));
   }
 
   /** Returns how many runners have ended. */
-  long endedRunners() {
+  long terminatedRunnerCount() {
     return runners.stream().filter(StandinRunner::hasEnded).count();
   }
 
   /** Returns how often requests ran whose ids begin so, at all runners. */
-  long runs(String idPrefix) {
+  long runCount(String idPrefix) {
     return runners.stream()
         .flatMap(runner -> runner.runs().entrySet().stream())
         .filter(run -> run.getKey().startsWith(idPrefix))
@@ -177,7 +180,7 @@
   }
 
   /** Returns a client of callers that come from another address. */
-  HttpClient callerFrom(String ip) throws Exception {
+  HttpClient startCallerAt(String ip) throws Exception {
     HttpClient other = UpstreamClient.start();
     other.setBindAddress(new InetSocketAddress(ip, 0));
     callers.add(other);
@@ -206,7 +209,7 @@
         == 200;
   }
 
-  String addresses(int number) throws Exception {
+  String advertisedAddresses(int number) throws Exception {
     ContentResponse response =
         caller.GET("http://" + ip(number) + ":" + ports.get(2) + AddressDialect.ADDRESS_PATH);
     return response.getContentAsString();
--- a/sequoia-node/src/test/java/org/sequoiahub/node/NodeTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/NodeTest.java
@@ -437,7 +437,7 @@
 
     private boolean named(int asked, String address) {
       try {
-        return fleet.addresses(asked).contains(address);
+        return fleet.advertisedAddresses(asked).contains(address);
       } catch (Exception e) {
         return false;
       }
--- a/sequoia-node/src/test/java/org/sequoiahub/node/RunnerEndingLoadTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/RunnerTerminatingLoadTest.java
@@ -22,7 +22,7 @@
  * requests, one after the other in a minute, ended 219 runners.
  */
 @Timeout(value = 180, unit = TimeUnit.SECONDS)
-class RunnerEndingLoadTest {
+class RunnerTerminatingLoadTest {
 
   private static final int HOSTS = 3;
   private static final String DEADLY = "a9";
@@ -34,7 +34,7 @@
     fleet = new LoopbackFleet();
     fleet.configure(LoopbackFleet.route("/s/", "streaming", "llm", true));
     for (int number = 1; number <= 4; number++) {
-      fleet.startRunnerThatCannotLoad("i-" + number, "llm", "m", DEADLY);
+      fleet.startRunnerTerminatedByLoad("i-" + number, "llm", "m", DEADLY);
     }
     fleet.startNodes(HOSTS);
   }
@@ -69,14 +69,14 @@
         "the load held back",
         () -> {
           status(1 + asked[0] % HOSTS, "first-" + asked[0]++, DEADLY);
-          return fleet.endedRunners() >= 3 && refusedAtOnce(asked[0]);
+          return fleet.terminatedRunnerCount() >= 3 && refusedAtOnce(asked[0]);
         });
-    long before = fleet.endedRunners();
+    long before = fleet.terminatedRunnerCount();
     assertThat(before).isAtMost(4);
     for (int i = 0; i < 4 * HOSTS; i++) {
       assertThat(status(1 + i % HOSTS, "again-" + i, DEADLY)).isEqualTo(503);
     }
-    assertThat(fleet.endedRunners()).isEqualTo(before);
+    assertThat(fleet.terminatedRunnerCount()).isEqualTo(before);
     LoopbackFleet.await("another adapter served", () -> status(1, other(asked), "a1") == 200);
   }
 
--- a/sequoia-node/src/test/java/org/sequoiahub/node/RunnerEndingRequestTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/RunnerTerminatingRequestTest.java
@@ -31,7 +31,7 @@
  * with a prompt of the same length, sent once, 60 to 140 ms before the end, mostly by another host.
  */
 @Timeout(value = 180, unit = TimeUnit.SECONDS)
-class RunnerEndingRequestTest {
+class RunnerTerminatingRequestTest {
 
   private static final int HOSTS = 3;
   private static final int RUNNERS = 4;
@@ -47,10 +47,10 @@
   @BeforeEach
   void open() throws Exception {
     fleet = new LoopbackFleet();
-    elsewhere = fleet.callerFrom("127.0.0.99");
+    elsewhere = fleet.startCallerAt("127.0.0.99");
     fleet.configure(LoopbackFleet.route("/s/", "streaming", "llm", false));
     for (int number = 1; number <= RUNNERS; number++) {
-      fleet.startMortalRunner("i-" + number, "llm", "m", DEADLY);
+      fleet.startRunnerTerminatedByRequest("i-" + number, "llm", "m", DEADLY);
     }
     fleet.startNodes(HOSTS);
   }
@@ -98,7 +98,7 @@
           } catch (InterruptedException e) {
             throw new IllegalStateException(e);
           }
-          return fleet.endedRunners() >= count;
+          return fleet.terminatedRunnerCount() >= count;
         });
   }
 
@@ -111,9 +111,9 @@
       statuses.add(status(host(attempt), "again-" + attempt, DEADLY));
     }
     assertWithMessage("runs of the request after three runners ended (answers: %s)", statuses)
-        .that(fleet.runs("again-"))
+        .that(fleet.runCount("again-"))
         .isEqualTo(0);
-    assertThat(fleet.endedRunners()).isEqualTo(3);
+    assertThat(fleet.terminatedRunnerCount()).isEqualTo(3);
     assertThat(statuses.stream().distinct().toList()).containsExactly(503);
   }
 
@@ -160,7 +160,7 @@
    */
   @Test
   void lostAnswersOfLivingRunnersCountForSecondsOnly() throws Exception {
-    fleet.loseAnswersOf("unlucky");
+    fleet.loseResponsesTo("unlucky");
     int[] attempt = {0};
     LoopbackFleet.await(
         "the request held back",
@@ -171,8 +171,8 @@
             throw new IllegalStateException(e);
           }
         });
-    fleet.loseAnswersOf("");
-    assertThat(fleet.endedRunners()).isEqualTo(0);
+    fleet.loseResponsesTo("");
+    assertThat(fleet.terminatedRunnerCount()).isEqualTo(0);
     LoopbackFleet.await(
         "the request served again",
         () -> {
@@ -192,6 +192,6 @@
     LoopbackFleet.await("the new host ready", () -> fleet.isReady(HOSTS + 1));
     TimeUnit.MILLISECONDS.sleep(BOUND_MILLIS);
     assertThat(status(HOSTS + 1, "again", DEADLY)).isEqualTo(503);
-    assertThat(fleet.runs("again")).isEqualTo(0);
+    assertThat(fleet.runCount("again")).isEqualTo(0);
   }
 }
--- a/sequoia-node/src/test/java/org/sequoiahub/node/holder/HolderPropertiesTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/holder/HolderPropertiesTest.java
@@ -33,60 +33,61 @@
   }
 
   @Property(tries = 150, seed = "20261220")
-  void oneHolderAtTime(@ForAll("chains") ActionChain<HolderWorld> chain) {
-    HolderWorld world = chain.run();
-    for (int host = 0; host < HolderWorld.HOSTS; host++) {
-      world.wake(host);
-      world.heal(host);
+  void runnerHasOneHolderAtATime(@ForAll("chains") ActionChain<HolderSimulation> chain) {
+    HolderSimulation world = chain.run();
+    for (int host = 0; host < HolderSimulation.HOSTS; host++) {
+      world.resume(host);
+      world.reconnect(host);
     }
-    world.pass(12_000);
-    int before = world.orders();
-    world.pass(4_000);
-    assertThat(world.orders()).isGreaterThan(before);
+    world.advanceTime(12_000);
+    int before = world.orderCount();
+    world.advanceTime(4_000);
+    assertThat(world.orderCount()).isGreaterThan(before);
   }
 
   @Provide
-  Arbitrary<ActionChain<HolderWorld>> chains() {
-    return ActionChain.startWith(() -> new HolderWorld(7, true))
-        .withAction(12, number("pass", 1_500, (world, millis) -> world.pass(50 + millis)))
-        .withAction(2, host("pause", HolderWorld::pause))
-        .withAction(4, host("wake", HolderWorld::wake))
-        .withAction(2, host("cut", HolderWorld::cut))
-        .withAction(4, host("heal", HolderWorld::heal))
-        .withAction(2, host("kill", HolderWorld::kill))
-        .withAction(2, host("leave", HolderWorld::leave))
-        .withAction(1, Action.just(Transformer.mutate("killAll", HolderWorld::killAll)))
+  Arbitrary<ActionChain<HolderSimulation>> chains() {
+    return ActionChain.startWith(() -> new HolderSimulation(7, true))
+        .withAction(12, number("pass", 1_500, (world, millis) -> world.advanceTime(50 + millis)))
+        .withAction(2, host("pause", HolderSimulation::pause))
+        .withAction(4, host("wake", HolderSimulation::resume))
+        .withAction(2, host("cut", HolderSimulation::disconnect))
+        .withAction(4, host("heal", HolderSimulation::reconnect))
+        .withAction(2, host("kill", HolderSimulation::kill))
+        .withAction(2, host("leave", HolderSimulation::shutDown))
+        .withAction(1, Action.just(Transformer.mutate("killAll", HolderSimulation::killAll)))
         .withAction(
             1,
             number(
                 "restartRunner",
-                2 * HolderWorld.RUNNERS - 1,
+                2 * HolderSimulation.RUNNERS - 1,
                 (world, n) -> world.restartRunner(n / 2, n % 2 == 0)))
         .withAction(
             1,
             number(
                 "restartRunnerUnderItsId",
-                HolderWorld.RUNNERS - 1,
-                HolderWorld::restartRunnerUnderItsId))
+                HolderSimulation.RUNNERS - 1,
+                HolderSimulation::restartRunnerWithSameId))
         .withMaxTransformations(40);
   }
 
-  private static Action<HolderWorld> host(String label, BiConsumer<HolderWorld, Integer> event) {
-    return number(label, HolderWorld.HOSTS - 1, event);
+  private static Action<HolderSimulation> host(
+      String label, BiConsumer<HolderSimulation, Integer> event) {
+    return number(label, HolderSimulation.HOSTS - 1, event);
   }
 
-  private static Action<HolderWorld> number(
-      String label, int max, BiConsumer<HolderWorld, Integer> event) {
+  private static Action<HolderSimulation> number(
+      String label, int max, BiConsumer<HolderSimulation, Integer> event) {
     return new Event(
         Arbitraries.integers()
             .between(0, max)
             .map(n -> Transformer.mutate(label + "(" + n + ")", world -> event.accept(world, n))));
   }
 
-  private record Event(Arbitrary<Transformer<HolderWorld>> events)
-      implements Action.Independent<HolderWorld> {
+  private record Event(Arbitrary<Transformer<HolderSimulation>> events)
+      implements Action.Independent<HolderSimulation> {
     @Override
-    public Arbitrary<Transformer<HolderWorld>> transformer() {
+    public Arbitrary<Transformer<HolderSimulation>> transformer() {
       return events;
     }
   }
--- a/sequoia-node/src/test/java/org/sequoiahub/node/holder/HolderWorld.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/holder/HolderSimulation.java
@@ -45,7 +45,7 @@
 import org.sequoiahub.usersplatform.HostSettings;
 
 /** Hosts that order runners, in virtual time, with pauses, cuts, kills and late messages. */
-final class HolderWorld {
+final class HolderSimulation {
 
   /** No runner ends by a load here. */
   private static final RunnerEndListener UNHEARD =
@@ -70,11 +70,11 @@
   private final List<Host> hosts = new ArrayList<>();
   private final List<Runner> runners = new ArrayList<>();
   private final PriorityQueue<Event> events = new PriorityQueue<>();
-  private final Set<Integer> cut = new HashSet<>();
+  private final Set<Integer> disconnected = new HashSet<>();
   private long now = 1_000_000;
   private final List<Digest> digests = new ArrayList<>();
   private long eventNumber;
-  private int orders;
+  private int orderCount;
 
   private record Event(long atMillis, long number, Runnable action) implements Comparable<Event> {
     @Override
@@ -84,7 +84,7 @@
     }
   }
 
-  HolderWorld(long seed, boolean firstStart) {
+  HolderSimulation(long seed, boolean firstStart) {
     this.random = new Random(seed);
     for (int i = 0; i < RUNNERS; i++) {
       runners.add(new Runner("i-" + i, "10.0.9." + i + ":80"));
@@ -95,8 +95,8 @@
     }
   }
 
-  int orders() {
-    return orders;
+  int orderCount() {
+    return orderCount;
   }
 
   /** Returns the id of a runner. */
@@ -105,19 +105,19 @@
   }
 
   /** Has a host ask the one that orders a runner what it holds; returns the digests that came. */
-  List<Digest> ask(int asker, int runner) {
+  List<Digest> requestHoldings(int asker, int runner) {
     digests.clear();
     for (Host host : hosts) {
       HolderService service = host.service;
-      if (service != null && service.ordered(now).contains(runnerId(runner))) {
-        service.answerDemands("10.0.0." + asker, Set.of(runnerId(runner)), now);
+      if (service != null && service.orderedRunners(now).contains(runnerId(runner))) {
+        service.sendHoldings("10.0.0." + asker, Set.of(runnerId(runner)), now);
       }
     }
-    pass(2 * MAX_DELAY_MILLIS);
+    advanceTime(2 * MAX_DELAY_MILLIS);
     return List.copyOf(digests);
   }
 
-  void pass(long millis) {
+  void advanceTime(long millis) {
     long end = now + millis;
     while (now < end) {
       now += TICK_MILLIS;
@@ -133,7 +133,7 @@
     hosts.get(host).paused = true;
   }
 
-  void wake(int host) {
+  void resume(int host) {
     Host woken = hosts.get(host);
     if (woken.paused) {
       woken.paused = false;
@@ -145,12 +145,12 @@
   }
 
   /** Cuts a host off from the other hosts; it still reaches the runners. */
-  void cut(int host) {
-    cut.add(host);
+  void disconnect(int host) {
+    disconnected.add(host);
   }
 
-  void heal(int host) {
-    if (cut.remove(host)) {
+  void reconnect(int host) {
+    if (disconnected.remove(host)) {
       hosts.get(host).calmMillis = now;
     }
   }
@@ -163,7 +163,7 @@
     after(40 + random.nextInt(1_260), () -> killed.start(false));
   }
 
-  void leave(int host) {
+  void shutDown(int host) {
     Host leaving = hosts.get(host);
     if (leaving.service != null && !leaving.paused) {
       leaving.leaving = true;
@@ -194,7 +194,7 @@
   }
 
   /** Starts a runner again under its id; who ordered it before still counts as its last holder. */
-  void restartRunnerUnderItsId(int runner) {
+  void restartRunnerWithSameId(int runner) {
     Runner old = runners.get(runner);
     Runner again =
         new Runner(
@@ -233,7 +233,7 @@
     }
 
     OrderReply order(Host from, Order order, long expected, String holder, long token) {
-      orders++;
+      orderCount++;
       boolean excused = now - from.calmMillis < THAW_MILLIS;
       if (!excused) {
         if (lastHolder != null && !lastHolder.equals(holder)) {
@@ -355,7 +355,7 @@
       HostState.Builder state =
           HostState.newBuilder().setFailureDomain("z").setReady(true).setLeaving(leaving);
       if (withHoldings && !leaving && service != null) {
-        for (String runner : service.ordered(now)) {
+        for (String runner : service.orderedRunners(now)) {
           holdings
               .find(runner)
               .ifPresent(h -> state.addHoldings(StateCodec.encodeHolding(runner, h, now)));
@@ -377,7 +377,7 @@
         demands.put(runner.entry.id(), List.of(demand));
       }
       running.tick(known, now);
-      running.localDemands(demands, now);
+      running.updateLocalDemands(demands, now);
       peers.tick(now);
     }
 
@@ -391,7 +391,8 @@
 
     private void send(String ip, byte[] bytes) {
       int to = Integer.parseInt(ip.substring(ip.lastIndexOf('.') + 1));
-      boolean lost = cut.contains(number) || cut.contains(to) || random.nextInt(40) == 0;
+      boolean lost =
+          disconnected.contains(number) || disconnected.contains(to) || random.nextInt(40) == 0;
       if (to >= HOSTS || to == number || lost) {
         return;
       }
@@ -409,10 +410,10 @@
         String ip = "10.0.0." + from;
         switch (datagram.getBodyCase()) {
           case STATE -> peers.received(ip, datagram, now);
-          case CLAIM -> running.claimed(name, ip, datagram.getClaim(), now);
-          case GRANT -> running.granted(name, datagram.getGrant(), now);
+          case CLAIM -> running.handleClaim(name, ip, datagram.getClaim(), now);
+          case GRANT -> running.handleGrant(name, datagram.getGrant(), now);
           case DIGEST -> digests.add(datagram.getDigest());
-          case RELEASE -> running.released(name, datagram.getRelease());
+          case RELEASE -> running.handleRelease(name, datagram.getRelease());
           default -> throw new AssertionError(datagram.getBodyCase());
         }
       } catch (InvalidProtocolBufferException e) {
--- a/sequoia-node/src/test/java/org/sequoiahub/node/holder/HolderAnswersTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/holder/HoldingsReplyTest.java
@@ -10,7 +10,7 @@
 import org.sequoiahub.schema.peer.HeldAdapter;
 import org.sequoiahub.schema.peer.HeldBy;
 
-class HolderAnswersTest {
+class HoldingsReplyTest {
 
   private static final int ASKER = 4;
 
@@ -23,10 +23,10 @@
    */
   @Test
   void hostThatWaitsIsToldAtOnceWhatTheRunnerHolds() {
-    HolderWorld world = new HolderWorld(11, true);
-    world.pass(10_000);
-    for (int runner = 0; runner < HolderWorld.RUNNERS; runner++) {
-      List<Digest> told = world.ask(ASKER, runner);
+    HolderSimulation world = new HolderSimulation(11, true);
+    world.advanceTime(10_000);
+    for (int runner = 0; runner < HolderSimulation.RUNNERS; runner++) {
+      List<Digest> told = world.requestHoldings(ASKER, runner);
       if (told.isEmpty()) {
         continue;
       }
--- a/sequoia-node/src/test/java/org/sequoiahub/node/upstream/UpstreamClientTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/upstream/UpstreamClientTest.java
@@ -42,7 +42,7 @@
     public void streamStarted(int status, HttpFields headers) {}
 
     @Override
-    public void streamPiece(ByteBuffer piece) {
+    public void streamContent(ByteBuffer piece) {
       pieces.append(new String(BufferUtil.toArray(piece), UTF_8));
     }
 
@@ -119,7 +119,7 @@
                 Thread.sleep(200);
                 ScriptedRunner.reset(connection);
               })) {
-        assertThat(plain(runner, "1")).isInstanceOf(Outcome.Lost.class);
+        assertThat(plain(runner, "1")).isInstanceOf(Outcome.ResponseLost.class);
       }
     }
 
@@ -143,7 +143,7 @@
                 ScriptedRunner.write(out, whole("1", "long body").substring(0, 70));
                 connection.close();
               })) {
-        assertThat(plain(runner, "1")).isInstanceOf(Outcome.Lost.class);
+        assertThat(plain(runner, "1")).isInstanceOf(Outcome.ResponseLost.class);
       }
     }
 
@@ -154,7 +154,7 @@
               (n, c, out) ->
                   ScriptedRunner.write(
                       out, "HTTP/1.1 200 OK\r\nRequest-Id: 1\r\nContent-Length: 2\r\n\r\nok"))) {
-        assertThat(plain(runner, "1")).isInstanceOf(Outcome.Lost.class);
+        assertThat(plain(runner, "1")).isInstanceOf(Outcome.ResponseLost.class);
       }
     }
 
@@ -166,7 +166,7 @@
                 ScriptedRunner.write(out, "rot rot rot\r\n\r\n");
                 connection.close();
               })) {
-        assertThat(plain(runner, "1")).isInstanceOf(Outcome.Lost.class);
+        assertThat(plain(runner, "1")).isInstanceOf(Outcome.ResponseLost.class);
       }
     }
   }
@@ -206,7 +206,7 @@
     void lateOneIsKnownByItsId() throws Exception {
       try (ScriptedRunner runner =
           new ScriptedRunner((n, c, out) -> ScriptedRunner.write(out, whole("other", "theirs")))) {
-        assertThat(plain(runner, "1")).isInstanceOf(Outcome.Lost.class);
+        assertThat(plain(runner, "1")).isInstanceOf(Outcome.ResponseLost.class);
       }
     }
   }
@@ -248,7 +248,7 @@
               })) {
         Recorder recorder = new Recorder();
         Outcome outcome = send(runner, "1", true, recorder);
-        assertThat(outcome).isInstanceOf(Outcome.StreamEnded.class);
+        assertThat(outcome).isInstanceOf(Outcome.StreamCompleted.class);
         assertThat(recorder.pieces.toString()).isEqualTo("id: 1\n\n\n\n");
       }
     }
@@ -265,7 +265,8 @@
                 ScriptedRunner.write(out, head + "7\r\nid: 1\n\n\r\n");
                 connection.close();
               })) {
-        assertThat(send(runner, "1", true, new Recorder())).isInstanceOf(Outcome.Lost.class);
+        assertThat(send(runner, "1", true, new Recorder()))
+            .isInstanceOf(Outcome.ResponseLost.class);
       }
     }
   }
