--- a/sequoia-node/src/main/java/org/sequoiahub/node/upstream/Attempt.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/upstream/Attempt.java
@@ -15,25 +15,28 @@
 import org.sequoiahub.usersplatform.CallerDialect;
 import org.sequoiahub.usersplatform.CallerDialect.AnswerHeaders;
 
-/** One request at one runner. */
+/** One attempt to send a request to a runner and to receive its response. */
 public final class Attempt {
 
-  /** Largest answer that is held until it is whole (bytes); the users' plain answers are below. */
-  private static final int MAX_HELD_BYTES = 8 << 20;
+  /**
+   * Maximum size of a response that is buffered until it is complete (bytes); the users' plain
+   * responses are smaller.
+   */
+  private static final int MAX_BUFFERED_BYTES = 8 << 20;
 
-  /** Characters of a library's message that are kept. */
-  private static final int MAX_REASON = 60;
+  /** Maximum length of an exception's text in a reason (characters). */
+  private static final int MAX_REASON_LENGTH = 60;
 
   private final Request request;
   private final String requestId;
   private final boolean stream;
   private final AttemptListener listener;
-  private final ByteArrayOutputStream held = new ByteArrayOutputStream();
+  private final ByteArrayOutputStream bufferedBody = new ByteArrayOutputStream();
   private final AtomicBoolean ended = new AtomicBoolean();
-  private volatile boolean handedOn;
+  private volatile boolean requestBegun;
   private volatile boolean streaming;
-  private volatile boolean streamHeadTold;
-  private HttpFields answerHeaders = HttpFields.EMPTY;
+  private volatile boolean streamStartReported;
+  private HttpFields responseHeaders = HttpFields.EMPTY;
 
   Attempt(Request request, String requestId, boolean stream, AttemptListener listener) {
     this.request = request;
@@ -44,93 +47,106 @@
 
   void send() {
     request
-        .onRequestBegin(sent -> handedOn = true)
-        .onResponseHeaders(this::headers)
-        .onResponseContent(this::content)
-        .send(this::complete);
+        .onRequestBegin(sent -> requestBegun = true)
+        .onResponseHeaders(this::handleHeaders)
+        .onResponseContent(this::handleContent)
+        .send(this::handleCompletion);
   }
 
-  /** Gives the attempt up and closes its connection, which tells the runner to stop. */
-  public void cancel(String why) {
+  /**
+   * Cancels the attempt and closes its connection, which tells the runner to stop. The listener is
+   * not called for the end of a cancelled attempt.
+   */
+  public void cancel(String reason) {
     if (ended.compareAndSet(false, true)) {
-      request.abort(new IOException(why));
+      request.abort(new IOException(reason));
     }
   }
 
   /** Returns whether the runner may have received the request. */
   public boolean mayHaveReachedRunner() {
-    return handedOn;
+    return requestBegun;
   }
 
-  private void headers(Response response) {
+  private void handleHeaders(Response response) {
     AnswerHeaders answer = CallerDialect.decodeAnswer(response.getStatus(), response.getHeaders());
-    // A runner may send a second answer to an earlier request, where ours is due. Its id tells.
+    // A runner may send a second response to an earlier request on the same connection; the request
+    // id identifies it.
     if (!answer.requestId().isEmpty() && !answer.requestId().equals(requestId)) {
-      end(new Outcome.ResponseLost("answer to another request", false));
-      request.abort(new IOException("answer to another request"));
+      finish(new Outcome.ResponseLost("response has the id of another request", false));
+      request.abort(new IOException("response has the id of another request"));
       return;
     }
-    boolean good = HttpStatus.isSuccess(response.getStatus());
-    if (good && (!answer.intact() || answer.requestId().isEmpty())) {
-      end(new Outcome.ResponseLost("answer without digest or id", false));
-      request.abort(new IOException("answer without digest or id"));
+    boolean successful = HttpStatus.isSuccess(response.getStatus());
+    if (successful && (!answer.intact() || answer.requestId().isEmpty())) {
+      finish(
+          new Outcome.ResponseLost("response has no request id or digest, or is encoded", false));
+      request.abort(new IOException("response has no request id or digest, or is encoded"));
       return;
     }
-    answerHeaders = response.getHeaders();
-    streaming = stream && good;
+    responseHeaders = response.getHeaders();
+    streaming = stream && successful;
   }
 
-  private void content(Response response, ByteBuffer content) {
+  private void handleContent(Response response, ByteBuffer content) {
     if (ended.get()) {
       return;
     }
     if (!streaming) {
-      byte[] piece = BufferUtil.toArray(content);
-      if (held.size() + piece.length > MAX_HELD_BYTES) {
-        end(new Outcome.ResponseLost("answer too large", false));
-        request.abort(new IOException("answer too large"));
+      byte[] bytes = BufferUtil.toArray(content);
+      if (bufferedBody.size() + bytes.length > MAX_BUFFERED_BYTES) {
+        finish(new Outcome.ResponseLost("response exceeds the maximum size", false));
+        request.abort(new IOException("response exceeds the maximum size"));
         return;
       }
-      held.write(piece, 0, piece.length);
+      bufferedBody.write(bytes, 0, bytes.length);
       return;
     }
-    if (!streamHeadTold) {
-      streamHeadTold = true;
-      listener.streamStarted(response.getStatus(), CallerDialect.toCaller(answerHeaders));
+    if (!streamStartReported) {
+      streamStartReported = true;
+      listener.streamStarted(response.getStatus(), CallerDialect.toCaller(responseHeaders));
     }
     listener.streamContent(ByteBuffer.wrap(BufferUtil.toArray(content)));
   }
 
-  private void complete(Result result) {
+  private void handleCompletion(Result result) {
     if (result.isFailed()) {
       Throwable failure = result.getFailure();
-      String why = brief(failure);
-      // Bytes that are no answer say that the runner's process was there to send them.
-      boolean broke = !(failure instanceof HttpResponseException);
-      boolean refused = failure instanceof ConnectException;
-      end(handedOn ? new Outcome.ResponseLost(why, broke) : new Outcome.NotSent(why, refused));
+      String reason = abbreviate(failure);
+      // An invalid response shows that the runner's process was still running to send it.
+      boolean connectionBroken = !(failure instanceof HttpResponseException);
+      boolean connectionRefused = failure instanceof ConnectException;
+      finish(
+          requestBegun
+              ? new Outcome.ResponseLost(reason, connectionBroken)
+              : new Outcome.NotSent(reason, connectionRefused));
       return;
     }
     int status = result.getResponse().getStatus();
     if (streaming) {
-      if (!streamHeadTold) {
-        listener.streamStarted(status, CallerDialect.toCaller(answerHeaders));
+      if (!streamStartReported) {
+        listener.streamStarted(status, CallerDialect.toCaller(responseHeaders));
       }
-      end(new Outcome.StreamCompleted());
-    } else if (CallerDialect.decodeAnswer(status, answerHeaders).notRun()) {
-      end(new Outcome.Refused(status));
+      finish(new Outcome.StreamCompleted());
+    } else if (CallerDialect.decodeAnswer(status, responseHeaders).notRun()) {
+      finish(new Outcome.Refused(status));
     } else {
-      end(new Outcome.Answered(status, CallerDialect.toCaller(answerHeaders), held.toByteArray()));
+      finish(
+          new Outcome.Answered(
+              status, CallerDialect.toCaller(responseHeaders), bufferedBody.toByteArray()));
     }
   }
 
-  /** The library's messages hold its whole state; the first words say what happened. */
-  private static String brief(Throwable failure) {
+  /**
+   * Returns the beginning of an exception's text: the messages of the HTTP library contain its
+   * whole state, but their first words say what happened.
+   */
+  private static String abbreviate(Throwable failure) {
     String text = String.valueOf(failure);
-    return text.length() <= MAX_REASON ? text : text.substring(0, MAX_REASON);
+    return text.length() <= MAX_REASON_LENGTH ? text : text.substring(0, MAX_REASON_LENGTH);
   }
 
-  private void end(Outcome outcome) {
+  private void finish(Outcome outcome) {
     if (ended.compareAndSet(false, true)) {
       listener.ended(outcome);
     }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/upstream/AttemptListener.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/upstream/AttemptListener.java
@@ -3,15 +3,15 @@
 import java.nio.ByteBuffer;
 import org.eclipse.jetty.http.HttpFields;
 
-/** Follows one attempt, on an HTTP client thread. */
+/** Receives the events of one attempt, on an HTTP client thread. */
 public interface AttemptListener {
 
-  /** Told of the head of a good stream, just before its first piece. */
+  /** Called with the status and headers of a successful stream, before its first content. */
   void streamStarted(int status, HttpFields headers);
 
-  /** Receives a piece of a good stream; the buffer is the receiver's. */
-  void streamContent(ByteBuffer piece);
+  /** Called with the next content of a successful stream; the listener owns the buffer. */
+  void streamContent(ByteBuffer content);
 
-  /** Told once how the attempt ended. */
+  /** Called once with the outcome, when the attempt has ended; not called if it was cancelled. */
   void ended(Outcome outcome);
 }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/upstream/Outcome.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/upstream/Outcome.java
@@ -2,33 +2,33 @@
 
 import org.eclipse.jetty.http.HttpFields;
 
-/** How one attempt at a runner ended. */
+/** The outcome of one attempt to send a request to a runner. */
 public sealed interface Outcome {
 
   /**
-   * Nothing reached the runner.
+   * The request did not reach the runner.
    *
-   * @param reason what was seen
-   * @param connectionRefused whether the connection was refused: nobody listens at the runner's
+   * @param reason the error that occurred
+   * @param connectionRefused whether the connection was refused: no process listens at the runner's
    *     address any more
    */
   record NotSent(String reason, boolean connectionRefused) implements Outcome {}
 
-  /** The runner said that it did not run the request and will not. */
+  /** The runner declared that it has not run the request and will not run it. */
   record Refused(int status) implements Outcome {}
 
-  /** The runner gave a whole answer. */
+  /** The runner sent a complete response. */
   record Answered(int status, HttpFields headers, byte[] body) implements Outcome {}
 
-  /** A stream reached its proper end; its pieces were passed on. */
+  /** A stream ended properly; its content was passed to the listener. */
   record StreamCompleted() implements Outcome {}
 
   /**
-   * The request may have run, and its answer is lost or broken off.
+   * The request may have run, but its response was lost or is incomplete.
    *
-   * @param reason what was seen
-   * @param connectionBroken whether the connection broke before the answer was whole, as it does
-   *     when the runner's process ends; else the runner sent something that is no answer
+   * @param reason the error that occurred
+   * @param connectionBroken whether the connection broke before the response was complete, as it
+   *     does when the runner's process terminates; otherwise the runner sent an invalid response
    */
   record ResponseLost(String reason, boolean connectionBroken) implements Outcome {}
 }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/upstream/RunnerEndPoint.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/upstream/RunnerEndPoint.java
@@ -10,11 +10,11 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 
 /**
- * A connection to a runner on which a reset is a failure.
+ * A connection to a runner that reports a connection reset as a failure.
  *
- * <p>The library takes a failed read for the end of the input. An answer that has no length ends
- * with its connection; if a runner crashes on the way, the reset would make the half that came look
- * whole, and the caller would get it as a good answer.
+ * <p>Jetty treats a failed read as the end of the input. A response without a length ends when its
+ * connection is closed; if the runner crashed while sending it, the reset would make the incomplete
+ * response look complete, and the caller would receive it as a successful response.
  */
 final class RunnerEndPoint extends SocketChannelEndPoint {
 
--- a/sequoia-node/src/main/java/org/sequoiahub/node/upstream/UpstreamClient.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/upstream/UpstreamClient.java
@@ -18,46 +18,50 @@
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 import org.sequoiahub.core.upstream.RunnerEntry;
 
-/** Sends requests to runners. */
+/** Sends requests to runners over HTTP. */
 public final class UpstreamClient {
 
   private static final int MAX_THREADS = 8;
   private static final int MIN_THREADS = 2;
 
-  /** Connections to one address at most, whatever the operator's limit: a guard for memory. */
-  private static final int MAX_CONNECTIONS = 512;
+  /**
+   * Maximum number of connections to one address, independent of the operator's limit: limits the
+   * use of memory.
+   */
+  private static final int MAX_CONNECTIONS_PER_ADDRESS = 512;
 
   /**
-   * A runner that does not accept a connection in this time is passed over (ms): plain requests
-   * have deadlines from 600 ms, and a connection takes 1 to 7 ms on the users' networks.
+   * Time after which an attempt to connect to a runner fails, so that another runner can be tried
+   * (ms): plain requests have deadlines from 600 ms, and a connection takes 1 to 7 ms on the users'
+   * networks.
    */
   private static final int CONNECT_TIMEOUT_MILLIS = 250;
 
-  /** Unused connections are closed after this (ms), below the runners' own limits. */
-  private static final long IDLE_MILLIS = 60_000;
+  /** Time after which an idle connection is closed (ms): shorter than the runners' own limits. */
+  private static final long IDLE_TIMEOUT_MILLIS = 60_000;
 
   private final HttpClient http;
 
-  /** Creates a client on a started HTTP client made by {@link #start}. */
+  /** Creates a client that uses a started HTTP client, as returned by {@link #start}. */
   public UpstreamClient(HttpClient http) {
     this.http = http;
   }
 
-  /** Returns a started HTTP client that adds nothing to a request and repeats none. */
+  /** Returns a started HTTP client that adds no headers to a request and never repeats one. */
   public static HttpClient start() throws Exception {
     ClientConnector connector = new RunnerConnector();
     QueuedThreadPool threads = new QueuedThreadPool(MAX_THREADS, MIN_THREADS);
     threads.setName("http-client");
     threads.setDaemon(true);
     connector.setExecutor(threads);
-    connector.setSslContextFactory(new UnusedTls());
+    connector.setSslContextFactory(new DisabledTls());
     connector.setSelectors(1);
     HttpClient client = new HttpClient(new HttpClientTransportOverHTTP(connector));
-    client.setMaxConnectionsPerDestination(MAX_CONNECTIONS);
-    client.setMaxRequestsQueuedPerDestination(MAX_CONNECTIONS);
+    client.setMaxConnectionsPerDestination(MAX_CONNECTIONS_PER_ADDRESS);
+    client.setMaxRequestsQueuedPerDestination(MAX_CONNECTIONS_PER_ADDRESS);
     client.setConnectTimeout(CONNECT_TIMEOUT_MILLIS);
-    client.setIdleTimeout(IDLE_MILLIS);
-    client.setDestinationIdleTimeout(2 * IDLE_MILLIS);
+    client.setIdleTimeout(IDLE_TIMEOUT_MILLIS);
+    client.setDestinationIdleTimeout(2 * IDLE_TIMEOUT_MILLIS);
     client.setFollowRedirects(false);
     client.setUserAgentField(null);
     client.setHttpCookieStore(new HttpCookieStore.Empty());
@@ -68,11 +72,12 @@
   }
 
   /**
-   * Sends a request.
+   * Sends a request and returns the attempt, which reports to the listener.
    *
-   * @param requestId the caller's id, which the answer must bear
-   * @param headers the headers as the runner gets them
-   * @param stream whether a good answer is a stream to be passed on in pieces
+   * @param requestId the caller's request id, which the response must repeat
+   * @param headers all headers to send
+   * @param stream whether the content of a successful response is passed to the listener as it
+   *     arrives, rather than buffered
    */
   public Attempt start(
       RunnerEntry runner,
@@ -102,18 +107,19 @@
   }
 
   /**
-   * Keeps the client from setting up TLS, which no connection of a host uses: loading providers and
-   * trusted certificates took a sixth of a start's processor time (1.80 to 1.48 s with both
-   * clients), which callers wait for when all hosts start again.
+   * Keeps the client from initializing TLS, which no connection of a host uses. Loading the
+   * providers and trusted certificates takes a sixth of the processor time of a host's start (for
+   * both clients 1.80 s, and 1.48 s without it), and callers wait for it after a restart of all
+   * hosts.
    */
-  private static final class UnusedTls extends SslContextFactory.Client {
+  private static final class DisabledTls extends SslContextFactory.Client {
     @Override
     protected void doStart() {
-      // Nothing to load.
+      // Skips the loading of providers and certificates.
     }
   }
 
-  /** Makes connections on which a reset is not taken for an end. */
+  /** Creates connections that report a connection reset as a failure. */
   private static final class RunnerConnector extends ClientConnector {
     @Override
     protected EndPoint newEndPoint(
--- a/sequoia-node/src/main/java/org/sequoiahub/node/upstream/package-info.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/upstream/package-info.java
@@ -1,4 +1,4 @@
-/** Requests to runners over HTTP, and how each attempt ends. */
+/** HTTP client for requests to runners, and the outcome of each attempt. */
 @NullMarked
 package org.sequoiahub.node.upstream;
 
--- a/sequoia-node/src/test/java/org/sequoiahub/node/upstream/ScriptedRunner.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/upstream/ScriptedRunner.java
@@ -15,38 +15,38 @@
 import org.sequoiahub.core.upstream.RunnerEntry;
 import org.sequoiahub.core.upstream.RunnerIncarnation;
 
-/** A runner on loopback that answers each request with the bytes it was given, or breaks off. */
+/** A runner on loopback whose response to each request is written by a script. */
 final class ScriptedRunner implements AutoCloseable {
 
-  private final ServerSocket server;
-  private final List<String> requests = new CopyOnWriteArrayList<>();
+  private final ServerSocket serverSocket;
+  private final List<String> requestHeads = new CopyOnWriteArrayList<>();
   private final Script script;
 
-  /** Answers one request on an open connection. */
+  /** Responds to one request on an open connection. */
   @FunctionalInterface
   interface Script {
-    /** Writes the answer; {@code number} counts the runner's requests from 1. */
-    void answer(int number, Socket connection, OutputStream out)
+    /** Writes the response; {@code number} counts the runner's requests from 1. */
+    void respond(int number, Socket connection, OutputStream out)
         throws IOException, InterruptedException;
   }
 
   ScriptedRunner(Script script) throws IOException {
     this.script = script;
-    this.server = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+    this.serverSocket = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
     Thread acceptor = new Thread(this::accept, "scripted-runner");
     acceptor.setDaemon(true);
     acceptor.start();
   }
 
   RunnerEntry entry() {
-    String address = "127.0.0.1:" + server.getLocalPort();
+    String address = "127.0.0.1:" + serverSocket.getLocalPort();
     return new RunnerEntry(
         RunnerIncarnation.of("i-1"), 0, "s", address, "d", 4, false, -1, 0, Set.of(), Map.of());
   }
 
-  /** The heads of the requests so far. */
-  List<String> requests() {
-    return List.copyOf(requests);
+  /** Returns the heads of the requests received so far: request line and headers. */
+  List<String> requestHeads() {
+    return List.copyOf(requestHeads);
   }
 
   static void write(OutputStream out, String text) throws IOException {
@@ -54,7 +54,7 @@
     out.flush();
   }
 
-  /** Closes a connection so that the other side sees a reset. */
+  /** Closes a connection with a reset. */
   static void reset(Socket connection) throws IOException {
     connection.setSoLinger(true, 0);
     connection.close();
@@ -62,13 +62,13 @@
 
   @Override
   public void close() throws IOException {
-    server.close();
+    serverSocket.close();
   }
 
   private void accept() {
-    while (!server.isClosed()) {
+    while (!serverSocket.isClosed()) {
       try {
-        Socket connection = server.accept();
+        Socket connection = serverSocket.accept();
         Thread thread = new Thread(() -> serve(connection), "scripted-connection");
         thread.setDaemon(true);
         thread.start();
@@ -83,28 +83,28 @@
       InputStream in = connection.getInputStream();
       OutputStream out = connection.getOutputStream();
       while (true) {
-        String head = head(in);
+        String head = readHead(in);
         if (head.isEmpty()) {
           return;
         }
         int number;
         synchronized (this) {
-          requests.add(head);
-          number = requests.size();
+          requestHeads.add(head);
+          number = requestHeads.size();
         }
-        script.answer(number, connection, out);
+        script.respond(number, connection, out);
         if (connection.isClosed()) {
           return;
         }
       }
     } catch (IOException e) {
-      // The other side closed: what it saw is what the test looks at.
+      // The client closed the connection; the test checks what the client received.
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
   }
 
-  private static String head(InputStream in) throws IOException {
+  private static String readHead(InputStream in) throws IOException {
     StringBuilder head = new StringBuilder();
     int next = in.read();
     while (next >= 0) {
--- a/sequoia-node/src/test/java/org/sequoiahub/node/upstream/StandinRunnerTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/upstream/StandinRunnerTest.java
@@ -19,20 +19,16 @@
 
 class StandinRunnerTest {
 
-  private static final long WAIT_MILLIS = 60_000;
+  private static final long TIMEOUT_MILLIS = 60_000;
 
   /**
-   * Symptom: the soak says that a runner was ordered to hold nine adapters in eight places (seed 7
-   * with 10 runners of each kind, 8 places, 71 requests a second).
-   *
-   * <p>Events: the reply to a load comes after its time limit; the holder reads a report, which
-   * counts the order and does not name the adapter, and fills the place that seems free.
-   *
-   * <p>Cause: the stand-in told of adapters that are there only. Runners of the platform list those
-   * that are on their way as well, and holders count both.
+   * Guards against reports that omit adapters in transit, which the platform's runners list and
+   * holders count. If the reply to a load order arrives after its timeout, the holder requests a
+   * report; if the report counts the order but does not list the adapter, the holder fills the
+   * place that seems free, and the runner is ordered to hold nine adapters in eight places.
    */
   @Test
-  void reportsWhatIsOnItsWay() throws Exception {
+  void reportIncludesAdaptersInTransit() throws Exception {
     HttpClient http = UpstreamClient.start();
     try (StandinRunner runner = new StandinRunner("i-1", "llm", "m", 4)) {
       runner.loadMillis(60_000);
@@ -41,10 +37,10 @@
       OrderClient client = new OrderClient(http, decoder);
       Order load = new Order(Order.Operation.LOAD, "m", "a1", 0);
       CompletableFuture<OrderReply> reply = new CompletableFuture<>();
-      client.order(entry, load, 0, "host-1", 1, WAIT_MILLIS, reply::complete);
+      client.order(entry, load, 0, "host-1", 1, TIMEOUT_MILLIS, reply::complete);
       assertThat(reply.get()).isEqualTo(OrderReply.ACCEPTED);
       CompletableFuture<ReportReply> answer = new CompletableFuture<>();
-      client.report(entry, WAIT_MILLIS, answer::complete);
+      client.report(entry, TIMEOUT_MILLIS, answer::complete);
       assertThat(answer.get()).isInstanceOf(ReportReply.Given.class);
       RunnerReport report = ((ReportReply.Given) answer.get()).report();
       assertThat(report.sequence()).isEqualTo(1);
--- a/sequoia-node/src/test/java/org/sequoiahub/node/upstream/UpstreamClientTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/upstream/UpstreamClientTest.java
@@ -18,7 +18,7 @@
 
 class UpstreamClientTest {
 
-  private static final long PATIENCE_SECONDS = 20;
+  private static final long TIMEOUT_SECONDS = 20;
 
   private HttpClient http;
   private UpstreamClient client;
@@ -35,15 +35,15 @@
   }
 
   private static final class Recorder implements AttemptListener {
-    private final StringBuffer pieces = new StringBuffer();
+    private final StringBuffer content = new StringBuffer();
     private final BlockingQueue<Outcome> outcomes = new LinkedBlockingQueue<>();
 
     @Override
     public void streamStarted(int status, HttpFields headers) {}
 
     @Override
-    public void streamContent(ByteBuffer piece) {
-      pieces.append(new String(BufferUtil.toArray(piece), UTF_8));
+    public void streamContent(ByteBuffer buffer) {
+      content.append(new String(BufferUtil.toArray(buffer), UTF_8));
     }
 
     @Override
@@ -51,8 +51,8 @@
       outcomes.add(outcome);
     }
 
-    Outcome outcome() throws InterruptedException {
-      Outcome outcome = outcomes.poll(PATIENCE_SECONDS, TimeUnit.SECONDS);
+    Outcome awaitOutcome() throws InterruptedException {
+      Outcome outcome = outcomes.poll(TIMEOUT_SECONDS, TimeUnit.SECONDS);
       assertThat(outcome).isNotNull();
       return outcome;
     }
@@ -63,14 +63,14 @@
     HttpFields headers = HttpFields.build().add("Request-Id", id).add("Host", "h.example");
     String path = "/a//b/%2F?x=1";
     client.start(runner.entry(), "GET", path, id, headers, new byte[0], stream, recorder);
-    return recorder.outcome();
+    return recorder.awaitOutcome();
   }
 
-  private Outcome plain(ScriptedRunner runner, String id) throws InterruptedException {
+  private Outcome sendPlain(ScriptedRunner runner, String id) throws InterruptedException {
     return send(runner, id, false, new Recorder());
   }
 
-  private static String whole(String id, String body) {
+  private static String completeResponse(String id, String body) {
     return "HTTP/1.1 200 OK\r\nRequest-Id: "
         + id
         + "\r\n"
@@ -81,18 +81,20 @@
         + body;
   }
 
-  private static String unframed(String id) {
+  private static String responseWithoutLength(String id) {
     return "HTTP/1.1 200 OK\r\nRequest-Id: " + id + "\r\n" + Headers.DIGEST + ": s\r\n\r\nhalf";
   }
 
   @Nested
   class Requests {
     @Test
-    void arriveWithTheirPathAndNothingAdded() throws Exception {
+    void keepTheirPathAndGetNoExtraHeaders() throws Exception {
       try (ScriptedRunner runner =
-          new ScriptedRunner((n, c, out) -> ScriptedRunner.write(out, whole("1", "ok")))) {
-        assertThat(plain(runner, "1")).isInstanceOf(Outcome.Answered.class);
-        String head = runner.requests().get(0);
+          new ScriptedRunner(
+              (number, connection, out) ->
+                  ScriptedRunner.write(out, completeResponse("1", "ok")))) {
+        assertThat(sendPlain(runner, "1")).isInstanceOf(Outcome.Answered.class);
+        String head = runner.requestHeads().get(0);
         assertThat(head).startsWith("GET /a//b/%2F?x=1 HTTP/1.1\r\n");
         assertThat(head).contains("Host: h.example\r\n");
         assertThat(head).doesNotContain("Accept-Encoding");
@@ -102,98 +104,94 @@
   }
 
   @Nested
-  class BrokenAnswers {
+  class BrokenResponses {
     /**
-     * Symptom: a caller gets half an answer as a good one.
-     *
-     * <p>Events: a runner answers without a length, crashes, and its connection is reset.
-     *
-     * <p>Cause: the HTTP library takes a failed read for the end of the answer.
+     * Guards against an incomplete response that is passed on as a successful one: the runner sends
+     * a response without a length, crashes, and its connection is reset. By default Jetty treats
+     * the failed read as the end of the response.
      */
     @Test
-    void resetIsNotTheEnd() throws Exception {
+    void connectionResetIsNotEndOfResponse() throws Exception {
       try (ScriptedRunner runner =
           new ScriptedRunner(
-              (n, connection, out) -> {
-                ScriptedRunner.write(out, unframed("1"));
+              (number, connection, out) -> {
+                ScriptedRunner.write(out, responseWithoutLength("1"));
                 Thread.sleep(200);
                 ScriptedRunner.reset(connection);
               })) {
-        assertThat(plain(runner, "1")).isInstanceOf(Outcome.ResponseLost.class);
+        assertThat(sendPlain(runner, "1")).isInstanceOf(Outcome.ResponseLost.class);
       }
     }
 
     @Test
-    void closeIsTheEndOfAnAnswerWithoutLength() throws Exception {
+    void connectionCloseEndsResponseWithoutLength() throws Exception {
       try (ScriptedRunner runner =
           new ScriptedRunner(
-              (n, connection, out) -> {
-                ScriptedRunner.write(out, unframed("1"));
+              (number, connection, out) -> {
+                ScriptedRunner.write(out, responseWithoutLength("1"));
                 connection.close();
               })) {
-        assertThat(plain(runner, "1")).isInstanceOf(Outcome.Answered.class);
+        assertThat(sendPlain(runner, "1")).isInstanceOf(Outcome.Answered.class);
       }
     }
 
     @Test
-    void closeBeforeTheLengthIsReachedIsNot() throws Exception {
+    void connectionCloseBeforeFullLengthLosesResponse() throws Exception {
       try (ScriptedRunner runner =
           new ScriptedRunner(
-              (n, connection, out) -> {
-                ScriptedRunner.write(out, whole("1", "long body").substring(0, 70));
+              (number, connection, out) -> {
+                ScriptedRunner.write(out, completeResponse("1", "long body").substring(0, 70));
                 connection.close();
               })) {
-        assertThat(plain(runner, "1")).isInstanceOf(Outcome.ResponseLost.class);
+        assertThat(sendPlain(runner, "1")).isInstanceOf(Outcome.ResponseLost.class);
       }
     }
 
     @Test
-    void withoutDigestItIsNotTheRunners() throws Exception {
+    void responseWithoutDigestIsLost() throws Exception {
       try (ScriptedRunner runner =
           new ScriptedRunner(
-              (n, c, out) ->
+              (number, connection, out) ->
                   ScriptedRunner.write(
                       out, "HTTP/1.1 200 OK\r\nRequest-Id: 1\r\nContent-Length: 2\r\n\r\nok"))) {
-        assertThat(plain(runner, "1")).isInstanceOf(Outcome.ResponseLost.class);
+        assertThat(sendPlain(runner, "1")).isInstanceOf(Outcome.ResponseLost.class);
       }
     }
 
     @Test
-    void bytesThatAreNoAnswer() throws Exception {
+    void invalidResponseIsLost() throws Exception {
       try (ScriptedRunner runner =
           new ScriptedRunner(
-              (n, connection, out) -> {
+              (number, connection, out) -> {
                 ScriptedRunner.write(out, "rot rot rot\r\n\r\n");
                 connection.close();
               })) {
-        assertThat(plain(runner, "1")).isInstanceOf(Outcome.ResponseLost.class);
+        assertThat(sendPlain(runner, "1")).isInstanceOf(Outcome.ResponseLost.class);
       }
     }
   }
 
   @Nested
-  class ExtraAnswers {
+  class ExtraResponses {
     /**
-     * Symptom: an agent hears the slots of another caller.
-     *
-     * <p>Events: a runner sends a second answer after the one that was due; the next request goes
-     * out on the same connection and finds it.
-     *
-     * <p>Cause looked for: an answer taken because it came where one was due.
+     * Guards against a caller receiving the response to another caller's request: a runner sends
+     * two responses to one request, and the next request on the same connection receives the
+     * second.
      */
     @Test
-    void neverReachTheNextRequest() throws Exception {
+    void extraResponseNeverReachesNextRequest() throws Exception {
       try (ScriptedRunner runner =
           new ScriptedRunner(
-              (n, c, out) -> {
-                if (n == 1) {
-                  ScriptedRunner.write(out, whole("1", "mine") + whole("1", "again"));
+              (number, connection, out) -> {
+                if (number == 1) {
+                  ScriptedRunner.write(
+                      out, completeResponse("1", "mine") + completeResponse("1", "again"));
                 } else {
-                  ScriptedRunner.write(out, whole(Integer.toString(n), "mine"));
+                  ScriptedRunner.write(out, completeResponse(Integer.toString(number), "mine"));
                 }
               })) {
-        assertThat(plain(runner, "1")).isInstanceOf(Outcome.Answered.class);
-        Outcome second = plain(runner, "2");
+        assertThat(sendPlain(runner, "1")).isInstanceOf(Outcome.Answered.class);
+        Outcome second = sendPlain(runner, "2");
         if (second instanceof Outcome.Answered answered) {
           assertThat(new String(answered.body(), UTF_8)).isEqualTo("mine");
         } else {
@@ -203,10 +201,12 @@
     }
 
     @Test
-    void lateOneIsKnownByItsId() throws Exception {
+    void responseWithOtherRequestIdIsLost() throws Exception {
       try (ScriptedRunner runner =
-          new ScriptedRunner((n, c, out) -> ScriptedRunner.write(out, whole("other", "theirs")))) {
-        assertThat(plain(runner, "1")).isInstanceOf(Outcome.ResponseLost.class);
+          new ScriptedRunner(
+              (number, connection, out) ->
+                  ScriptedRunner.write(out, completeResponse("other", "theirs")))) {
+        assertThat(sendPlain(runner, "1")).isInstanceOf(Outcome.ResponseLost.class);
       }
     }
   }
@@ -214,54 +214,56 @@
   @Nested
   class Refusals {
     @Test
-    void onlyTheRunnersWordCounts() throws Exception {
-      String said = "HTTP/1.1 503 No\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n";
-      String silent = "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n";
+    void onlyNotRunHeaderCountsAsRefusal() throws Exception {
+      String notRun = "HTTP/1.1 503 No\r\nNot-Run: 1\r\nContent-Length: 0\r\n\r\n";
+      String withoutHeader = "HTTP/1.1 503 No\r\nContent-Length: 0\r\n\r\n";
       try (ScriptedRunner runner =
-          new ScriptedRunner((n, c, out) -> ScriptedRunner.write(out, n == 1 ? said : silent))) {
-        assertThat(plain(runner, "1")).isInstanceOf(Outcome.Refused.class);
-        assertThat(plain(runner, "2")).isInstanceOf(Outcome.Answered.class);
+          new ScriptedRunner(
+              (number, connection, out) ->
+                  ScriptedRunner.write(out, number == 1 ? notRun : withoutHeader))) {
+        assertThat(sendPlain(runner, "1")).isInstanceOf(Outcome.Refused.class);
+        assertThat(sendPlain(runner, "2")).isInstanceOf(Outcome.Answered.class);
       }
     }
 
     @Test
-    void closedPortReceivedNothing() throws Exception {
-      ScriptedRunner runner = new ScriptedRunner((n, c, out) -> {});
+    void closedPortMeansNotSent() throws Exception {
+      ScriptedRunner runner = new ScriptedRunner((number, connection, out) -> {});
       runner.close();
-      assertThat(plain(runner, "1")).isInstanceOf(Outcome.NotSent.class);
+      assertThat(sendPlain(runner, "1")).isInstanceOf(Outcome.NotSent.class);
     }
   }
 
   @Nested
   class Streams {
     @Test
-    void piecesComeAsTheyAreMadeAndTheEndIsTold() throws Exception {
+    void contentIsForwardedAndCompletionReported() throws Exception {
       String head =
           "HTTP/1.1 200 OK\r\nRequest-Id: 1\r\n"
               + Headers.DIGEST
               + ": s\r\nTransfer-Encoding: chunked\r\n\r\n";
       try (ScriptedRunner runner =
           new ScriptedRunner(
-              (n, c, out) -> {
+              (number, connection, out) -> {
                 ScriptedRunner.write(out, head + "9\r\nid: 1\n\n\n\n\r\n");
                 ScriptedRunner.write(out, "0\r\n\r\n");
               })) {
         Recorder recorder = new Recorder();
         Outcome outcome = send(runner, "1", true, recorder);
         assertThat(outcome).isInstanceOf(Outcome.StreamCompleted.class);
-        assertThat(recorder.pieces.toString()).isEqualTo("id: 1\n\n\n\n");
+        assertThat(recorder.content.toString()).isEqualTo("id: 1\n\n\n\n");
       }
     }
 
     @Test
-    void brokenOneIsLost() throws Exception {
+    void brokenStreamIsLost() throws Exception {
       String head =
           "HTTP/1.1 200 OK\r\nRequest-Id: 1\r\n"
               + Headers.DIGEST
               + ": s\r\nTransfer-Encoding: chunked\r\n\r\n";
       try (ScriptedRunner runner =
           new ScriptedRunner(
-              (n, connection, out) -> {
+              (number, connection, out) -> {
                 ScriptedRunner.write(out, head + "7\r\nid: 1\n\n\r\n");
                 connection.close();
               })) {
