--- a/sequoia-node/src/main/java/org/sequoiahub/node/Node.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/Node.java
@@ -73,60 +73,64 @@
 import org.sequoiahub.wire.WireThreads;
 
 /**
- * A running host: its ports, its clients, and the one thread that decides.
+ * A running host: its ports, its clients and its single decision thread.
  *
- * <p>Network threads hand everything that takes a decision to that thread through a bounded ring;
- * only the pieces of a stream go straight from the runner's connection to the caller's.
+ * <p>Network threads pass all work that requires a decision to the decision thread through a
+ * bounded queue. Only the content of a stream is passed directly from the runner's connection to
+ * the caller's.
  */
 public final class Node {
 
-  private static final int RING = 65_536;
+  /** Capacity of the decision thread's queue (actions). */
+  private static final int DECISION_QUEUE_CAPACITY = 65_536;
 
-  /** The decision thread looks after what is due this often while requests wait (ms). */
+  /** Tick period of the decision thread while requests wait (ms). */
   private static final long TICK_MILLIS = 10;
 
   /**
-   * The same while none does (ms): what is due then are heartbeats, deadlines and second sends, and
-   * to wake up is most of what an idle host spends.
+   * Tick period while no request waits (ms): only heartbeats, deadlines and hedged requests are due
+   * then, and wake-ups account for most of the processor time of an idle host.
    */
-  private static final long CALM_TICK_MILLIS = 25;
+  private static final long QUIET_TICK_MILLIS = 25;
 
   /**
-   * The same in a large fleet while a host has no request, orders no runner and speaks for no other
-   * (ms): most hosts of such a fleet are idle, and what wakes them up is what they cost.
+   * Tick period in a large fleet while a host has no request, holds or claims no lease and is not a
+   * delegate (ms): most hosts of such a fleet are idle, and wake-ups account for most of their
+   * processor time.
    */
   private static final long IDLE_TICK_MILLIS = 100;
 
-  /** Leases, orders and the store are looked after this often (ms). */
-  private static final long SLOW_TICK_MILLIS = 20;
+  /** Interval at which leases, orders and the synchronization with the store are processed (ms). */
+  private static final long HOLDER_AND_STORE_TICK_MILLIS = 20;
 
-  /** What changes slowly is looked after this often (ms). */
-  private static final long UPKEEP_MILLIS = 100;
+  /** Interval of upkeep: the processing of state that changes slowly (ms). */
+  private static final long UPKEEP_PERIOD_MILLIS = 100;
 
-  /** The same of a host that only takes requests, in a large fleet. */
-  private static final long ORDINARY_UPKEEP_MILLIS = 250;
+  /** Interval of upkeep at a request-only host (ms). */
+  private static final long REQUEST_ONLY_UPKEEP_PERIOD_MILLIS = 250;
 
-  /** A host that orders no runner looks this often whether it should (ms). */
-  private static final long IDLE_HOLDER_MILLIS = 100;
+  /** Interval at which a host without leases checks whether it should claim one (ms). */
+  private static final long HOLDER_CHECK_PERIOD_MILLIS = 100;
 
-  /** The same of a host that only takes requests, in a large fleet. */
-  private static final long ORDINARY_HOLDER_MILLIS = 500;
+  /** Interval of the same check at a request-only host (ms). */
+  private static final long REQUEST_ONLY_HOLDER_CHECK_PERIOD_MILLIS = 500;
 
-  /** A connection between hosts that answers no probe for this long is dropped (ms). */
-  private static final long SILENCE_MILLIS = 1_500;
+  /** Time after which a connection between hosts that answers no probe is closed (ms). */
+  private static final long PEER_TIMEOUT_MILLIS = 1_500;
 
   /**
-   * Watches of the runners start this far apart (ms): runners write all the time, each call has a
-   * price, and one that leaves must be known within the 2 s that it goes on serving.
+   * Interval between the starts of watches on the runners' entries (ms). Runners write their
+   * entries all the time and each call has a cost, but a draining runner must be known within the 2
+   * s for which it continues to serve.
    */
-  private static final long RUNNER_SPACING_MILLIS = 600;
+  private static final long RUNNER_WATCH_SPACING_MILLIS = 600;
 
-  /** Runners that vanished this long ago are forgotten (ms). */
-  private static final long FORGET_MILLIS = 60_000;
+  /** Time for which the state of a runner without an entry is retained (ms). */
+  private static final long RUNNER_RETENTION_MILLIS = 60_000;
 
-  private final HostSettings host;
+  private final HostSettings hostSettings;
 
-  /** Which process of its host this is: the time of day of its start (ms). */
+  /** Start time of this process (ms since the epoch), which distinguishes it from earlier ones. */
   private final long incarnation;
 
   private final EventLog log;
@@ -135,200 +139,219 @@
   private final EventLoopGroup network = WireThreads.one("peers");
   private final HttpClient storeHttp;
   private final HttpClient runnerHttp;
-  private final Duty<Runnable> duty;
+  private final Duty<Runnable> decisionThread;
   private final Members<HostState> members;
   private final Holdings holdings = new Holdings();
-  private final FleetLoad loads = new FleetLoad();
+  private final FleetLoad fleetLoad = new FleetLoad();
   private final FleetSpending spending;
   private final AllowanceKeeper allowances;
-  private final RunnerRegistry book = new RunnerRegistry();
-  private final StoreRegistry store;
-  private final FleetView fleet;
-  private final RequestCoordinator calls;
-  private final HolderService holder;
-  private final FleetShape shape;
+  private final RunnerRegistry runnerRegistry = new RunnerRegistry();
+  private final StoreRegistry storeRegistry;
+  private final FleetView fleetView;
+  private final RequestCoordinator requestCoordinator;
+  private final HolderService holderService;
+  private final FleetShape fleetShape;
   private final CallerAddresses callerAddresses;
-  private final PeerHeartbeats peers;
-  private final RequestQuarantine knownEnds;
-  private final RunnerEndExchange runnerEnds;
-  private final QuarantineGate quarantine;
+  private final PeerHeartbeats heartbeats;
+  private final RequestQuarantine requestQuarantine;
+  private final RunnerEndExchange terminationExchange;
+  private final QuarantineGate quarantineGate;
   private final LoadGuard loadGuard;
   private final DemandSender demandSender;
-  private final RecordSync records;
+  private final RecordSync recordSync;
   private final CallerServer callerServer;
   private final DatagramPort datagrams;
   private final WireServer wireServer;
   private final WireClients wireClients;
-  private volatile CallerLimits limits = CallerLimits.UNKNOWN;
+  private volatile CallerLimits callerLimits = CallerLimits.UNKNOWN;
   private volatile boolean ready;
   private volatile boolean leaving;
-  private volatile List<String> addresses = List.of();
-  private Map<String, FleetLoad.Use> toldUses = Map.of();
-  private long slowTickMillis;
-  private long upkeepMillis;
-  private long idleHolderMillis;
-
-  private Node(HostSettings host, NodeSettings own, long startedMillis) throws Exception {
-    this.host = host;
-    this.log = new EventLog("node", host.host());
-    this.members = new Members<>(host.host(), MemberSettings.DEFAULT);
+  private volatile List<String> advertisedAddresses = List.of();
+  private Map<String, FleetLoad.Use> lastAdvertisedUses = Map.of();
+  private long lastHolderAndStoreTickMillis;
+  private long lastUpkeepMillis;
+  private long lastHolderCheckMillis;
+
+  private Node(HostSettings hostSettings, NodeSettings nodeSettings, long startedMillis)
+      throws Exception {
+    this.hostSettings = hostSettings;
+    this.log = new EventLog("node", hostSettings.host());
+    this.members = new Members<>(hostSettings.host(), MemberSettings.DEFAULT);
     this.storeHttp = UpstreamClient.start();
     this.runnerHttp = UpstreamClient.start();
-    this.duty =
+    this.decisionThread =
         new Duty<>(
             "decisions",
-            RING,
-            this::tickMillis,
+            DECISION_QUEUE_CAPACITY,
+            this::tickPeriodMillis,
             Runnable::run,
             this::tick,
-            this::defect,
+            this::logDefect,
             MonotonicClock.SYSTEM);
-    this.spending = new FleetSpending(host.allowances().windowMillis());
+    this.spending = new FleetSpending(hostSettings.allowances().windowMillis());
     this.allowances =
         new AllowanceKeeper(
-            spending, host.allowances(), host.expectsOthers(), random::nextDouble, startedMillis);
+            spending,
+            hostSettings.allowances(),
+            hostSettings.expectsOthers(),
+            random::nextDouble,
+            startedMillis);
     KeyHasher keys = KeyHasher.drawn(new SecureRandom());
     RecordDecoder decoder = new RecordDecoder(keys);
-    this.store = new StoreRegistry(decoder, book, this::inForce, this::changed, log);
-    this.fleet =
+    this.storeRegistry =
+        new StoreRegistry(
+            decoder, runnerRegistry, this::applyRoutingTable, this::stateChanged, log);
+    this.fleetView =
         new FleetView(
-            book,
+            runnerRegistry,
             holdings,
-            loads,
-            host.failureDomain(),
-            (name, now) -> name.equals(host.host()) || members.isSound(name, now),
-            this::sharingHosts,
-            store::newestVersion,
-            this::missing);
+            fleetLoad,
+            hostSettings.failureDomain(),
+            (name, now) -> name.equals(hostSettings.host()) || members.isSound(name, now),
+            this::sharingHostCount,
+            storeRegistry::newestVersion,
+            this::reportMissingAdapter);
     this.datagrams =
-        DatagramPort.open(network, host.ip(), host.datagramPort(), log, this::datagram);
+        DatagramPort.open(
+            network, hostSettings.ip(), hostSettings.datagramPort(), log, this::datagramReceived);
     this.incarnation = System.currentTimeMillis();
-    this.shape = new FleetShape(host, members);
-    this.callerAddresses = new CallerAddresses(host, members, shape);
-    this.peers =
+    this.fleetShape = new FleetShape(hostSettings, members);
+    this.callerAddresses = new CallerAddresses(hostSettings, members, fleetShape);
+    this.heartbeats =
         new PeerHeartbeats(
-            host,
+            hostSettings,
             incarnation,
             members,
-            shape,
-            loads,
+            fleetShape,
+            fleetLoad,
             holdings,
             spending,
             datagrams::send,
-            this::ownState,
-            this::stateOf,
-            this::wordOf,
+            this::newState,
+            this::handleState,
+            this::handleRecordRevisions,
             random,
             log);
-    this.knownEnds = new RequestQuarantine(QuarantineSettings.DEFAULT);
-    this.runnerEnds =
-        new RunnerEndExchange(knownEnds, members, shape, peers::datagram, datagrams::send, random);
-    this.quarantine = new QuarantineGate(knownEnds, book, runnerEnds, metrics, log);
-    this.loadGuard = new LoadGuard(knownEnds, runnerEnds);
-    metrics.register("quarantine.requests", (Gauge<Integer>) knownEnds::size);
+    this.requestQuarantine = new RequestQuarantine(QuarantineSettings.DEFAULT);
+    this.terminationExchange =
+        new RunnerEndExchange(
+            requestQuarantine, members, fleetShape, heartbeats::datagram, datagrams::send, random);
+    this.quarantineGate =
+        new QuarantineGate(requestQuarantine, runnerRegistry, terminationExchange, metrics, log);
+    this.loadGuard = new LoadGuard(requestQuarantine, terminationExchange);
+    metrics.register("quarantine.requests", (Gauge<Integer>) requestQuarantine::size);
     SharedRetryBudget budget =
-        new SharedRetryBudget(host.retries(), startedMillis, host.firstStart());
-    this.calls =
+        new SharedRetryBudget(hostSettings.retries(), startedMillis, hostSettings.firstStart());
+    this.requestCoordinator =
         new RequestCoordinator(
-            fleet,
+            fleetView,
             keys,
             allowances,
             new UpstreamClient(runnerHttp),
             budget,
-            quarantine,
+            quarantineGate,
             loadGuard,
-            duty::put,
+            decisionThread::put,
             MonotonicClock.SYSTEM::nowMillis,
-            this::changed,
+            this::stateChanged,
             random,
             metrics,
             log);
     this.demandSender =
-        new DemandSender(host.host(), members, holdings, peers::datagram, datagrams::send);
-    this.holder =
+        new DemandSender(
+            hostSettings.host(), members, holdings, heartbeats::datagram, datagrams::send);
+    this.holderService =
         new HolderService(
-            host,
+            hostSettings,
             incarnation,
             startedMillis,
             members,
-            shape,
+            fleetShape,
             holdings,
-            loads,
+            fleetLoad,
             new OrderClient(runnerHttp, decoder),
             loadGuard,
-            peers::datagram,
+            heartbeats::datagram,
             datagrams::send,
-            duty::put,
+            decisionThread::put,
             MonotonicClock.SYSTEM::nowMillis,
             System::currentTimeMillis,
-            store::newestVersion,
-            peers::holdingsChanged,
+            storeRegistry::newestVersion,
+            heartbeats::holdingsChanged,
             log);
-    this.wireClients = new WireClients(network, SILENCE_MILLIS);
-    StoreClient storeClient = new StoreClient(storeHttp, host.storeAddress());
-    this.records =
+    this.wireClients = new WireClients(network, PEER_TIMEOUT_MILLIS);
+    StoreClient storeClient = new StoreClient(storeHttp, hostSettings.storeAddress());
+    this.recordSync =
         new RecordSync(
-            Math.min(host.configurationMillis(), host.drainMillis()),
+            Math.min(hostSettings.configurationMillis(), hostSettings.drainMillis()),
             startedMillis,
-            shape,
+            fleetShape,
             members,
-            store,
-            follower(
+            storeRegistry,
+            newStoreFollower(
                 storeClient,
                 StoredKeys.OPERATOR_PREFIX,
-                WatchTiming.within(host.configurationMillis(), 0)),
-            follower(
+                WatchTiming.within(hostSettings.configurationMillis(), 0)),
+            newStoreFollower(
                 storeClient,
                 StoredKeys.RUNNER_PREFIX,
-                WatchTiming.within(host.drainMillis(), RUNNER_SPACING_MILLIS)),
-            new RecordExchange(RecordExchange.over(wireClients, host.peerPort()), this::passedOn),
-            this::changed,
+                WatchTiming.within(hostSettings.drainMillis(), RUNNER_WATCH_SPACING_MILLIS)),
+            new RecordExchange(
+                RecordExchange.over(wireClients, hostSettings.peerPort()), this::recordsReceived),
+            this::stateChanged,
             log);
     this.wireServer =
-        WireServer.open(network, host.ip(), host.peerPort(), SILENCE_MILLIS, new PeerHandler());
+        WireServer.open(
+            network,
+            hostSettings.ip(),
+            hostSettings.peerPort(),
+            PEER_TIMEOUT_MILLIS,
+            new PeerHandler());
     this.callerServer =
         new CallerServer(
-            host.ip(),
-            host.callerPort(),
-            host.readinessPort(),
-            host.addressPort(),
-            own.getMetricsPort(),
-            Math.min(own.getAddressTtlMs(), host.addressTtlMillis()),
-            () -> addresses,
+            hostSettings.ip(),
+            hostSettings.callerPort(),
+            hostSettings.readinessPort(),
+            hostSettings.addressPort(),
+            nodeSettings.getMetricsPort(),
+            Math.min(nodeSettings.getAddressTtlMs(), hostSettings.addressTtlMillis()),
+            () -> advertisedAddresses,
             () -> ready && !leaving,
-            () -> limits,
+            () -> callerLimits,
             () -> MetricsText.render(metrics),
-            request -> duty.put(() -> arrived(request)));
+            request -> decisionThread.put(() -> requestArrived(request)));
   }
 
   /**
-   * Starts a host's program.
+   * Starts a node.
    *
-   * @param startedMillis when the process began, on the monotonic clock
+   * @param nodeSettings the settings of the program itself
+   * @param hostSettings the settings of the host, from the platform's settings file
+   * @param startedMillis when the process started, on the monotonic clock (ms)
    * @throws IOException if a port cannot be opened
    */
-  public static Node start(NodeSettings own, HostSettings host, long startedMillis)
+  public static Node start(NodeSettings nodeSettings, HostSettings hostSettings, long startedMillis)
       throws Exception {
-    Node node = new Node(host, own, startedMillis);
+    Node node = new Node(hostSettings, nodeSettings, startedMillis);
     node.registerGauges();
-    node.duty.start();
+    node.decisionThread.start();
     node.callerServer.start();
     node.log.info(
         "started",
         "domain",
-        host.failureDomain(),
+        hostSettings.failureDomain(),
         "first_start",
-        host.firstStart(),
+        hostSettings.firstStart(),
         "seeds",
-        host.seeds().size());
+        hostSettings.seeds().size());
     return node;
   }
 
   /**
-   * Takes in settings that have changed while the process runs.
+   * Applies settings that have changed while the process is running.
    *
-   * <p>Seeds are used at once. Addresses and bounds hold for the life of a process: they are logged
-   * and come into force with its next start.
+   * <p>Only changed seeds are applied at once. Changes of other settings are logged as needing a
+   * restart and take effect when the process is started again.
    */
   public void reload(HostSettings changed) {
     log.info(
@@ -336,44 +359,47 @@
         "seeds",
         changed.seeds().size(),
         "needs_restart",
-        !changed.withSeeds(host.seeds()).equals(host));
-    duty.put(() -> peers.seeds(changed.seeds()));
+        !changed.withSeeds(hostSettings.seeds()).equals(hostSettings));
+    decisionThread.put(() -> heartbeats.seeds(changed.seeds()));
   }
 
   /**
-   * Leaves the fleet and finishes what is in progress; a second call does nothing.
+   * Leaves the fleet and waits until the requests in progress have finished or the shutdown time
+   * has passed; a second call does nothing.
    *
-   * <p>A process that is about to end calls this alone: closing each port and client takes a slow
-   * host more than half a second, in which the platform kills the process.
+   * <p>A process that is about to exit calls only this method. Closing all ports and clients as
+   * well takes more than half a second on a slow host, and the platform would kill the process
+   * meanwhile.
    */
   public void leave() throws InterruptedException {
     if (leaving) {
       return;
     }
-    Shutdown shutdown = new Shutdown(MonotonicClock.SYSTEM.nowMillis(), host.shutdownMillis());
+    Shutdown shutdown =
+        new Shutdown(MonotonicClock.SYSTEM.nowMillis(), hostSettings.shutdownMillis());
     leaving = true;
     log.info("stopping");
-    duty.put(
+    decisionThread.put(
         () -> {
           long now = MonotonicClock.SYSTEM.nowMillis();
           refreshAddresses(now);
-          holder.stop();
-          peers.tellAll(now);
-          calls.stop(shutdown);
+          holderService.stop();
+          heartbeats.tellAll(now);
+          requestCoordinator.stop(shutdown);
         });
     boolean idle = false;
     while (MonotonicClock.SYSTEM.nowMillis() < shutdown.endMillis() && !idle) {
       TimeUnit.MILLISECONDS.sleep(50);
-      idle = !shutdown.isFirstPart(MonotonicClock.SYSTEM.nowMillis()) && inProgress() == 0;
+      idle = !shutdown.isFirstPart(MonotonicClock.SYSTEM.nowMillis()) && requestsInProgress() == 0;
     }
-    log.info("stopped", "in_progress", inProgress());
+    log.info("stopped", "in_progress", requestsInProgress());
   }
 
   /** Leaves the fleet and closes all ports, clients and threads. */
   public void stop() throws Exception {
     leave();
     callerServer.close();
-    duty.close();
+    decisionThread.close();
     datagrams.close();
     wireServer.close();
     wireClients.close();
@@ -382,234 +408,260 @@
     network.shutdownGracefully();
   }
 
-  private int inProgress() throws InterruptedException {
+  private int requestsInProgress() throws InterruptedException {
     int[] count = new int[1];
     CountDownLatch counted = new CountDownLatch(1);
-    duty.put(
+    decisionThread.put(
         () -> {
-          count[0] = calls.size();
+          count[0] = requestCoordinator.size();
           counted.countDown();
         });
     counted.await();
     return count[0];
   }
 
-  /** What operators look at first; read on a server thread, so only what is safe to read there. */
+  /**
+   * Registers the gauges that operators look at first. They are read on a server thread, so they
+   * use thread-safe state only.
+   */
   private void registerGauges() {
     metrics.register("ready", (Gauge<Integer>) () -> ready && !leaving ? 1 : 0);
-    metrics.register("addresses.named", (Gauge<Integer>) () -> addresses.size());
-    metrics.register("decisions.backlog", (Gauge<Integer>) duty::backlog);
-    metrics.register("configuration.version", (Gauge<Long>) () -> store.status().version());
+    metrics.register("addresses.named", (Gauge<Integer>) () -> advertisedAddresses.size());
+    metrics.register("decisions.backlog", (Gauge<Integer>) decisionThread::backlog);
+    metrics.register("configuration.version", (Gauge<Long>) () -> storeRegistry.status().version());
     metrics.register(
-        "configuration.from_peer", (Gauge<Integer>) () -> store.status().fromPeer() ? 1 : 0);
+        "configuration.from_peer",
+        (Gauge<Integer>) () -> storeRegistry.status().fromPeer() ? 1 : 0);
     metrics.register(
-        "configuration.in_force_ms", (Gauge<Long>) () -> ago(store.status().inForceMillis()));
+        "configuration.in_force_ms",
+        (Gauge<Long>) () -> elapsedMillis(storeRegistry.status().inForceMillis()));
     metrics.register(
         "configuration.confirmed_ms_ago",
-        (Gauge<Long>) () -> ago(store.status().confirmedMillis()));
+        (Gauge<Long>) () -> elapsedMillis(storeRegistry.status().confirmedMillis()));
   }
 
-  /** Returns how long ago a moment was (ms); -1 if it never was. */
-  private static long ago(long millis) {
+  /** Returns the time since a moment (ms); -1 if the moment is negative, which stands for never. */
+  private static long elapsedMillis(long millis) {
     return millis < 0 ? -1 : MonotonicClock.SYSTEM.nowMillis() - millis;
   }
 
-  private StoreFollower follower(StoreClient client, String prefix, WatchTiming timing) {
+  private StoreFollower newStoreFollower(StoreClient client, String prefix, WatchTiming timing) {
     return new StoreFollower(
-        client, prefix, timing, store, duty::put, MonotonicClock.SYSTEM::nowMillis);
+        client,
+        prefix,
+        timing,
+        storeRegistry,
+        decisionThread::put,
+        MonotonicClock.SYSTEM::nowMillis);
   }
 
   /**
-   * Returns how many hosts share what the fleet may spend, this one included; 0 if this host hears
-   * of no other though there are some. A host that has just started goes by those that know more.
+   * Returns how many hosts share the fleet's retry budget, this one included; 0 if this host knows
+   * no other although there should be some. The largest fleet size that a reachable host advertises
+   * is used, as a host that has just started knows few others itself.
    */
-  private int sharingHosts(long nowMillis) {
+  private int sharingHostCount(long nowMillis) {
     List<Member<HostState>> others = members.reachable(nowMillis);
     int hosts = 1 + others.size();
     for (Member<HostState> other : others) {
       HostState state = other.state();
       hosts = Math.max(hosts, state == null ? 0 : state.getFleetSize());
     }
-    return hosts == 1 && host.expectsOthers() ? 0 : hosts;
+    return hosts == 1 && hostSettings.expectsOthers() ? 0 : hosts;
   }
 
-  private long tickMillis() {
-    if (calls.isAnyWaiting()) {
+  private long tickPeriodMillis() {
+    if (requestCoordinator.isAnyWaiting()) {
       return TICK_MILLIS;
     }
-    boolean idle = isOrdinary() && calls.size() == 0 && !holder.isActive();
-    return idle ? IDLE_TICK_MILLIS : CALM_TICK_MILLIS;
+    boolean idle = isRequestOnly() && requestCoordinator.size() == 0 && !holderService.isActive();
+    return idle ? IDLE_TICK_MILLIS : QUIET_TICK_MILLIS;
   }
 
   private void tick(long nowMillis) {
-    calls.tick(nowMillis);
-    if (calls.demandsDue(nowMillis)) {
-      Map<String, List<Demand>> demands = calls.demands(nowMillis);
-      holder.updateLocalDemands(demands, nowMillis);
+    requestCoordinator.tick(nowMillis);
+    if (requestCoordinator.demandsDue(nowMillis)) {
+      Map<String, List<Demand>> demands = requestCoordinator.demands(nowMillis);
+      holderService.updateLocalDemands(demands, nowMillis);
       demandSender.tell(demands, nowMillis);
     }
-    if (nowMillis - slowTickMillis >= SLOW_TICK_MILLIS) {
-      slowTickMillis = nowMillis;
-      records.tick(nowMillis);
-      if (holder.isActive()) {
-        holder.tick(fleet.engines(nowMillis), nowMillis);
+    if (nowMillis - lastHolderAndStoreTickMillis >= HOLDER_AND_STORE_TICK_MILLIS) {
+      lastHolderAndStoreTickMillis = nowMillis;
+      recordSync.tick(nowMillis);
+      if (holderService.isActive()) {
+        holderService.tick(fleetView.engines(nowMillis), nowMillis);
       }
     }
-    long upkeepPeriod = isOrdinary() ? ORDINARY_UPKEEP_MILLIS : UPKEEP_MILLIS;
-    if (nowMillis - upkeepMillis >= upkeepPeriod) {
-      upkeepMillis = nowMillis;
-      upkeep(nowMillis);
+    long upkeepPeriod = isRequestOnly() ? REQUEST_ONLY_UPKEEP_PERIOD_MILLIS : UPKEEP_PERIOD_MILLIS;
+    if (nowMillis - lastUpkeepMillis >= upkeepPeriod) {
+      lastUpkeepMillis = nowMillis;
+      performUpkeep(nowMillis);
     }
-    peers.tick(nowMillis);
-    runnerEnds.tick(nowMillis);
+    heartbeats.tick(nowMillis);
+    terminationExchange.tick(nowMillis);
   }
 
-  /** Returns whether this host only takes requests: others watch the store and order runners. */
-  private boolean isOrdinary() {
-    return shape.isLarge() && !shape.isDelegate();
+  /**
+   * Returns whether this host only processes requests, as in a large fleet all but the delegates
+   * do: the delegates watch the store and hold the leases of runners.
+   */
+  private boolean isRequestOnly() {
+    return fleetShape.isLarge() && !fleetShape.isDelegate();
   }
 
-  private void upkeep(long nowMillis) {
-    long holderPeriod = isOrdinary() ? ORDINARY_HOLDER_MILLIS : IDLE_HOLDER_MILLIS;
-    if (!holder.isActive() && nowMillis - idleHolderMillis >= holderPeriod) {
-      idleHolderMillis = nowMillis;
-      holder.tick(fleet.engines(nowMillis), nowMillis);
+  private void performUpkeep(long nowMillis) {
+    long holderPeriod =
+        isRequestOnly() ? REQUEST_ONLY_HOLDER_CHECK_PERIOD_MILLIS : HOLDER_CHECK_PERIOD_MILLIS;
+    if (!holderService.isActive() && nowMillis - lastHolderCheckMillis >= holderPeriod) {
+      lastHolderCheckMillis = nowMillis;
+      holderService.tick(fleetView.engines(nowMillis), nowMillis);
     }
     refreshAddresses(nowMillis);
     members.forget(nowMillis);
-    book.forget(nowMillis, FORGET_MILLIS);
-    fleet.forget(nowMillis);
-    knownEnds.memoryLost(hasFleetForgotten(nowMillis));
+    runnerRegistry.forget(nowMillis, RUNNER_RETENTION_MILLIS);
+    fleetView.forget(nowMillis);
+    requestQuarantine.memoryLost(isTerminationHistoryIncomplete(nowMillis));
     allowances.upkeep(nowMillis);
-    calls.upkeep(nowMillis);
-    quarantine.upkeep(nowMillis);
-    loadGuard.upkeep(book::hasEnded, nowMillis);
+    requestCoordinator.upkeep(nowMillis);
+    quarantineGate.upkeep(nowMillis);
+    loadGuard.upkeep(runnerRegistry::hasEnded, nowMillis);
   }
 
   /**
-   * Returns whether ends of runners may be forgotten that still count: all hosts that are alive
-   * started since, and not with the deployment, before which there was nothing to know.
+   * Returns whether the fleet may have forgotten terminations of runners that still count for the
+   * quarantine: all hosts that are alive started less than the quarantine's hold time ago, and none
+   * of them with the deployment, before which there were no terminations.
    */
-  private boolean hasFleetForgotten(long nowMillis) {
-    if (host.firstStart()) {
+  private boolean isTerminationHistoryIncomplete(long nowMillis) {
+    if (hostSettings.firstStart()) {
       return false;
     }
-    long oldest = incarnation;
+    long oldestIncarnation = incarnation;
     for (Member<HostState> member : members.alive(nowMillis)) {
       HostState state = member.state();
       if (state != null && state.getFirstStart()) {
         return false;
       }
-      oldest = Math.min(oldest, member.incarnation());
+      oldestIncarnation = Math.min(oldestIncarnation, member.incarnation());
     }
-    long remembered = System.currentTimeMillis() - oldest;
-    return remembered < QuarantineSettings.DEFAULT.holdMillis();
+    long rememberedMillis = System.currentTimeMillis() - oldestIncarnation;
+    return rememberedMillis < QuarantineSettings.DEFAULT.holdMillis();
   }
 
-  private void changed() {
-    peers.changed();
+  private void stateChanged() {
+    heartbeats.changed();
   }
 
-  private void missing(String runner, String target, long nowMillis) {
-    holder.recordMissingAdapter(runner, target, nowMillis);
+  private void reportMissingAdapter(String runner, String target, long nowMillis) {
+    holderService.recordMissingAdapter(runner, target, nowMillis);
     demandSender.refused(runner, target);
   }
 
-  private void inForce(RoutingTable table) {
-    fleet.table(table);
+  private void applyRoutingTable(RoutingTable table) {
+    fleetView.table(table);
     allowances.configured(table.workspaces().all(), MonotonicClock.SYSTEM.nowMillis());
-    limits = table.limits();
+    callerLimits = table.limits();
     callerServer.apply(table.limits());
   }
 
-  private void arrived(CallerExchange request) {
+  private void requestArrived(CallerExchange request) {
     callerAddresses.arrived(MonotonicClock.SYSTEM.nowMillis());
-    calls.arrived(request);
+    requestCoordinator.arrived(request);
   }
 
   private void refreshAddresses(long nowMillis) {
-    ready = store.isFilled();
-    addresses = callerAddresses.named(ready && !leaving, nowMillis);
+    ready = storeRegistry.isFilled();
+    advertisedAddresses = callerAddresses.named(ready && !leaving, nowMillis);
   }
 
-  private void datagram(String ip, PeerDatagram datagram) {
-    duty.offer(() -> received(ip, datagram));
+  private void datagramReceived(String ip, PeerDatagram datagram) {
+    decisionThread.offer(() -> handleDatagram(ip, datagram));
   }
 
-  private void received(String ip, PeerDatagram datagram) {
+  private void handleDatagram(String ip, PeerDatagram datagram) {
     long now = MonotonicClock.SYSTEM.nowMillis();
     String from = datagram.getHost();
-    records.heard(from, now);
+    recordSync.heard(from, now);
     switch (datagram.getBodyCase()) {
       case STATE -> {
-        peers.received(ip, datagram, now);
-        runnerEnds.heard(from, datagram.getIncarnation(), ip, now);
+        heartbeats.received(ip, datagram, now);
+        terminationExchange.heard(from, datagram.getIncarnation(), ip, now);
       }
-      case DIGEST -> peers.receivedDigest(ip, datagram, now);
-      case CLAIM -> holder.handleClaim(from, ip, datagram.getClaim(), now);
-      case GRANT -> holder.handleGrant(from, datagram.getGrant(), now);
-      case RELEASE -> holder.handleRelease(from, datagram.getRelease());
-      case DEMAND -> demanded(from, ip, datagram.getDemand(), now);
-      case ENDS -> runnerEnds.received(from, ip, datagram.getEnds(), now);
-      default -> log.warning("datagram-dropped", "from", from, "why", "unknown body");
+      case DIGEST -> heartbeats.receivedDigest(ip, datagram, now);
+      case CLAIM -> holderService.handleClaim(from, ip, datagram.getClaim(), now);
+      case GRANT -> holderService.handleGrant(from, datagram.getGrant(), now);
+      case RELEASE -> holderService.handleRelease(from, datagram.getRelease());
+      case DEMAND -> handleDemands(from, ip, datagram.getDemand(), now);
+      case ENDS -> terminationExchange.received(from, ip, datagram.getEnds(), now);
+      default ->
+          log.warning(
+              "datagram-dropped",
+              "from",
+              from,
+              "why",
+              "unknown body; check that all hosts run the same version");
     }
   }
 
-  private void demanded(String from, String ip, DemandReport report, long nowMillis) {
+  private void handleDemands(String from, String ip, DemandReport report, long nowMillis) {
     Set<String> runners = new HashSet<>();
     for (AdapterDemand demand : report.getDemandsList()) {
       runners.add(demand.getRunner());
       if (demand.getRefused()) {
-        holder.recordMissingAdapter(demand.getRunner(), demand.getAdapter(), nowMillis);
+        holderService.recordMissingAdapter(demand.getRunner(), demand.getAdapter(), nowMillis);
       } else {
-        holder.updateRemoteDemand(
+        holderService.updateRemoteDemand(
             from, demand.getRunner(), StateCodec.decodeDemand(demand), nowMillis);
       }
     }
-    if (shape.isLarge()) {
-      holder.sendHoldings(ip, runners, nowMillis);
+    if (fleetShape.isLarge()) {
+      holderService.sendHoldings(ip, runners, nowMillis);
     }
   }
 
-  private void stateOf(String from, HostState state) {
+  private void handleState(String from, HostState state) {
     long now = MonotonicClock.SYSTEM.nowMillis();
-    loads.told(from, StateCodec.uses(state.getLoadsList()), state.getLoadsComplete(), now);
+    fleetLoad.told(from, StateCodec.uses(state.getLoadsList()), state.getLoadsComplete(), now);
     StateCodec.holdings(from, state, now).forEach(holdings::told);
-    wordOf(from, state);
+    handleRecordRevisions(from, state);
   }
 
-  private void wordOf(String from, HostState state) {
-    records.told(from, state, MonotonicClock.SYSTEM.nowMillis());
+  private void handleRecordRevisions(String from, HostState state) {
+    recordSync.told(from, state, MonotonicClock.SYSTEM.nowMillis());
   }
 
-  /** Takes in records as if another host had passed them on that knows no others. */
+  /**
+   * Applies records as if another host had sent them without stating up to which revisions they are
+   * complete.
+   */
   void applyRecords(List<StoredItem> items) {
-    passedOn(new PulledRecords(host.ip(), items, 0, 0, 0));
+    recordsReceived(new PulledRecords(hostSettings.ip(), items, 0, 0, 0));
   }
 
-  private void passedOn(PulledRecords pulled) {
-    duty.put(() -> records.received(pulled, MonotonicClock.SYSTEM.nowMillis()));
+  private void recordsReceived(PulledRecords pulled) {
+    decisionThread.put(() -> recordSync.received(pulled, MonotonicClock.SYSTEM.nowMillis()));
   }
 
-  private HostState.Builder ownState(boolean withHoldings, boolean complete) {
+  private HostState.Builder newState(boolean withHoldings, boolean complete) {
     long now = MonotonicClock.SYSTEM.nowMillis();
     HostState.Builder state =
         HostState.newBuilder()
-            .setIp(host.ip())
-            .setFailureDomain(host.failureDomain())
-            .setProcessor(host.processorPercent())
-            .setFirstStart(host.firstStart())
+            .setIp(hostSettings.ip())
+            .setFailureDomain(hostSettings.failureDomain())
+            .setProcessor(hostSettings.processorPercent())
+            .setFirstStart(hostSettings.firstStart())
             .setCallerAddress(callerAddresses.own())
             .setRequestsPerSecond(callerAddresses.requestsPerSecond(now))
             .setReady(ready && !leaving)
             .setLeaving(leaving)
             .setFleetSize(1 + members.reachable(now).size())
-            .setConfigRevision(store.newestOperatorRevision())
-            .setRunnersRevision(store.newestRunnersRevision());
+            .setConfigRevision(storeRegistry.newestOperatorRevision())
+            .setRunnersRevision(storeRegistry.newestRunnersRevision());
     state.setLoadsComplete(complete);
     StateCodec.addUses(state, complete ? allUses() : changedUses());
-    Set<String> told = leaving || !withHoldings ? Set.of() : holder.advertisedRunners(now);
-    for (String runner : told) {
+    Set<String> advertised =
+        leaving || !withHoldings ? Set.of() : holderService.advertisedRunners(now);
+    for (String runner : advertised) {
       holdings
           .find(runner)
           .ifPresent(h -> state.addHoldings(StateCodec.encodeHolding(runner, h, now)));
@@ -618,24 +670,27 @@
   }
 
   private Map<String, FleetLoad.Use> allUses() {
-    toldUses = loads.own();
-    return toldUses;
+    lastAdvertisedUses = fleetLoad.own();
+    return lastAdvertisedUses;
   }
 
-  /** What has changed since it was told last; a runner with nothing left is told as such. */
+  /**
+   * Returns the uses that have changed since they were last advertised; a runner that is no longer
+   * in use is included with {@link FleetLoad#NONE}.
+   */
   private Map<String, FleetLoad.Use> changedUses() {
-    Map<String, FleetLoad.Use> before = toldUses;
+    Map<String, FleetLoad.Use> previous = lastAdvertisedUses;
     Map<String, FleetLoad.Use> changed = new HashMap<>(allUses());
-    changed.entrySet().removeIf(entry -> entry.getValue().equals(before.get(entry.getKey())));
-    for (String runner : before.keySet()) {
-      if (!toldUses.containsKey(runner)) {
+    changed.entrySet().removeIf(entry -> entry.getValue().equals(previous.get(entry.getKey())));
+    for (String runner : previous.keySet()) {
+      if (!lastAdvertisedUses.containsKey(runner)) {
         changed.put(runner, FleetLoad.NONE);
       }
     }
     return changed;
   }
 
-  private void defect(Throwable failure) {
+  private void logDefect(Throwable failure) {
     log.warning("defect", "failure", failure, "at", firstFrame(failure));
   }
 
@@ -648,7 +703,7 @@
     @Override
     public void message(WireConnection connection, Envelope message) {
       if (message.hasStorePull()) {
-        duty.put(
+        decisionThread.put(
             () ->
                 connection.send(
                     message.getCall(),
@@ -656,14 +711,14 @@
                         .setStoreRecords(
                             RecordExchange.answer(
                                 message.getStorePull(),
-                                store,
+                                storeRegistry,
                                 MonotonicClock.SYSTEM.nowMillis()))));
       }
     }
 
     @Override
     public void closed(WireConnection connection) {
-      // Nothing is kept for a connection.
+      // No state is kept per connection.
     }
   }
 }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/NodeMain.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/NodeMain.java
@@ -10,7 +10,7 @@
 import org.sequoiahub.usersplatform.HostSettings;
 import org.sequoiahub.usersplatform.SettingsFile;
 
-/** The binary {@code sequoia-node}. */
+/** Main class of {@code sequoia-node}. */
 public final class NodeMain {
 
   private static final String UNSET = "-";
@@ -18,7 +18,7 @@
 
   private NodeMain() {}
 
-  /** Runs the host's program until SIGTERM; with {@code --self-check}, checks that it can start. */
+  /** Runs a node until SIGTERM; with {@code --self-check}, runs the self-check and exits. */
   public static void main(String[] arguments) throws Exception {
     long startedMillis = MonotonicClock.SYSTEM.nowMillis();
     if (arguments.length == 1 && arguments[0].equals(SELF_CHECK)) {
@@ -29,23 +29,23 @@
         NodeSettings.getDefaultInstance(),
         arguments,
         settings -> {
-          Path file = file(settings);
-          Node node = Node.start(settings, read(file), startedMillis);
-          SettingsReloader watch = new SettingsReloader(file, node::reload);
-          watch.start();
-          Signals.onHangup(watch::reload);
+          Path file = settingsFile(settings);
+          Node node = Node.start(settings, readSettings(file), startedMillis);
+          SettingsReloader reloader = new SettingsReloader(file, node::reload);
+          reloader.start();
+          Signals.onHangup(reloader::reload);
           return node::leave;
         });
   }
 
-  private static Path file(NodeSettings settings) {
+  private static Path settingsFile(NodeSettings settings) {
     return Path.of(
         settings.getSettingsFile().equals(UNSET)
             ? Optional.ofNullable(System.getenv(SettingsFile.VARIABLE)).orElse("")
             : settings.getSettingsFile());
   }
 
-  private static HostSettings read(Path file) throws IOException {
+  private static HostSettings readSettings(Path file) throws IOException {
     try {
       return SettingsFile.read(file);
     } catch (SettingsFile.InvalidSettingsException e) {
--- a/sequoia-node/src/main/java/org/sequoiahub/node/SampleRunner.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/SampleRunner.java
@@ -11,31 +11,31 @@
 import java.util.Locale;
 import org.sequoiahub.usersplatform.SampleRecords;
 
-/** Answers as a model runner would, for the program's check of itself. */
+/** A minimal model runner on loopback, for the self-check. */
 final class SampleRunner implements AutoCloseable {
 
-  private static final String LENGTH = "content-length:";
+  private static final String CONTENT_LENGTH = "content-length:";
 
-  private final ServerSocket port;
+  private final ServerSocket serverSocket;
 
-  /** Opens a port on loopback. */
+  /** Opens a port on loopback and starts to accept connections. */
   SampleRunner() throws IOException {
-    port = new ServerSocket(0, 0, InetAddress.getLoopbackAddress());
-    daemon(this::accept);
+    serverSocket = new ServerSocket(0, 0, InetAddress.getLoopbackAddress());
+    startDaemon(this::accept);
   }
 
-  /** Returns the runner's host:port. */
+  /** Returns the runner's address as {@code host:port}. */
   String address() {
-    return port.getInetAddress().getHostAddress() + ":" + port.getLocalPort();
+    return serverSocket.getInetAddress().getHostAddress() + ":" + serverSocket.getLocalPort();
   }
 
   private void accept() {
-    while (!port.isClosed()) {
+    while (!serverSocket.isClosed()) {
       try {
-        Socket connection = port.accept();
-        daemon(() -> serve(connection));
+        Socket connection = serverSocket.accept();
+        startDaemon(() -> serve(connection));
       } catch (IOException e) {
-        // The port was closed: the check is over.
+        // The port was closed because the self-check is over.
         return;
       }
     }
@@ -52,7 +52,7 @@
         first = in.readLine();
       }
     } catch (IOException e) {
-      // The node closed the connection: nothing is left to answer.
+      // The node closed the connection: there are no more requests to answer.
       return;
     }
   }
@@ -61,15 +61,15 @@
     int length = 0;
     String line = in.readLine();
     while (line != null && !line.isEmpty()) {
-      if (line.toLowerCase(Locale.ROOT).startsWith(LENGTH)) {
-        length = Integer.parseInt(line.substring(LENGTH.length()).trim());
+      if (line.toLowerCase(Locale.ROOT).startsWith(CONTENT_LENGTH)) {
+        length = Integer.parseInt(line.substring(CONTENT_LENGTH.length()).trim());
       }
       line = in.readLine();
     }
     in.skip(length);
   }
 
-  private static void daemon(Runnable work) {
+  private static void startDaemon(Runnable work) {
     Thread thread = new Thread(work, "sample-runner");
     thread.setDaemon(true);
     thread.start();
@@ -77,6 +77,6 @@
 
   @Override
   public void close() throws IOException {
-    port.close();
+    serverSocket.close();
   }
 }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/SelfCheck.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/SelfCheck.java
@@ -25,67 +25,68 @@
 import org.sequoiahub.usersplatform.SampleRecords;
 
 /**
- * Starts two whole nodes on loopback addresses, asks one what callers and the platform ask, lets it
- * bring an adapter to a sample runner and serve a stream from there, and stops both.
+ * Starts two complete nodes on loopback addresses, sends one of them the requests of callers and of
+ * the platform, has it load an adapter into a sample runner and serve streams from there, and stops
+ * both nodes.
  *
- * <p>The build runs it to record the classes that a process needs: with that archive a restarted
- * process spends its first seconds on requests instead of on loading classes. So what a request, an
- * order and a word between hosts need is done here too.
+ * <p>The build runs the self-check to record the classes that a process needs. With the resulting
+ * archive, a restarted process spends its first seconds on requests instead of on loading classes.
+ * Therefore the self-check also covers the code of requests, orders and messages between hosts.
  */
 final class SelfCheck {
 
-  private static final int PORTS = 6;
+  private static final int PORT_COUNT = 6;
   private static final int ROUNDS = 20;
-  private static final long STOP_MILLIS = 500;
+  private static final long SHUTDOWN_MILLIS = 500;
   private static final List<String> IPS = List.of("127.0.0.1", "127.0.0.2");
 
-  /** How long the nodes may take to find each other and to gain the runner's lease (ms). */
-  private static final long SERVE_MILLIS = 60_000;
+  /** Time in which the nodes must discover each other, gain the runner's lease and serve (ms). */
+  private static final long SERVE_TIMEOUT_MILLIS = 60_000;
 
-  private static final long PAUSE_MILLIS = 100;
+  private static final long RETRY_INTERVAL_MILLIS = 100;
   private static final int DEADLINE_MILLIS = 3_000;
 
-  private static final NodeSettings FALLBACK =
+  private static final NodeSettings FALLBACK_SETTINGS =
       NodeSettings.newBuilder().setAddressTtlMs(1_000).build();
 
   private SelfCheck() {}
 
-  /** Runs the check; returns the process's exit code. */
+  /** Runs the self-check and returns the exit code of the process. */
   static int run() throws Exception {
     LineFormatter.install(Level.INFO);
-    NodeSettings own =
+    NodeSettings nodeSettings =
         new SettingsLoader<>("sequoia-node", "self-check", NodeSettings.getDefaultInstance())
             .load(new String[0], Map.of())
-            .fold(settings -> settings, problems -> FALLBACK, text -> FALLBACK);
-    List<Integer> ports = FreePorts.find(PORTS, new SecureRandom());
+            .fold(settings -> settings, problems -> FALLBACK_SETTINGS, text -> FALLBACK_SETTINGS);
+    List<Integer> ports = FreePorts.find(PORT_COUNT, new SecureRandom());
     HttpClient client = UpstreamClient.start();
-    boolean good;
+    boolean passed;
     try (SampleRunner runner = new SampleRunner()) {
       List<Node> nodes = new ArrayList<>();
       for (String ip : IPS) {
-        nodes.add(Node.start(own, settings(ip, ports), MonotonicClock.SYSTEM.nowMillis()));
+        nodes.add(Node.start(nodeSettings, settings(ip, ports), MonotonicClock.SYSTEM.nowMillis()));
       }
-      good = answersWithoutRecords(client, ports);
+      passed = isUnavailableWithoutRecords(client, ports);
       nodes.get(0).applyRecords(SampleRecords.records(runner.address()));
-      good &= serves(client, ports.get(0));
+      passed &= servesStreams(client, ports.get(0));
       for (Node node : nodes) {
         node.stop();
       }
     }
     client.stop();
-    System.out.println(good ? "self-check passed" : "self-check failed");
-    return good ? 0 : 1;
+    System.out.println(passed ? "self-check passed" : "self-check failed");
+    return passed ? 0 : 1;
   }
 
-  private static boolean answersWithoutRecords(HttpClient client, List<Integer> ports)
+  private static boolean isUnavailableWithoutRecords(HttpClient client, List<Integer> ports)
       throws Exception {
-    boolean good = true;
+    boolean unavailable = true;
     for (int round = 0; round < ROUNDS; round++) {
-      good &= isUnavailable(client, ports.get(1), AddressDialect.READINESS_PATH);
-      good &= isUnavailable(client, ports.get(2), AddressDialect.ADDRESS_PATH);
-      good &= stream(client, ports.get(0)) == HttpStatus.SERVICE_UNAVAILABLE_503;
+      unavailable &= isUnavailable(client, ports.get(1), AddressDialect.READINESS_PATH);
+      unavailable &= isUnavailable(client, ports.get(2), AddressDialect.ADDRESS_PATH);
+      unavailable &= requestStream(client, ports.get(0)) == HttpStatus.SERVICE_UNAVAILABLE_503;
     }
-    return good;
+    return unavailable;
   }
 
   private static boolean isUnavailable(HttpClient client, int port, String path) throws Exception {
@@ -93,21 +94,21 @@
     return response.getStatus() == HttpStatus.SERVICE_UNAVAILABLE_503;
   }
 
-  /** Returns whether streams are served once the nodes agreed on who orders the runner. */
-  private static boolean serves(HttpClient client, int port) throws Exception {
-    long end = MonotonicClock.SYSTEM.nowMillis() + SERVE_MILLIS;
+  /** Returns whether streams are served once one of the nodes holds the runner's lease. */
+  private static boolean servesStreams(HttpClient client, int port) throws Exception {
+    long end = MonotonicClock.SYSTEM.nowMillis() + SERVE_TIMEOUT_MILLIS;
     int served = 0;
     while (served < ROUNDS && MonotonicClock.SYSTEM.nowMillis() < end) {
-      if (stream(client, port) == HttpStatus.OK_200) {
+      if (requestStream(client, port) == HttpStatus.OK_200) {
         served++;
       } else {
-        TimeUnit.MILLISECONDS.sleep(PAUSE_MILLIS);
+        TimeUnit.MILLISECONDS.sleep(RETRY_INTERVAL_MILLIS);
       }
     }
     return served == ROUNDS;
   }
 
-  private static int stream(HttpClient client, int port) throws Exception {
+  private static int requestStream(HttpClient client, int port) throws Exception {
     return client
         .newRequest("http://" + IPS.get(0) + ":" + port + SampleRecords.STREAM_PATH)
         .method(HttpMethod.POST)
@@ -138,7 +139,7 @@
         IPS,
         true,
         ip + ":" + ports.get(5),
-        STOP_MILLIS,
+        SHUTDOWN_MILLIS,
         2_000,
         2_000,
         3_000,
--- a/sequoia-node/src/main/java/org/sequoiahub/node/package-info.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/package-info.java
@@ -1,4 +1,4 @@
-/** The program that a host runs on the users' platform, put together from its duties. */
+/** The program that each host of the users' platform runs, assembled from its components. */
 @NullMarked
 package org.sequoiahub.node;
 
--- a/sequoia-node/src/test/java/org/sequoiahub/node/AccessKeyTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/AccessKeyTest.java
@@ -19,7 +19,9 @@
 import org.sequoiahub.usersplatform.standin.StandinConfiguration;
 import org.sequoiahub.usersplatform.standin.StandinRunner;
 
-/** Who may ask: hosts before a stand-in store and stand-in runners. */
+/**
+ * Access keys, workspaces and allowances of requests to nodes with a stand-in store and runners.
+ */
 @Timeout(value = 120, unit = TimeUnit.SECONDS)
 class AccessKeyTest {
 
@@ -59,7 +61,7 @@
     return request.headers(headers -> headers.add(Headers.AUTHORIZATION, "Bearer " + key));
   }
 
-  private int status(int host, String id, String key) {
+  private int statusWithKey(int host, String id, String key) {
     try {
       return withKey(request(host, "/a/x", id), key).send().getStatus();
     } catch (Exception e) {
@@ -68,16 +70,14 @@
   }
 
   /**
-   * Symptom: anybody is served; runners see callers' keys and believe what callers say they are.
-   *
-   * <p>Events: requests without a key, with a wrong one, and with a forged workspace.
-   *
-   * <p>Cause: keys in the configuration were not read, and headers passed on as they came.
+   * Guards against serving requests without a valid key and against forwarding callers' keys and
+   * forged workspaces to runners. Both happen if the keys of the configuration are not checked and
+   * the headers of callers are forwarded unchanged.
    */
   @Nested
   class Requests {
     @Test
-    void withKeyRunForItsWorkspaceAndTheKeyStaysHere() throws Exception {
+    void withKeyRunForItsWorkspaceWithoutForwardingKey() throws Exception {
       Request request = withKey(request(1, "/a/x", "q1"), "key-two");
       request.headers(headers -> headers.add(Headers.WORKSPACE, "other"));
       assertThat(request.send().getStatus()).isEqualTo(200);
@@ -86,9 +86,9 @@
     }
 
     @Test
-    void withoutKeyDoNotRun() throws Exception {
+    void withoutValidKeyDoNotRun() throws Exception {
       assertThat(request(1, "/a/x", "q1").send().getStatus()).isEqualTo(401);
-      assertThat(status(1, "q2", "key-four")).isEqualTo(401);
+      assertThat(statusWithKey(1, "q2", "key-four")).isEqualTo(401);
       assertThat(runner.runs()).isEmpty();
     }
 
@@ -111,7 +111,7 @@
           "Bearer key-one, Bearer key-three",
           "Bearer éü"
         })
-    void withWhatIsNoKeyAreToldSo(String value) throws Exception {
+    void withInvalidKeyAreUnauthorized(String value) throws Exception {
       Request request = request(1, "/a/x", "q1");
       request.headers(headers -> headers.add(Headers.AUTHORIZATION, value));
       assertThat(request.send().getStatus()).isEqualTo(401);
@@ -119,12 +119,12 @@
     }
 
     @Test
-    void withLongKeyAreToldSo() {
-      assertThat(status(1, "q1", "k".repeat(8_000))).isEqualTo(401);
+    void withLongKeyAreUnauthorized() {
+      assertThat(statusWithKey(1, "q1", "k".repeat(8_000))).isEqualTo(401);
     }
 
     @Test
-    void onAnOpenRouteNeedNone() throws Exception {
+    void onOpenRouteNeedNoKey() throws Exception {
       Request request = withKey(request(1, "/open/x", "q1"), "key-one");
       request.headers(headers -> headers.add(Headers.WORKSPACE, "other"));
       assertThat(request.send().getStatus()).isEqualTo(200);
@@ -133,7 +133,7 @@
     }
 
     @Test
-    void onNoRouteAreToldSo() throws Exception {
+    void withoutMatchingRouteAreNotFound() throws Exception {
       assertThat(request(1, "/none/x", "q1").send().getStatus()).isEqualTo(404);
     }
   }
@@ -141,45 +141,42 @@
   @Nested
   class Withdrawal {
     /**
-     * Symptom: a withdrawn key still opens the door at some hosts.
-     *
-     * <p>Events: a key is withdrawn and another given; one host never hears of it from the store,
-     * which goes down as soon as the other host has read it.
-     *
-     * <p>Cause looked for: hosts that learn from the store alone.
+     * Guards against hosts that still accept a withdrawn key because they read the configuration
+     * from the store only: a key is withdrawn and another one issued, and the store goes down as
+     * soon as one of the hosts has read the change.
      */
     @Test
-    void reachesHostsThatTheStoreDoesNot() throws Exception {
+    void reachesHostsThatCannotReachTheStore() throws Exception {
       configure(List.of("key-two", "key-new"), 0);
-      LoopbackFleet.await("the withdrawal at host 1", () -> status(1, "w", "key-one") == 401);
+      LoopbackFleet.await(
+          "the withdrawal of the key at host 1", () -> statusWithKey(1, "w", "key-one") == 401);
       fleet.store.down(true);
-      LoopbackFleet.await("the withdrawal at host 2", () -> status(2, "w", "key-one") == 401);
+      LoopbackFleet.await(
+          "the withdrawal of the key at host 2", () -> statusWithKey(2, "w", "key-one") == 401);
       fleet.startNode(3);
       LoopbackFleet.await(
-          "an answer of host 3, which never reached the store",
-          () -> status(3, "n3", "key-new") == 200);
+          "a response of host 3, which never reached the store",
+          () -> statusWithKey(3, "n3", "key-new") == 200);
       for (int host = 1; host <= 3; host++) {
-        assertThat(status(host, "w" + host, "key-one")).isEqualTo(401);
-        assertThat(status(host, "n" + host, "key-new")).isEqualTo(200);
+        assertThat(statusWithKey(host, "w" + host, "key-one")).isEqualTo(401);
+        assertThat(statusWithKey(host, "n" + host, "key-new")).isEqualTo(200);
       }
     }
 
     /**
-     * Symptom: a request runs with a key that was withdrawn long before.
-     *
-     * <p>Events: it waits for an adapter when its key is withdrawn.
-     *
-     * <p>Cause looked for: a key that is looked at on arrival only.
+     * Guards against a request that runs with a withdrawn key because its key is checked on arrival
+     * only: the key is withdrawn while the request waits for an adapter.
      */
     @Test
-    void endsRequestsThatStillWait() throws Exception {
+    void rejectsWaitingRequests() throws Exception {
       StandinRunner model = fleet.startRunner("i-2", "llm", "m");
       model.loadMillis(60_000);
-      LoopbackFleet.await("the model runner known at host 1", () -> servesModel("before"));
+      LoopbackFleet.await(
+          "a response of the model runner through host 1", () -> servesModel("before"));
       Request waiting = withKey(request(1, "/s/x", "waits"), "key-one");
       waiting.headers(headers -> headers.put(Headers.MODEL, "m/a1").put(Headers.TOKENS, "100,20"));
       CompletableFuture<ContentResponse> answer = new CompletableResponseListener(waiting).send();
-      LoopbackFleet.await("an order for its adapter", () -> !model.orders().isEmpty());
+      LoopbackFleet.await("an order to load its adapter", () -> !model.orders().isEmpty());
       configure(List.of("key-two"), 0);
       assertThat(answer.get().getStatus()).isEqualTo(401);
       assertThat(model.runs()).doesNotContainKey("waits");
@@ -197,39 +194,41 @@
   }
 
   /**
-   * Symptom: a configuration with a damaged part leaves the fleet without any, or with half of it.
-   *
-   * <p>Events: operators list one key in two workspaces, and correct it.
+   * Guards against an invalid configuration that leaves the fleet without any configuration or with
+   * a part of it: operators list one key in two workspaces and correct this later.
    */
   @Test
-  void configurationWithOneKeyInTwoWorkspacesStaysOutOfForce() throws Exception {
+  void configurationWithOneKeyInTwoWorkspacesIsNotApplied() throws Exception {
     configure(List.of("key-one", "key-three"), 0);
     configure(List.of("key-one", "key-five"), 0);
-    LoopbackFleet.await("the corrected one", () -> status(1, "c", "key-five") == 200);
-    assertThat(status(1, "d", "key-three")).isEqualTo(200);
+    LoopbackFleet.await(
+        "the corrected configuration", () -> statusWithKey(1, "c", "key-five") == 200);
+    assertThat(statusWithKey(1, "d", "key-three")).isEqualTo(200);
   }
 
   @Nested
   class Limits {
-    /** The other workspace is not held back by it. */
+    /** Requests of the other workspace are still served. */
     @Test
-    void requestsBeyondTheAllowanceAreToldWhenToComeBack() throws Exception {
+    void requestsBeyondAllowanceAreRefusedWithRetryAfter() throws Exception {
       configure(List.of("key-one", "key-two"), 100);
-      LoopbackFleet.await("a refusal for the allowance", () -> status(1, "f", "key-one") == 429);
+      LoopbackFleet.await(
+          "a refusal because the allowance is exceeded",
+          () -> statusWithKey(1, "f", "key-one") == 429);
       ContentResponse refused = withKey(request(1, "/a/x", "late"), "key-one").send();
       assertThat(refused.getStatus()).isEqualTo(429);
       double seconds = Double.parseDouble(refused.getHeaders().get("Retry-After"));
       assertThat(seconds).isGreaterThan(0.0);
       assertThat(runner.runs()).doesNotContainKey("late");
-      assertThat(status(1, "other", "key-three")).isEqualTo(200);
+      assertThat(statusWithKey(1, "other", "key-three")).isEqualTo(200);
     }
 
-    /** Both hosts' parts count: what one granted is missing at the other. */
+    /** The allowance is shared: what is spent at one host is no longer available at the other. */
     @Test
-    void whatOneHostGrantsIsMissingAtTheOthers() throws Exception {
+    void spendingAtOneHostCountsAtOthers() throws Exception {
       configure(List.of("key-one", "key-two"), 100);
-      LoopbackFleet.await("a refusal at host 1", () -> status(1, "f", "key-one") == 429);
-      LoopbackFleet.await("a refusal at host 2", () -> status(2, "g", "key-one") == 429);
+      LoopbackFleet.await("a refusal by host 1", () -> statusWithKey(1, "f", "key-one") == 429);
+      LoopbackFleet.await("a refusal by host 2", () -> statusWithKey(2, "g", "key-one") == 429);
     }
   }
 }
--- a/sequoia-node/src/test/java/org/sequoiahub/node/LoopbackFleet.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/LoopbackFleet.java
@@ -23,15 +23,18 @@
 import org.sequoiahub.usersplatform.standin.StandinRunner;
 import org.sequoiahub.usersplatform.standin.StandinStore;
 
-/** Whole nodes on loopback addresses before a stand-in store and stand-in runners. */
+/** Complete nodes on loopback addresses with a stand-in store and stand-in runners. */
 final class LoopbackFleet implements AutoCloseable {
 
-  /** Nothing here is judged by the clock; this only ends a test that hangs. */
-  private static final long PATIENCE_MILLIS = 60_000;
+  /**
+   * Time after which an awaited condition fails the test (ms): long, as it only ends a hanging
+   * test.
+   */
+  private static final long TIMEOUT_MILLIS = 60_000;
 
-  private static final int STOP_MILLIS = 400;
+  private static final int SHUTDOWN_MILLIS = 400;
 
-  private static final int PORTS = 5;
+  private static final int PORT_COUNT = 5;
 
   final StandinStore store;
   final HttpClient caller;
@@ -39,19 +42,19 @@
   private final List<HttpClient> callers = new ArrayList<>();
   private final List<Node> nodes = new ArrayList<>();
   private final List<Integer> ports;
-  private long version;
+  private long configurationVersion;
 
   LoopbackFleet() throws Exception {
     store = new StandinStore();
     caller = UpstreamClient.start();
-    ports = FreePorts.find(PORTS, new SecureRandom());
+    ports = FreePorts.find(PORT_COUNT, new SecureRandom());
   }
 
   static String ip(int number) {
     return "127.0.0." + (20 + number);
   }
 
-  /** Starts host {@code number}; its seeds are hosts 1 and 2. */
+  /** Starts the node of host {@code number}; its seeds are hosts 1 and 2. */
   Node startNode(int number) throws Exception {
     HostSettings settings =
         new HostSettings(
@@ -66,7 +69,7 @@
             List.of(ip(1), ip(2)),
             true,
             store.address(),
-            STOP_MILLIS,
+            SHUTDOWN_MILLIS,
             2_000,
             2_000,
             3_000,
@@ -90,7 +93,7 @@
     }
     for (int number = 1; number <= count; number++) {
       int host = number;
-      await("host " + host + " ready", () -> isReady(host));
+      await("host " + host + " to be ready", () -> isReady(host));
     }
   }
 
@@ -102,54 +105,64 @@
   }
 
   /**
-   * Starts a runner that ends under each request whose body holds {@code text}. Its entry is then
-   * removed and another runner started in its place, which does the same.
+   * Starts a runner that terminates when it runs a request whose body contains {@code text}. Its
+   * entry is then removed and another runner of the same behavior is started in its place.
    */
   void startRunnerTerminatedByRequest(String id, String service, String model, String text)
       throws Exception {
     startRunner(id, service, model)
         .endUnder(
             text,
-            ended ->
-                replace(ended, next -> startRunnerTerminatedByRequest(next, service, model, text)));
+            terminated ->
+                replace(
+                    terminated,
+                    next -> startRunnerTerminatedByRequest(next, service, model, text)));
   }
 
-  /** The same with a runner that ends whenever it is ordered to load an adapter. */
+  /**
+   * Starts a runner that terminates when it is ordered to load {@code adapter}. Its entry is then
+   * removed and another runner of the same behavior is started in its place.
+   */
   void startRunnerTerminatedByLoad(String id, String service, String model, String adapter)
       throws Exception {
     startRunner(id, service, model)
         .endWhenLoading(
             adapter,
-            ended ->
-                replace(ended, next -> startRunnerTerminatedByLoad(next, service, model, adapter)));
+            terminated ->
+                replace(
+                    terminated,
+                    next -> startRunnerTerminatedByLoad(next, service, model, adapter)));
   }
 
-  /** Starts a runner with the id that it is given. */
+  /** Starts a runner with the given id. */
   @FunctionalInterface
   private interface Starter {
     void start(String id) throws Exception;
   }
 
-  private void replace(StandinRunner ended, Starter starter) {
-    store.delete("servers/" + ended.id());
+  private void replace(StandinRunner terminated, Starter starter) {
+    store.delete("servers/" + terminated.id());
     try {
-      starter.start(ended.id() + "n");
+      starter.start(terminated.id() + "n");
     } catch (Exception e) {
-      throw new IllegalStateException("no runner in place of " + ended.id(), e);
+      throw new IllegalStateException("could not start a runner in place of " + terminated.id(), e);
     }
   }
 
-  /** All runners lose the answers of requests whose body holds {@code text}; of none if empty. */
+  /**
+   * Makes all runners lose the responses to requests whose body contains {@code text}; none if it
+   * is empty.
+   */
   void loseResponsesTo(String text) {
     runners.forEach(runner -> runner.loseAnswersOf(text));
   }
 
-  /** Returns how many runners have ended. */
+  /** Returns how many runners have terminated. */
   long terminatedRunnerCount() {
     return runners.stream().filter(StandinRunner::hasEnded).count();
   }
 
-  /** Returns how often requests ran whose ids begin so, at all runners. */
+  /** Returns the number of runs, at all runners, of requests whose id starts with a prefix. */
   long runCount(String idPrefix) {
     return runners.stream()
         .flatMap(runner -> runner.runs().entrySet().stream())
@@ -162,24 +175,25 @@
     store.put("servers/" + runner.id(), runner.entry(state));
   }
 
-  /** Writes the next configuration; {@code routes} are JSON objects. */
+  /** Writes the next version of the configuration; {@code routes} are JSON objects. */
   void configure(String... routes) {
     store.put(
-        StandinConfiguration.key(), StandinConfiguration.configuration(++version, List.of(routes)));
+        StandinConfiguration.key(),
+        StandinConfiguration.configuration(++configurationVersion, List.of(routes)));
   }
 
-  /** Writes the next configuration with workspaces, so that requests need keys. */
+  /** Writes the next version of the configuration with workspaces, so that requests need keys. */
   void configure(List<String> routes, List<String> workspaces) {
     store.put(
         StandinConfiguration.key(),
-        StandinConfiguration.configuration(++version, routes, workspaces));
+        StandinConfiguration.configuration(++configurationVersion, routes, workspaces));
   }
 
   static String route(String prefix, String kind, String service, boolean resumable) {
     return StandinConfiguration.route(prefix, kind, service, resumable);
   }
 
-  /** Returns a client of callers that come from another address. */
+  /** Starts an HTTP client of callers with another local address. */
   HttpClient startCallerAt(String ip) throws Exception {
     HttpClient other = UpstreamClient.start();
     other.setBindAddress(new InetSocketAddress(ip, 0));
@@ -187,12 +201,12 @@
     return other;
   }
 
-  /** Returns a request of a caller to host {@code number}. */
+  /** Returns a request from {@link #caller} to host {@code number}. */
   Request request(int number, String path, String id) {
     return request(caller, number, path, id);
   }
 
-  /** Returns a request of a certain caller to host {@code number}. */
+  /** Returns a request from the given caller to host {@code number}. */
   Request request(HttpClient from, int number, String path, String id) {
     return from.newRequest("http://" + ip(number) + ":" + ports.get(0))
         .path(path)
@@ -227,11 +241,11 @@
     }
   }
 
-  static void await(String what, BooleanSupplier condition) throws InterruptedException {
-    long end = System.nanoTime() + PATIENCE_MILLIS * 1_000_000;
+  static void await(String description, BooleanSupplier condition) throws InterruptedException {
+    long end = System.nanoTime() + TIMEOUT_MILLIS * 1_000_000;
     while (!condition.getAsBoolean()) {
       if (System.nanoTime() > end) {
-        throw new AssertionError("never came: " + what);
+        throw new AssertionError("timed out waiting for " + description);
       }
       Thread.sleep(10);
     }
@@ -252,7 +266,7 @@
     try {
       store.close();
     } catch (IOException e) {
-      // A watch that still waits is cut; nothing is lost with it.
+      // A pending watch was interrupted; no data is lost.
     }
   }
 }
--- a/sequoia-node/src/test/java/org/sequoiahub/node/NodeTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/NodeTest.java
@@ -21,7 +21,7 @@
 import org.sequoiahub.usersplatform.Headers;
 import org.sequoiahub.usersplatform.standin.StandinRunner;
 
-/** Whole nodes over loopback, before a stand-in store and stand-in runners. */
+/** Complete nodes on loopback addresses with a stand-in store and stand-in runners. */
 @Timeout(value = 180, unit = TimeUnit.SECONDS)
 class NodeTest {
 
@@ -37,20 +37,21 @@
     fleet.close();
   }
 
-  private void ready(int number) throws InterruptedException {
-    LoopbackFleet.await("host " + number + " ready", () -> fleet.isReady(number));
+  private void awaitReady(int number) throws InterruptedException {
+    LoopbackFleet.await("host " + number + " to be ready", () -> fleet.isReady(number));
   }
 
   private ContentResponse get(int number, String path, String id) throws Exception {
     return fleet.request(number, path, id).send();
   }
 
-  private static String raw(String ip, int port, String text) throws Exception {
-    return raw(ip, port, text, true);
+  private static String sendRaw(String ip, int port, String text) throws Exception {
+    return sendRaw(ip, port, text, true);
   }
 
-  /** Sends bytes and returns all that comes until the host closes the connection. */
-  private static String raw(String ip, int port, String text, boolean halfClose) throws Exception {
+  /** Sends a text and returns all that is received until the host closes the connection. */
+  private static String sendRaw(String ip, int port, String text, boolean halfClose)
+      throws Exception {
     try (Socket socket = new Socket(InetAddress.getByName(ip), port)) {
       socket.setSoTimeout(20_000);
       OutputStream out = socket.getOutputStream();
@@ -73,11 +74,11 @@
       fleet.configure(LoopbackFleet.route("/a/", "unsafe", "plain", false));
       runner = fleet.startRunner("i-1", "plain", "");
       fleet.startNode(1);
-      ready(1);
+      awaitReady(1);
     }
 
     @Test
-    void theRunnersAnswerComesUnchanged() throws Exception {
+    void runnerResponseIsForwardedUnchanged() throws Exception {
       ContentResponse response =
           fleet
               .request(1, "/a/x//y?q=%2F", "q1")
@@ -91,12 +92,12 @@
     }
 
     @Test
-    void noRouteIsSaidWithConfigurationInHandOnly() throws Exception {
+    void requestWithoutMatchingRouteIsNotFound() throws Exception {
       assertThat(get(1, "/other/", "q1").getStatus()).isEqualTo(404);
     }
 
     @Test
-    void bodyOverTheLimitReachesNoRunner() throws Exception {
+    void bodyOverLimitReachesNoRunner() throws Exception {
       ContentResponse response =
           fleet
               .request(1, "/a/x", "q1")
@@ -108,15 +109,12 @@
     }
 
     /**
-     * Symptom: a runner runs a request that no caller sent.
-     *
-     * <p>Events: a request has two lengths, or a body that holds the text of another request, or
-     * ends before its length.
-     *
-     * <p>Cause looked for: bytes of one request taken for the start of the next.
+     * Guards against a runner that runs a request that no caller sent, because bytes of one request
+     * are parsed as the start of the next: a request states two lengths, has a body that contains
+     * the text of another request and ends before its length, or is no HTTP request.
      */
     @Test
-    void nothingIsSmuggled() throws Exception {
+    void requestsCannotBeSmuggled() throws Exception {
       String head = "POST /a/x HTTP/1.1\r\nHost: h.example\r\n" + Headers.REQUEST_ID + ": q1\r\n";
       String hidden =
           "GET /a/hidden HTTP/1.1\r\nHost: h.example\r\n" + Headers.REQUEST_ID + ": q2\r\n\r\n";
@@ -127,27 +125,27 @@
               + hidden.length()
               + "\r\nTransfer-Encoding: chunked\r\n\r\n0\r\n\r\n"
               + hidden;
-      raw(LoopbackFleet.ip(1), port, twoLengths);
-      raw(LoopbackFleet.ip(1), port, head + "Content-Length: 500\r\n\r\n" + hidden);
-      raw(LoopbackFleet.ip(1), port, "GARBAGE\r\n\r\n" + hidden);
-      // A whole request after them shows that everything before it has been dealt with.
+      sendRaw(LoopbackFleet.ip(1), port, twoLengths);
+      sendRaw(LoopbackFleet.ip(1), port, head + "Content-Length: 500\r\n\r\n" + hidden);
+      sendRaw(LoopbackFleet.ip(1), port, "GARBAGE\r\n\r\n" + hidden);
+      // The response to a complete request shows that everything before it has been processed.
       assertThat(get(1, "/a/x", "last").getStatus()).isEqualTo(200);
       assertThat(runner.runs()).doesNotContainKey("q2");
     }
 
     @Test
-    void headersOverTheLimitAreRefused() throws Exception {
+    void headersOverLimitAreRefused() throws Exception {
       String request =
           "GET /a/x HTTP/1.1\r\nHost: h.example\r\nX-Long: " + "x".repeat(20_000) + "\r\n\r\n";
-      assertThat(raw(LoopbackFleet.ip(1), fleet.callerPort(), request)).contains(" 431 ");
+      assertThat(sendRaw(LoopbackFleet.ip(1), fleet.callerPort(), request)).contains(" 431 ");
     }
 
     @Test
-    void leavingRunnerGetsNoMore() throws Exception {
+    void drainingRunnerGetsNoRequests() throws Exception {
       final StandinRunner other = fleet.startRunner("i-2", "plain", "");
       fleet.publish(runner, "draining");
       LoopbackFleet.await(
-          "three answers in a row from the other",
+          "three responses in a row from the other runner",
           () -> {
             try {
               boolean all = true;
@@ -159,11 +157,11 @@
               return false;
             }
           });
-      int before = runner.runs().size();
+      int runsBefore = runner.runs().size();
       for (int i = 0; i < 20; i++) {
         assertThat(get(1, "/a/x", "z" + i).getContentAsString()).startsWith("i-2");
       }
-      assertThat(runner.runs()).hasSize(before);
+      assertThat(runner.runs()).hasSize(runsBefore);
       assertThat(other.runs().size()).isAtLeast(20);
     }
   }
@@ -171,10 +169,10 @@
   @Nested
   class WithoutConfiguration {
     @Test
-    void requestsAreRefusedAsNotRun() throws Exception {
+    void requestsAreUnavailableWithRetryAfter() throws Exception {
       fleet.startNode(1);
       LoopbackFleet.await(
-          "an answer",
+          "a response with status 503",
           () -> {
             try {
               return get(1, "/a/x", "q1").getStatus() == 503;
@@ -235,14 +233,12 @@
     }
 
     /**
-     * Symptom: a runner crashes because it was ordered to hold too much, or two hosts order it.
-     *
-     * <p>Events: requests for three times as many adapters as there are places come to three hosts.
-     *
-     * <p>Cause looked for: an order given without the right to, or on a wrong account of a runner.
+     * Guards against orders sent without a lease or with wrong assumptions about what a runner
+     * holds: three hosts receive requests for three times as many adapters as there are places. A
+     * runner would crash because it is ordered to hold too many, or receive orders of two hosts.
      */
     @Test
-    void adaptersAreLoadedByOneHolderWithinThePlaces() throws Exception {
+    void adaptersAreLoadedByOneHolderWithinCapacity() throws Exception {
       for (int round = 0; round < 24; round++) {
         String id = "q" + round;
         ContentResponse response =
@@ -258,15 +254,13 @@
     }
 
     /**
-     * Symptom: a request is refused although another runner could have served it.
-     *
-     * <p>Events: a runner refuses each request for an adapter that its reports show.
-     *
-     * <p>Cause: the request is offered to that runner until all its sends are used up, as what its
-     * holder tells of it makes it look best each time.
+     * Guards against a request that is refused although another runner could serve it: a runner
+     * refuses every request for an adapter that its reports list. The holdings that its holder
+     * advertises make it look best each time, so the request would be sent to it until all its
+     * attempts are used up.
      */
     @Test
-    void requestRefusedTwiceGoesElsewhere() throws Exception {
+    void requestRefusedTwiceIsSentToAnotherRunner() throws Exception {
       stream(1, "/s/", "warm", "a1").get(60, TimeUnit.SECONDS);
       StandinRunner refusing = first.runs().containsKey("warm") ? first : second;
       refusing.refuseModels();
@@ -276,25 +270,22 @@
     }
 
     /**
-     * Symptom: a call sheet with lines missing or doubled after a runner failed.
-     *
-     * <p>Events: both runners break every stream off after two events.
-     *
-     * <p>Cause looked for: a continuation that starts at the wrong event.
+     * Guards against a stream with missing or repeated events because it resumes at the wrong
+     * event: both runners break every stream off after two events.
      */
     @Test
-    void brokenStreamGoesOnElsewhere() throws Exception {
+    void brokenStreamResumesAtAnotherRunner() throws Exception {
       stream(1, "/s/", "warm", "a1").get(60, TimeUnit.SECONDS);
       first.breakAfter(2);
       second.breakAfter(2);
       CompletableFuture<ContentResponse> answer = stream(1, "/s/", "q1", "a1");
-      LoopbackFleet.await("a second run", () -> runs("q1") == 2);
+      LoopbackFleet.await("a second run of the request", () -> runs("q1") == 2);
       ContentResponse response = answer.get(60, TimeUnit.SECONDS);
       assertThat(response.getContentAsString()).isEqualTo(events(5));
     }
 
     @Test
-    void streamThatRunsOnceIsVisiblyBroken() throws Exception {
+    void nonResumableStreamFailsVisibly() throws Exception {
       stream(1, "/once/", "warm", "a1").get(60, TimeUnit.SECONDS);
       first.breakAfter(2);
       second.breakAfter(2);
@@ -306,14 +297,12 @@
     }
 
     /**
-     * Symptom: a runner works on for a caller that has long hung up.
-     *
-     * <p>Events: the caller closes its connection in the middle of a long stream.
-     *
-     * <p>Cause looked for: a server that reads nothing until its answer is complete.
+     * Guards against a runner that continues to work for a caller that is gone: the caller closes
+     * its connection in the middle of a long stream, which a host does not notice if it reads
+     * nothing until its response is complete.
      */
     @Test
-    void callerThatLeavesIsNoticed() throws Exception {
+    void closedCallerConnectionCancelsRun() throws Exception {
       stream(1, "/s/", "warm", "a1").get(60, TimeUnit.SECONDS);
       first.streams(100_000, 20);
       second.streams(100_000, 20);
@@ -324,10 +313,10 @@
       try (Socket socket =
           new Socket(InetAddress.getByName(LoopbackFleet.ip(1)), fleet.callerPort())) {
         socket.getOutputStream().write(request.getBytes(UTF_8));
-        LoopbackFleet.await("the run", () -> runs("gone") == 1);
+        LoopbackFleet.await("the run of the request", () -> runs("gone") == 1);
       }
       LoopbackFleet.await(
-          "the runner to be told",
+          "the cancellation of the run",
           () -> first.cancelled().contains("gone") || second.cancelled().contains("gone"));
     }
   }
@@ -335,21 +324,18 @@
   @Nested
   class StreamsOnClosingConnections {
     /**
-     * Symptom: half a stream is taken for a whole one.
-     *
-     * <p>Events: a host is asked to stop and tells callers to close their connections; a stream is
-     * still on its way when the process ends.
-     *
-     * <p>Cause: the stream's end was marked by the end of its connection only.
+     * Guards against an incomplete stream that looks complete because only the close of its
+     * connection marks its end: a host is shut down and asks callers to close their connections,
+     * and a stream is still in transit when the process exits.
      */
     @Test
-    void haveAnEndMarkOfTheirOwn() throws Exception {
+    void endWithLastChunk() throws Exception {
       fleet.configure(LoopbackFleet.route("/s/", "streaming", "llm", true));
       fleet.startRunner("i-1", "llm", "m");
       fleet.startNode(1);
       fleet.startNode(2);
-      ready(1);
-      ready(2);
+      awaitReady(1);
+      awaitReady(2);
       String request =
           String.join(
               "\r\n",
@@ -364,7 +350,7 @@
               "Content-Length: 0",
               "",
               "");
-      String answer = raw(LoopbackFleet.ip(1), fleet.callerPort(), request, false);
+      String answer = sendRaw(LoopbackFleet.ip(1), fleet.callerPort(), request, false);
       assertThat(answer).startsWith("HTTP/1.1 200");
       assertThat(answer).containsMatch("(?i)transfer-encoding: chunked");
       assertThat(answer).endsWith("0\r\n\r\n");
@@ -374,18 +360,15 @@
   @Nested
   class Fleet {
     /**
-     * Symptom: one host goes on with an old configuration.
-     *
-     * <p>Events: a change is read by one host; the store goes down before the others read it.
-     *
-     * <p>Cause looked for: hosts that learn from the store alone.
+     * Guards against a host that continues with an old configuration because it reads changes from
+     * the store only: one host reads a change, and the store goes down before the others read it.
      */
     @Test
     void changeSpreadsWithoutTheStore() throws Exception {
       fleet.configure(LoopbackFleet.route("/a/", "safe", "plain", false));
       fleet.startRunner("i-1", "plain", "");
       fleet.startNode(1);
-      ready(1);
+      awaitReady(1);
       fleet.configure(
           LoopbackFleet.route("/a/", "safe", "plain", false),
           LoopbackFleet.route("/b/", "safe", "plain", false));
@@ -412,15 +395,15 @@
     }
 
     @Test
-    void hostThatStopsLeavesTheAddressesAtOnce() throws Exception {
+    void stoppingHostIsNoLongerAdvertised() throws Exception {
       fleet.configure(LoopbackFleet.route("/a/", "safe", "plain", false));
       fleet.startRunner("i-1", "plain", "");
       fleet.startNode(1);
       final Node leaving = fleet.startNode(2);
-      ready(1);
-      ready(2);
+      awaitReady(1);
+      awaitReady(2);
       String address = LoopbackFleet.ip(2) + ":" + fleet.callerPort();
-      LoopbackFleet.await("host 2 named by host 1", () -> named(1, address));
+      LoopbackFleet.await("host 1 to advertise host 2", () -> isAdvertised(1, address));
       Thread stop =
           new Thread(
               () -> {
@@ -431,11 +414,11 @@
                 }
               });
       stop.start();
-      LoopbackFleet.await("host 2 no longer named", () -> !named(1, address));
+      LoopbackFleet.await("host 1 to advertise host 2 no longer", () -> !isAdvertised(1, address));
       stop.join();
     }
 
-    private boolean named(int asked, String address) {
+    private boolean isAdvertised(int asked, String address) {
       try {
         return fleet.advertisedAddresses(asked).contains(address);
       } catch (Exception e) {
@@ -444,11 +427,11 @@
     }
 
     @Test
-    void lostHistoryIsReadAnew() throws Exception {
+    void compactedHistoryIsReadAgain() throws Exception {
       fleet.configure(LoopbackFleet.route("/a/", "safe", "plain", false));
       fleet.startRunner("i-1", "plain", "");
       fleet.startNode(1);
-      ready(1);
+      awaitReady(1);
       fleet.store.compact();
       fleet.configure(LoopbackFleet.route("/c/", "safe", "plain", false));
       fleet.store.compact();
@@ -465,15 +448,12 @@
   }
 
   /**
-   * Symptom: after a runner's restart all requests for its adapters are refused there.
-   *
-   * <p>Events: a runner crashes, starts again under its id with nothing in it, and writes its
-   * entry.
-   *
-   * <p>Cause: what it held, its count of orders and its lease were kept under the id alone.
+   * Guards against a restarted runner that refuses all requests for its former adapters: the runner
+   * crashes, restarts without adapters under the same id, and writes its entry. This happens if its
+   * holdings, its number of orders and its lease are kept under the id alone.
    */
   @Nested
-  class RestartUnderTheSameId {
+  class RestartWithSameId {
     private StandinRunner runner;
 
     @BeforeEach
@@ -482,26 +462,27 @@
       runner = fleet.startRunner("i-1", "llm", "m");
       fleet.startNode(1);
       fleet.startNode(2);
-      ready(1);
-      served("first");
+      awaitReady(1);
+      awaitServed("first");
     }
 
-    private void served(String name) throws InterruptedException {
+    private void awaitServed(String name) throws InterruptedException {
       int[] number = {0};
       LoopbackFleet.await(name, () -> status(name + number[0]++) == 200);
     }
 
     @Test
-    void adaptersAreBroughtAgain() throws Exception {
+    void adaptersAreLoadedAgain() throws Exception {
       runner.restart();
       fleet.publish(runner, "ready");
-      // Until the entry is read requests are refused; the answer that counts is the one that comes.
-      served("new");
+      // Requests are refused until the hosts have read the entry, so this waits for a successful
+      // one.
+      awaitServed("new");
       assertThat(runner.overloads()).isEqualTo(0);
     }
 
     @Test
-    void entryOfAnotherWriterLeavesTheRunnerInUse() throws Exception {
+    void invalidEntryLeavesRunnerInUse() throws Exception {
       fleet.store.put("servers/i-1", "{\"service\":7,\"state\":\"asleep\"}");
       fleet.store.put("servers/ghost", "not JSON");
       fleet.publish(fleet.startRunner("i-2", "other", ""), "ready");
--- a/sequoia-node/src/test/java/org/sequoiahub/node/RunnerTerminatingLoadTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/RunnerTerminatingLoadTest.java
@@ -13,19 +13,16 @@
 import org.sequoiahub.usersplatform.Headers;
 
 /**
- * Symptom: runners end one after the other although no request ran on them.
- *
- * <p>Events: an adapter ends each runner that is ordered to load it. Its requests move on to the
- * next runner, and their callers bring them again.
- *
- * <p>Cause: each holder decided about loads from what it had ordered itself. Without the guard 31
- * requests, one after the other in a minute, ended 219 runners.
+ * Guards against an adapter whose load terminates one runner after the other: its requests move on
+ * to the next runner, and their callers repeat them. Holders must share the terminations that they
+ * observe; when each holder considered only its own orders, 31 requests, sent one after the other
+ * in a minute, terminated 219 runners.
  */
 @Timeout(value = 180, unit = TimeUnit.SECONDS)
 class RunnerTerminatingLoadTest {
 
   private static final int HOSTS = 3;
-  private static final String DEADLY = "a9";
+  private static final String TERMINATING_ADAPTER = "a9";
 
   private LoopbackFleet fleet;
 
@@ -34,7 +31,7 @@
     fleet = new LoopbackFleet();
     fleet.configure(LoopbackFleet.route("/s/", "streaming", "llm", true));
     for (int number = 1; number <= 4; number++) {
-      fleet.startRunnerTerminatedByLoad("i-" + number, "llm", "m", DEADLY);
+      fleet.startRunnerTerminatedByLoad("i-" + number, "llm", "m", TERMINATING_ADAPTER);
     }
     fleet.startNodes(HOSTS);
   }
@@ -44,7 +41,7 @@
     fleet.close();
   }
 
-  private ContentResponse ask(int number, String id, String adapter) throws Exception {
+  private ContentResponse send(int number, String id, String adapter) throws Exception {
     return fleet
         .request(number, "/s/x", id)
         .method(HttpMethod.POST)
@@ -55,39 +52,40 @@
 
   private int status(int number, String id, String adapter) {
     try {
-      return ask(number, id, adapter).getStatus();
+      return send(number, id, adapter).getStatus();
     } catch (Exception e) {
       return 0;
     }
   }
 
-  /** A request that was on its way to a fourth runner when the third ended may end that too. */
+  /** An order in flight to a fourth runner when the third terminates may terminate that one too. */
   @Test
-  void isNotOrderedOnOnceThreeRunnersEndedUnderIt() throws Exception {
-    int[] asked = {0};
+  void isNotOrderedAfterTerminatingThreeRunners() throws Exception {
+    int[] sent = {0};
     LoopbackFleet.await(
-        "the load held back",
+        "the quarantine of the load",
         () -> {
-          status(1 + asked[0] % HOSTS, "first-" + asked[0]++, DEADLY);
-          return fleet.terminatedRunnerCount() >= 3 && refusedAtOnce(asked[0]);
+          status(1 + sent[0] % HOSTS, "first-" + sent[0]++, TERMINATING_ADAPTER);
+          return fleet.terminatedRunnerCount() >= 3 && isQuarantined(sent[0]);
         });
-    long before = fleet.terminatedRunnerCount();
-    assertThat(before).isAtMost(4);
+    long terminatedBefore = fleet.terminatedRunnerCount();
+    assertThat(terminatedBefore).isAtMost(4);
     for (int i = 0; i < 4 * HOSTS; i++) {
-      assertThat(status(1 + i % HOSTS, "again-" + i, DEADLY)).isEqualTo(503);
+      assertThat(status(1 + i % HOSTS, "again-" + i, TERMINATING_ADAPTER)).isEqualTo(503);
     }
-    assertThat(fleet.terminatedRunnerCount()).isEqualTo(before);
-    LoopbackFleet.await("another adapter served", () -> status(1, other(asked), "a1") == 200);
+    assertThat(fleet.terminatedRunnerCount()).isEqualTo(terminatedBefore);
+    LoopbackFleet.await(
+        "a response with another adapter", () -> status(1, nextOtherId(sent), "a1") == 200);
   }
 
-  private static String other(int[] asked) {
-    return "other-" + asked[0]++;
+  private static String nextOtherId(int[] sent) {
+    return "other-" + sent[0]++;
   }
 
-  private boolean refusedAtOnce(int number) {
+  private boolean isQuarantined(int number) {
     for (int host = 1; host <= HOSTS; host++) {
       try {
-        ContentResponse answer = ask(host, "probe-" + number + "-" + host, DEADLY);
+        ContentResponse answer = send(host, "probe-" + number + "-" + host, TERMINATING_ADAPTER);
         String retry = answer.getHeaders().get("Retry-After");
         if (answer.getStatus() != 503 || retry == null || Double.parseDouble(retry) < 100) {
           return false;
--- a/sequoia-node/src/test/java/org/sequoiahub/node/RunnerTerminatingRequestTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/RunnerTerminatingRequestTest.java
@@ -18,39 +18,39 @@
 import org.sequoiahub.usersplatform.Headers;
 
 /**
- * Symptom: one runner after the other ends, each taking the streams of all its callers with it; a
- * fleet of eight lost ten of them in 16 s, several times.
+ * Guards against a request that terminates one runner after the other, each with the streams of all
+ * its callers: the request terminates every runner that begins to run it, and its caller, without a
+ * response, repeats it with a new id and at any host. A fleet of eight runners lost ten in 16 s.
  *
- * <p>Events: a request ends the process of each runner that begins to run it. Its caller gets no
- * answer and brings it again, under a new id and to any host.
- *
- * <p>Cause: a host judged each arrival by itself. Nothing outlived a call, no two calls were
- * compared, and no host told the others under which request a runner had ended.
- *
- * <p>Evidence: in the hosts' logs each of ten ends had one broken attempt for the same adapter and
- * with a prompt of the same length, sent once, 60 to 140 ms before the end, mostly by another host.
+ * <p>This happens if each host considers each request by itself. Hosts must remember requests
+ * beyond a call, recognize repeated ones, and report to the other hosts which request a terminated
+ * runner was running. Each termination follows a broken attempt 60 to 140 ms earlier, mostly at
+ * another host.
  */
 @Timeout(value = 180, unit = TimeUnit.SECONDS)
 class RunnerTerminatingRequestTest {
 
   private static final int HOSTS = 3;
   private static final int RUNNERS = 4;
-  private static final String DEADLY = "deadly";
+  private static final String TERMINATING_BODY = "deadly";
 
-  /** The users' bound: so long after the third end a request may be sent on no more (ms). */
-  private static final long BOUND_MILLIS = 3_000;
+  /**
+   * Time after the third termination from which a request must not be sent to a runner any more
+   * (ms): a requirement of the users.
+   */
+  private static final long QUARANTINE_DELAY_MILLIS = 3_000;
 
   private LoopbackFleet fleet;
-  private HttpClient elsewhere;
-  private int brought;
+  private HttpClient otherCaller;
+  private int sentCount;
 
   @BeforeEach
   void open() throws Exception {
     fleet = new LoopbackFleet();
-    elsewhere = fleet.startCallerAt("127.0.0.99");
+    otherCaller = fleet.startCallerAt("127.0.0.99");
     fleet.configure(LoopbackFleet.route("/s/", "streaming", "llm", false));
     for (int number = 1; number <= RUNNERS; number++) {
-      fleet.startRunnerTerminatedByRequest("i-" + number, "llm", "m", DEADLY);
+      fleet.startRunnerTerminatedByRequest("i-" + number, "llm", "m", TERMINATING_BODY);
     }
     fleet.startNodes(HOSTS);
   }
@@ -60,11 +60,14 @@
     fleet.close();
   }
 
-  /** Every other request comes from another address of the caller's, and by a path of its own. */
-  private ContentResponse bring(int number, String id, String body) throws Exception {
-    brought++;
+  /**
+   * Sends a request with a path of its own; every other one comes from another address of the
+   * caller.
+   */
+  private ContentResponse send(int number, String id, String body) throws Exception {
+    sentCount++;
     return fleet
-        .request(brought % 2 == 0 ? fleet.caller : elsewhere, number, "/s/" + id, id)
+        .request(sentCount % 2 == 0 ? fleet.caller : otherCaller, number, "/s/" + id, id)
         .method(HttpMethod.POST)
         .headers(headers -> headers.put(Headers.MODEL, "m").put(Headers.TOKENS, "100,20"))
         .body(new StringRequestContent(body))
@@ -73,7 +76,7 @@
 
   private int status(int number, String id, String body) throws InterruptedException {
     try {
-      return bring(number, id, body).getStatus();
+      return send(number, id, body).getStatus();
     } catch (ExecutionException | java.util.concurrent.TimeoutException e) {
       return 0;
     } catch (InterruptedException e) {
@@ -87,14 +90,14 @@
     return 1 + attempt % HOSTS;
   }
 
-  /** Brings the request to one host after the other until so many runners have ended. */
-  private void endRunners(int count) throws InterruptedException {
+  /** Sends the request to one host after the other until {@code count} runners have terminated. */
+  private void terminateRunners(int count) throws InterruptedException {
     int[] attempt = {0};
     LoopbackFleet.await(
-        count + " runners ended",
+        count + " terminated runners",
         () -> {
           try {
-            status(host(attempt[0]), "first-" + attempt[0]++, DEADLY);
+            status(host(attempt[0]), "first-" + attempt[0]++, TERMINATING_BODY);
           } catch (InterruptedException e) {
             throw new IllegalStateException(e);
           }
@@ -103,14 +106,15 @@
   }
 
   @Test
-  void isNotSentOnOnceThreeRunnersEndedUnderIt() throws Exception {
-    endRunners(3);
-    TimeUnit.MILLISECONDS.sleep(BOUND_MILLIS);
+  void isNotSentAfterTerminatingThreeRunners() throws Exception {
+    terminateRunners(3);
+    TimeUnit.MILLISECONDS.sleep(QUARANTINE_DELAY_MILLIS);
     List<Integer> statuses = new ArrayList<>();
     for (int attempt = 0; attempt < 4 * HOSTS; attempt++) {
-      statuses.add(status(host(attempt), "again-" + attempt, DEADLY));
+      statuses.add(status(host(attempt), "again-" + attempt, TERMINATING_BODY));
     }
-    assertWithMessage("runs of the request after three runners ended (answers: %s)", statuses)
+    assertWithMessage(
+            "runs of the request after three runners had terminated (statuses: %s)", statuses)
         .that(fleet.runCount("again-"))
         .isEqualTo(0);
     assertThat(fleet.terminatedRunnerCount()).isEqualTo(3);
@@ -118,10 +122,10 @@
   }
 
   @Test
-  void theAnswerSaysWhenItMayComeBack() throws Exception {
-    endRunners(3);
-    TimeUnit.MILLISECONDS.sleep(BOUND_MILLIS);
-    ContentResponse answer = bring(1, "again", DEADLY);
+  void quarantinedRequestGetsRetryAfter() throws Exception {
+    terminateRunners(3);
+    TimeUnit.MILLISECONDS.sleep(QUARANTINE_DELAY_MILLIS);
+    ContentResponse answer = send(1, "again", TERMINATING_BODY);
     assertThat(answer.getStatus()).isEqualTo(503);
     double seconds = Double.parseDouble(answer.getHeaders().get("Retry-After"));
     assertThat(seconds).isGreaterThan(500.0);
@@ -131,12 +135,12 @@
   @Test
   void otherRequestsAreServed() throws Exception {
     assertThat(status(1, "before", "harmless")).isEqualTo(200);
-    endRunners(3);
-    TimeUnit.MILLISECONDS.sleep(BOUND_MILLIS);
+    terminateRunners(3);
+    TimeUnit.MILLISECONDS.sleep(QUARANTINE_DELAY_MILLIS);
     for (int host = 1; host <= HOSTS; host++) {
       int number = host;
       LoopbackFleet.await(
-          "an answer by host " + host,
+          "a response of host " + host,
           () -> {
             try {
               return status(number, "after-" + System.nanoTime(), "harmless") == 200;
@@ -148,22 +152,17 @@
   }
 
   /**
-   * Symptom: a request that harmed nobody is refused for ten minutes, and after it for an hour by
-   * one more lost answer.
-   *
-   * <p>Events: its answer is lost at three runners in a row, each of which lives on.
-   *
-   * <p>Cause looked for: a broken connection that counts as the proved end of a runner. Unproved
-   * ends hold a request back too, but for seconds only.
-   *
-   * <p>Evidence: red if each broken connection is noted as proved.
+   * Guards against a harmless request that is refused for ten minutes, and for an hour after one
+   * more lost response: its response is lost at three runners in a row, all of which stay alive. A
+   * broken connection must not count as a confirmed termination; unconfirmed terminations
+   * quarantine a request as well, but for seconds only.
    */
   @Test
-  void lostAnswersOfLivingRunnersCountForSecondsOnly() throws Exception {
+  void lostResponsesOfLiveRunnersCauseShortQuarantine() throws Exception {
     fleet.loseResponsesTo("unlucky");
     int[] attempt = {0};
     LoopbackFleet.await(
-        "the request held back",
+        "the quarantine of the request",
         () -> {
           try {
             return status(host(attempt[0]), "unlucky-" + attempt[0]++, "unlucky") == 503;
@@ -174,7 +173,7 @@
     fleet.loseResponsesTo("");
     assertThat(fleet.terminatedRunnerCount()).isEqualTo(0);
     LoopbackFleet.await(
-        "the request served again",
+        "a response to the request after its quarantine",
         () -> {
           try {
             return status(1, "unlucky-again-" + System.nanoTime(), "unlucky") == 200;
@@ -184,14 +183,14 @@
         });
   }
 
-  /** A host that starts when the ends are long over learns of them before it serves. */
+  /** A host that starts after the terminations receives them from the others before it serves. */
   @Test
-  void hostThatStartsLaterHoldsItBackToo() throws Exception {
-    endRunners(3);
+  void hostStartedLaterQuarantinesRequestToo() throws Exception {
+    terminateRunners(3);
     fleet.startNode(HOSTS + 1);
-    LoopbackFleet.await("the new host ready", () -> fleet.isReady(HOSTS + 1));
-    TimeUnit.MILLISECONDS.sleep(BOUND_MILLIS);
-    assertThat(status(HOSTS + 1, "again", DEADLY)).isEqualTo(503);
+    LoopbackFleet.await("the new host to be ready", () -> fleet.isReady(HOSTS + 1));
+    TimeUnit.MILLISECONDS.sleep(QUARANTINE_DELAY_MILLIS);
+    assertThat(status(HOSTS + 1, "again", TERMINATING_BODY)).isEqualTo(503);
     assertThat(fleet.runCount("again")).isEqualTo(0);
   }
 }
