--- a/sequoia-node/src/test/java/org/sequoiahub/node/AccessKeyTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/AccessKeyTest.java
@@ -175,10 +175,10 @@
           "a response of the model runner through host 1", () -> servesModel("before"));
       Request waiting = withKey(request(1, "/s/x", "waits"), "key-one");
       waiting.headers(headers -> headers.put(Headers.MODEL, "m/a1").put(Headers.TOKENS, "100,20"));
-      CompletableFuture<ContentResponse> answer = new CompletableResponseListener(waiting).send();
+      CompletableFuture<ContentResponse> response = new CompletableResponseListener(waiting).send();
       LoopbackFleet.await("an order to load its adapter", () -> !model.orders().isEmpty());
       configure(List.of("key-two"), 0);
-      assertThat(answer.get().getStatus()).isEqualTo(401);
+      assertThat(response.get().getStatus()).isEqualTo(401);
       assertThat(model.runs()).doesNotContainKey("waits");
     }
   }
--- a/sequoia-node/src/test/java/org/sequoiahub/node/NodeTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/NodeTest.java
@@ -278,9 +278,9 @@
       stream(1, "/s/", "warm", "a1").get(60, TimeUnit.SECONDS);
       first.breakAfter(2);
       second.breakAfter(2);
-      CompletableFuture<ContentResponse> answer = stream(1, "/s/", "q1", "a1");
+      CompletableFuture<ContentResponse> future = stream(1, "/s/", "q1", "a1");
       LoopbackFleet.await("a second run of the request", () -> runs("q1") == 2);
-      ContentResponse response = answer.get(60, TimeUnit.SECONDS);
+      ContentResponse response = future.get(60, TimeUnit.SECONDS);
       assertThat(response.getContentAsString()).isEqualTo(events(5));
     }
 
@@ -289,9 +289,9 @@
       stream(1, "/once/", "warm", "a1").get(60, TimeUnit.SECONDS);
       first.breakAfter(2);
       second.breakAfter(2);
-      CompletableFuture<ContentResponse> answer = stream(1, "/once/", "q1", "a1");
+      CompletableFuture<ContentResponse> future = stream(1, "/once/", "q1", "a1");
       boolean failed =
-          answer.handle((response, failure) -> failure != null).get(60, TimeUnit.SECONDS);
+          future.handle((response, failure) -> failure != null).get(60, TimeUnit.SECONDS);
       assertThat(failed).isTrue();
       assertThat(runs("q1")).isEqualTo(1);
     }
@@ -350,10 +350,10 @@
               "Content-Length: 0",
               "",
               "");
-      String answer = sendRaw(LoopbackFleet.ip(1), fleet.callerPort(), request, false);
-      assertThat(answer).startsWith("HTTP/1.1 200");
-      assertThat(answer).containsMatch("(?i)transfer-encoding: chunked");
-      assertThat(answer).endsWith("0\r\n\r\n");
+      String response = sendRaw(LoopbackFleet.ip(1), fleet.callerPort(), request, false);
+      assertThat(response).startsWith("HTTP/1.1 200");
+      assertThat(response).containsMatch("(?i)transfer-encoding: chunked");
+      assertThat(response).endsWith("0\r\n\r\n");
     }
   }
 
@@ -448,9 +448,9 @@
   }
 
   /**
-   * Guards against a restarted runner that refuses all requests for its former adapters: the runner
-   * crashes, restarts without adapters under the same id, and writes its entry. This happens if its
-   * holdings, its number of orders and its lease are kept under the id alone.
+   * Guards against a restarted runner at which all requests for its adapters are refused: the
+   * runner crashes, restarts without adapters under the same id, and writes its entry. This happens
+   * if its holdings, its number of orders and its lease are kept under the id alone.
    */
   @Nested
   class RestartWithSameId {
--- a/sequoia-node/src/test/java/org/sequoiahub/node/RunnerTerminatingLoadTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/RunnerTerminatingLoadTest.java
@@ -58,7 +58,9 @@
     }
   }
 
-  /** An order in flight to a fourth runner when the third terminates may terminate that one too. */
+  /**
+   * A request in flight to a fourth runner when the third terminates may terminate that one too.
+   */
   @Test
   void isNotOrderedAfterTerminatingThreeRunners() throws Exception {
     int[] sent = {0};
@@ -85,9 +87,9 @@
   private boolean isQuarantined(int number) {
     for (int host = 1; host <= HOSTS; host++) {
       try {
-        ContentResponse answer = send(host, "probe-" + number + "-" + host, TERMINATING_ADAPTER);
-        String retry = answer.getHeaders().get("Retry-After");
-        if (answer.getStatus() != 503 || retry == null || Double.parseDouble(retry) < 100) {
+        ContentResponse response = send(host, "probe-" + number + "-" + host, TERMINATING_ADAPTER);
+        String retry = response.getHeaders().get("Retry-After");
+        if (response.getStatus() != 503 || retry == null || Double.parseDouble(retry) < 100) {
           return false;
         }
       } catch (Exception e) {
--- a/sequoia-node/src/test/java/org/sequoiahub/node/RunnerTerminatingRequestTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/RunnerTerminatingRequestTest.java
@@ -24,8 +24,8 @@
  *
  * <p>This happens if each host considers each request by itself. Hosts must remember requests
  * beyond a call, recognize repeated ones, and report to the other hosts which request a terminated
- * runner was running. Each termination follows a broken attempt 60 to 140 ms earlier, mostly at
- * another host.
+ * runner was running. Each of the ten terminations followed 60 to 140 ms after one broken attempt
+ * with the same adapter and a prompt of the same length, mostly at another host.
  */
 @Timeout(value = 180, unit = TimeUnit.SECONDS)
 class RunnerTerminatingRequestTest {
@@ -125,9 +125,9 @@
   void quarantinedRequestGetsRetryAfter() throws Exception {
     terminateRunners(3);
     TimeUnit.MILLISECONDS.sleep(QUARANTINE_DELAY_MILLIS);
-    ContentResponse answer = send(1, "again", TERMINATING_BODY);
-    assertThat(answer.getStatus()).isEqualTo(503);
-    double seconds = Double.parseDouble(answer.getHeaders().get("Retry-After"));
+    ContentResponse response = send(1, "again", TERMINATING_BODY);
+    assertThat(response.getStatus()).isEqualTo(503);
+    double seconds = Double.parseDouble(response.getHeaders().get("Retry-After"));
     assertThat(seconds).isGreaterThan(500.0);
     assertThat(seconds).isAtMost(600.0);
   }
--- a/sequoia-node/src/test/java/org/sequoiahub/node/upstream/StandinRunnerTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/upstream/StandinRunnerTest.java
@@ -39,10 +39,10 @@
       CompletableFuture<OrderReply> reply = new CompletableFuture<>();
       client.order(entry, load, 0, "host-1", 1, TIMEOUT_MILLIS, reply::complete);
       assertThat(reply.get()).isEqualTo(OrderReply.ACCEPTED);
-      CompletableFuture<ReportReply> answer = new CompletableFuture<>();
-      client.report(entry, TIMEOUT_MILLIS, answer::complete);
-      assertThat(answer.get()).isInstanceOf(ReportReply.Given.class);
-      RunnerReport report = ((ReportReply.Given) answer.get()).report();
+      CompletableFuture<ReportReply> reportReply = new CompletableFuture<>();
+      client.report(entry, TIMEOUT_MILLIS, reportReply::complete);
+      assertThat(reportReply.get()).isInstanceOf(ReportReply.Given.class);
+      RunnerReport report = ((ReportReply.Given) reportReply.get()).report();
       assertThat(report.sequence()).isEqualTo(1);
       assertThat(report.coming().keySet()).containsExactly("m/a1");
     } finally {
