--- a/sequoia-node/src/test/java/org/sequoiahub/node/holder/HolderPropertiesTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/holder/HolderPropertiesTest.java
@@ -32,7 +32,7 @@
   }
 
   @Property(tries = 150, seed = "20261220")
-  void runnerHasOneHolderAtATime(@ForAll("chains") ActionChain<HolderSimulation> chain) {
+  void runnerNeverHasTwoHolders(@ForAll("chains") ActionChain<HolderSimulation> chain) {
     HolderSimulation simulation = chain.run();
     for (int host = 0; host < HolderSimulation.HOSTS; host++) {
       simulation.resume(host);
