--- a/sequoia-node/src/main/java/org/sequoiahub/node/Node.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/Node.java
@@ -40,12 +40,12 @@
 import org.sequoiahub.node.peer.CallerAddresses;
 import org.sequoiahub.node.peer.DatagramPort;
 import org.sequoiahub.node.peer.DemandSender;
-import org.sequoiahub.node.peer.FleetShape;
+import org.sequoiahub.node.peer.FleetTopology;
 import org.sequoiahub.node.peer.PeerHeartbeats;
 import org.sequoiahub.node.peer.PulledRecords;
 import org.sequoiahub.node.peer.RecordExchange;
 import org.sequoiahub.node.peer.RecordSync;
-import org.sequoiahub.node.peer.RunnerEndExchange;
+import org.sequoiahub.node.peer.RunnerTerminationExchange;
 import org.sequoiahub.node.peer.StateCodec;
 import org.sequoiahub.node.store.StoreFollower;
 import org.sequoiahub.node.store.StoreRegistry;
@@ -146,11 +146,11 @@
   private final FleetView fleet;
   private final RequestCoordinator calls;
   private final HolderService holder;
-  private final FleetShape shape;
+  private final FleetTopology shape;
   private final CallerAddresses callerAddresses;
   private final PeerHeartbeats peers;
   private final RequestQuarantine knownEnds;
-  private final RunnerEndExchange runnerEnds;
+  private final RunnerTerminationExchange runnerEnds;
   private final QuarantineGate quarantine;
   private final LoadGuard loadGuard;
   private final DemandSender demandSender;
@@ -203,7 +203,7 @@
     this.datagrams =
         DatagramPort.open(network, host.ip(), host.datagramPort(), log, this::datagram);
     this.incarnation = System.currentTimeMillis();
-    this.shape = new FleetShape(host, members);
+    this.shape = new FleetTopology(host, members);
     this.callerAddresses = new CallerAddresses(host, members, shape);
     this.peers =
         new PeerHeartbeats(
@@ -222,7 +222,7 @@
             log);
     this.knownEnds = new RequestQuarantine(QuarantineSettings.DEFAULT);
     this.runnerEnds =
-        new RunnerEndExchange(knownEnds, members, shape, peers::datagram, datagrams::send, random);
+        new RunnerTerminationExchange(knownEnds, members, shape, peers::datagram, datagrams::send, random);
     this.quarantine = new QuarantineGate(knownEnds, book, runnerEnds, metrics, log);
     this.loadGuard = new LoadGuard(knownEnds, runnerEnds);
     metrics.register("quarantine.requests", (Gauge<Integer>) knownEnds::size);
@@ -281,7 +281,7 @@
                 storeClient,
                 StoredKeys.RUNNER_PREFIX,
                 WatchTiming.within(host.drainMillis(), RUNNER_SPACING_MILLIS)),
-            new RecordExchange(RecordExchange.over(wireClients, host.peerPort()), this::passedOn),
+            new RecordExchange(RecordExchange.callsOver(wireClients, host.peerPort()), this::passedOn),
             this::changed,
             log);
     this.wireServer =
@@ -337,7 +337,7 @@
         changed.seeds().size(),
         "needs_restart",
         !changed.withSeeds(host.seeds()).equals(host));
-    duty.put(() -> peers.seeds(changed.seeds()));
+    duty.put(() -> peers.updateSeeds(changed.seeds()));
   }
 
   /**
@@ -358,7 +358,7 @@
           long now = MonotonicClock.SYSTEM.nowMillis();
           refreshAddresses(now);
           holder.stop();
-          peers.tellAll(now);
+          peers.sendToAll(now);
           calls.stop(shutdown);
         });
     boolean idle = false;
@@ -403,7 +403,7 @@
     metrics.register(
         "configuration.from_peer", (Gauge<Integer>) () -> store.status().fromPeer() ? 1 : 0);
     metrics.register(
-        "configuration.in_force_ms", (Gauge<Long>) () -> ago(store.status().inForceMillis()));
+        "configuration.in_force_ms", (Gauge<Long>) () -> ago(store.status().inForceSinceMillis()));
     metrics.register(
         "configuration.confirmed_ms_ago",
         (Gauge<Long>) () -> ago(store.status().confirmedMillis()));
@@ -446,7 +446,7 @@
     if (calls.demandsDue(nowMillis)) {
       Map<String, List<Demand>> demands = calls.demands(nowMillis);
       holder.localDemands(demands, nowMillis);
-      demandSender.tell(demands, nowMillis);
+      demandSender.report(demands, nowMillis);
     }
     if (nowMillis - slowTickMillis >= SLOW_TICK_MILLIS) {
       slowTickMillis = nowMillis;
@@ -512,7 +512,7 @@
 
   private void missing(String runner, String target, long nowMillis) {
     holder.missing(runner, target, nowMillis);
-    demandSender.refused(runner, target);
+    demandSender.reportRefusal(runner, target);
   }
 
   private void inForce(RoutingTable table) {
@@ -523,13 +523,13 @@
   }
 
   private void arrived(CallerExchange request) {
-    callerAddresses.arrived(MonotonicClock.SYSTEM.nowMillis());
+    callerAddresses.recordRequest(MonotonicClock.SYSTEM.nowMillis());
     calls.arrived(request);
   }
 
   private void refreshAddresses(long nowMillis) {
-    ready = store.isFilled();
-    addresses = callerAddresses.named(ready && !leaving, nowMillis);
+    ready = store.isInitialized();
+    addresses = callerAddresses.advertised(ready && !leaving, nowMillis);
   }
 
   private void datagram(String ip, PeerDatagram datagram) {
@@ -539,11 +539,11 @@
   private void received(String ip, PeerDatagram datagram) {
     long now = MonotonicClock.SYSTEM.nowMillis();
     String from = datagram.getHost();
-    records.heard(from, now);
+    records.datagramReceived(from, now);
     switch (datagram.getBodyCase()) {
       case STATE -> {
         peers.received(ip, datagram, now);
-        runnerEnds.heard(from, datagram.getIncarnation(), ip, now);
+        runnerEnds.stateReceived(from, datagram.getIncarnation(), ip, now);
       }
       case DIGEST -> peers.receivedDigest(ip, datagram, now);
       case CLAIM -> holder.claimed(from, ip, datagram.getClaim(), now);
@@ -572,13 +572,13 @@
 
   private void stateOf(String from, HostState state) {
     long now = MonotonicClock.SYSTEM.nowMillis();
-    loads.told(from, StateCodec.uses(state.getLoadsList()), state.getLoadsComplete(), now);
-    StateCodec.holdings(from, state, now).forEach(holdings::told);
+    loads.told(from, StateCodec.decodeLoads(state.getLoadsList()), state.getLoadsComplete(), now);
+    StateCodec.decodeHoldings(from, state, now).forEach(holdings::told);
     wordOf(from, state);
   }
 
   private void wordOf(String from, HostState state) {
-    records.told(from, state, MonotonicClock.SYSTEM.nowMillis());
+    records.stateReceived(from, state, MonotonicClock.SYSTEM.nowMillis());
   }
 
   /** Takes in records as if another host had passed them on that knows no others. */
@@ -587,7 +587,7 @@
   }
 
   private void passedOn(PulledRecords pulled) {
-    duty.put(() -> records.received(pulled, MonotonicClock.SYSTEM.nowMillis()));
+    duty.put(() -> records.recordsReceived(pulled, MonotonicClock.SYSTEM.nowMillis()));
   }
 
   private HostState.Builder ownState(boolean withHoldings, boolean complete) {
@@ -598,7 +598,7 @@
             .setFailureDomain(host.failureDomain())
             .setProcessor(host.processorPercent())
             .setFirstStart(host.firstStart())
-            .setCallerAddress(callerAddresses.own())
+            .setCallerAddress(callerAddresses.ownAddress())
             .setRequestsPerSecond(callerAddresses.requestsPerSecond(now))
             .setReady(ready && !leaving)
             .setLeaving(leaving)
@@ -606,7 +606,7 @@
             .setConfigRevision(store.newestOperatorRevision())
             .setRunnersRevision(store.newestRunnersRevision());
     state.setLoadsComplete(complete);
-    StateCodec.addUses(state, complete ? allUses() : changedUses());
+    StateCodec.addLoads(state, complete ? allUses() : changedUses());
     Set<String> told = leaving || !withHoldings ? Set.of() : holder.told(now);
     for (String runner : told) {
       holdings
@@ -653,7 +653,7 @@
                     message.getCall(),
                     Envelope.newBuilder()
                         .setStoreRecords(
-                            RecordExchange.answer(
+                            RecordExchange.answerPull(
                                 message.getStorePull(),
                                 store,
                                 MonotonicClock.SYSTEM.nowMillis()))));
--- a/sequoia-node/src/main/java/org/sequoiahub/node/holder/HolderChoice.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/holder/HolderChoice.java
@@ -8,7 +8,7 @@
 import org.sequoiahub.core.member.Members.Member;
 import org.sequoiahub.core.placement.Rendezvous;
 import org.sequoiahub.core.upstream.RunnerEntry;
-import org.sequoiahub.node.peer.FleetShape;
+import org.sequoiahub.node.peer.FleetTopology;
 import org.sequoiahub.schema.peer.HostState;
 import org.sequoiahub.usersplatform.HostSettings;
 
@@ -24,7 +24,7 @@
   private final HostSettings settings;
   private final long incarnation;
   private final Members<HostState> members;
-  private final FleetShape shape;
+  private final FleetTopology shape;
 
   /**
    * Creates a choice.
@@ -32,7 +32,7 @@
    * @param incarnation which process of this host this is, as the others are told
    */
   HolderChoice(
-      HostSettings settings, long incarnation, Members<HostState> members, FleetShape shape) {
+      HostSettings settings, long incarnation, Members<HostState> members, FleetTopology shape) {
     this.settings = settings;
     this.incarnation = incarnation;
     this.members = members;
--- a/sequoia-node/src/main/java/org/sequoiahub/node/holder/HolderService.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/holder/HolderService.java
@@ -34,7 +34,7 @@
 import org.sequoiahub.core.quarantine.LoadGuard;
 import org.sequoiahub.core.routing.EngineSpec;
 import org.sequoiahub.core.upstream.RunnerEntry;
-import org.sequoiahub.node.peer.FleetShape;
+import org.sequoiahub.node.peer.FleetTopology;
 import org.sequoiahub.node.peer.StateCodec;
 import org.sequoiahub.runtime.log.EventLog;
 import org.sequoiahub.schema.peer.Digest;
@@ -117,7 +117,7 @@
 
   private final HostSettings settings;
   private final Members<HostState> members;
-  private final FleetShape shape;
+  private final FleetTopology shape;
   private final HolderChoice choice;
   private final LeaseGranter granter;
   private final Holdings holdings;
@@ -218,7 +218,7 @@
       long incarnation,
       long startedMillis,
       Members<HostState> members,
-      FleetShape shape,
+      FleetTopology shape,
       Holdings holdings,
       FleetLoad loads,
       RunnerOrders orders,
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/CallerAddresses.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/CallerAddresses.java
@@ -23,18 +23,18 @@
 
   private final HostSettings settings;
   private final Members<HostState> members;
-  private final FleetShape shape;
+  private final FleetTopology shape;
   private final ArrivalRate arrivals = new ArrivalRate(DEMAND_SECONDS);
 
   /** Creates the addresses of a host that has had no request yet. */
-  public CallerAddresses(HostSettings settings, Members<HostState> members, FleetShape shape) {
+  public CallerAddresses(HostSettings settings, Members<HostState> members, FleetTopology shape) {
     this.settings = requireNonNull(settings, "settings must not be null");
     this.members = requireNonNull(members, "members must not be null");
     this.shape = requireNonNull(shape, "shape must not be null");
   }
 
   /** Counts a request that a caller sent to this host. */
-  public void arrived(long nowMillis) {
+  public void recordRequest(long nowMillis) {
     arrivals.arrived(nowMillis);
   }
 
@@ -44,7 +44,7 @@
   }
 
   /** Returns where callers reach this host. */
-  public String own() {
+  public String ownAddress() {
     return settings.ip() + ":" + settings.callerPort();
   }
 
@@ -54,13 +54,13 @@
    *
    * @param serves whether this host takes requests
    */
-  public List<String> named(boolean serves, long nowMillis) {
+  public List<String> advertised(boolean serves, long nowMillis) {
     List<Candidate> present = new ArrayList<>();
     int demand = requestsPerSecond(nowMillis);
     if (serves) {
       present.add(
           new Candidate(
-              settings.host(), own(), settings.failureDomain(), settings.processorPercent()));
+              settings.host(), ownAddress(), settings.failureDomain(), settings.processorPercent()));
     }
     for (Member<HostState> member : members.alive(nowMillis)) {
       HostState state = member.state();
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/DemandSender.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/DemandSender.java
@@ -56,7 +56,7 @@
   }
 
   /** Tells what requests wait for, by runner, if it is time to. */
-  public void tell(Map<String, List<Demand>> demands, long nowMillis) {
+  public void report(Map<String, List<Demand>> demands, long nowMillis) {
     Map<String, Set<String>> targets = new HashMap<>();
     demands.forEach(
         (runner, list) ->
@@ -89,7 +89,7 @@
   }
 
   /** Tells that a runner refused a request for an adapter that it should have. */
-  public void refused(String runner, String target) {
+  public void reportRefusal(String runner, String target) {
     AdapterDemand demand =
         AdapterDemand.newBuilder().setRunner(runner).setAdapter(target).setRefused(true).build();
     holdings
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/DigestExchange.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/DigestExchange.java
@@ -66,7 +66,7 @@
   private static final String GROUP_SOURCE = "group ";
 
   private final HostSettings settings;
-  private final FleetShape shape;
+  private final FleetTopology shape;
   private final Members<HostState> members;
   private final FleetLoad loads;
   private final Holdings holdings;
@@ -94,7 +94,7 @@
    */
   public DigestExchange(
       HostSettings settings,
-      FleetShape shape,
+      FleetTopology shape,
       Members<HostState> members,
       FleetLoad loads,
       Holdings holdings,
@@ -125,8 +125,8 @@
     }
     long period = shape.isFirstDelegate() ? PERIOD_MILLIS : SECOND_PERIOD_MILLIS;
     if (nowMillis >= farDueMillis) {
-      List<Member<HostState>> delegates = shape.farDelegates();
-      delegates.addAll(shape.strangers(random, nowMillis));
+      List<Member<HostState>> delegates = shape.otherGroupDelegates();
+      delegates.addAll(shape.sampleSilentGroups(random, nowMillis));
       farDueMillis = nowMillis + Math.max(period, delegates.size() * FAR_MILLIS);
       tellFar(delegates, nowMillis);
     }
@@ -139,16 +139,16 @@
   private void tellFar(List<Member<HostState>> delegates, long nowMillis) {
     Digest.Builder digest = Digest.newBuilder().setGroup(shape.group());
     List<Member<HostState>> group =
-        members.reachable(nowMillis).stream().filter(m -> shape.isNear(m.host())).toList();
+        members.reachable(nowMillis).stream().filter(m -> shape.isInOwnGroup(m.host())).toList();
     digest.addWords(ownWord.get());
     far.addWords(digest, group, nowMillis);
     marks.add(digest, group, nowMillis);
     gossip.addWordsInTurn(digest, members.reachable(nowMillis), nowMillis);
-    far.addHoldings(digest, holdings, shape::isNear, nowMillis);
-    Map<String, FleetLoad.Use> sums = loads.sums(shape::isNear, nowMillis);
+    far.addHoldings(digest, holdings, shape::isInOwnGroup, nowMillis);
+    Map<String, FleetLoad.Use> sums = loads.sums(shape::isInOwnGroup, nowMillis);
     if (!spending.isUnused()) {
       digest.setSpending(
-          StateCodec.encodeSpending(spending.sums(shape::isNear, shape.groupSize(), nowMillis)));
+          StateCodec.encodeSpending(spending.sums(shape::isInOwnGroup, shape.groupSize(), nowMillis)));
     }
     Digest common = digest.build();
     for (Member<HostState> delegate : delegates) {
@@ -170,7 +170,7 @@
       digest.setSpending(StateCodec.encodeSpending(spending.whole(nowMillis)));
     }
     byte[] bytes = datagrams.get().setDigest(digest).build().toByteArray();
-    shape.nearOthers(nowMillis).forEach(member -> sender.accept(member.ip(), bytes));
+    shape.ownGroupNonDelegates(nowMillis).forEach(member -> sender.accept(member.ip(), bytes));
   }
 
   private boolean holds(String host, String runner) {
@@ -239,7 +239,7 @@
   }
 
   private void loadsTold(Digest digest, long nowMillis) {
-    Map<String, FleetLoad.Use> uses = StateCodec.uses(digest.getLoadsList());
+    Map<String, FleetLoad.Use> uses = StateCodec.decodeLoads(digest.getLoadsList());
     if (!digest.getGroup().isEmpty()) {
       loads.forgetWhole();
       loads.told(GROUP_SOURCE + digest.getGroup(), uses, true, nowMillis);
@@ -284,7 +284,7 @@
     }
     return shape.isDelegate()
         && !source.equals(GROUP_SOURCE + shape.group())
-        && (source.startsWith(GROUP_SOURCE) || shape.isNear(source));
+        && (source.startsWith(GROUP_SOURCE) || shape.isInOwnGroup(source));
   }
 
   static String teller(String host, long incarnation) {
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/FleetShape.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/FleetTopology.java
@@ -16,7 +16,7 @@
 import org.sequoiahub.usersplatform.HostSettings;
 
 /** Which hosts this host speaks to, by the size of the fleet; decision thread only. */
-public final class FleetShape {
+public final class FleetTopology {
 
   /**
    * The choice is made anew this often (ms): a host is suspected only after a second, and to rank
@@ -33,7 +33,7 @@
   private Map<String, String> groups = Map.of();
 
   /** Creates the shape of a fleet of which nothing is known yet. */
-  public FleetShape(HostSettings settings, Members<HostState> members) {
+  public FleetTopology(HostSettings settings, Members<HostState> members) {
     this.settings = requireNonNull(settings, "settings must not be null");
     this.members = requireNonNull(members, "members must not be null");
   }
@@ -97,7 +97,7 @@
    */
   public boolean isFirstDelegate() {
     return isDelegate()
-        && delegates.stream().filter(this::isNear).allMatch(d -> settings.host().compareTo(d) <= 0);
+        && delegates.stream().filter(this::isInOwnGroup).allMatch(d -> settings.host().compareTo(d) <= 0);
   }
 
   /** Returns the name of this host's group. */
@@ -112,29 +112,29 @@
   }
 
   /** Returns whether a host is in this host's group. */
-  public boolean isNear(String host) {
+  public boolean isInOwnGroup(String host) {
     return group().equals(groups.get(host));
   }
 
   /** Returns whether a host is a delegate of this host's group. */
-  public boolean isNearDelegate(String host) {
-    return delegates.contains(host) && isNear(host);
+  public boolean isDelegateOfOwnGroup(String host) {
+    return delegates.contains(host) && isInOwnGroup(host);
   }
 
   /** Returns the other hosts to tell as delegates of this host's group. */
-  public List<Member<HostState>> nearDelegates() {
+  public List<Member<HostState>> ownGroupDelegates() {
     return toTell(true);
   }
 
   /** Returns the hosts to tell as delegates of the other groups. */
-  public List<Member<HostState>> farDelegates() {
+  public List<Member<HostState>> otherGroupDelegates() {
     return toTell(false);
   }
 
   private List<Member<HostState>> toTell(boolean near) {
     List<Member<HostState>> chosen = new ArrayList<>();
     for (String host : told) {
-      if (!host.equals(settings.host()) && isNear(host) == near) {
+      if (!host.equals(settings.host()) && isInOwnGroup(host) == near) {
         members.find(host).ifPresent(chosen::add);
       }
     }
@@ -147,7 +147,7 @@
    * <p>Both delegates of each group may die at once. Their successors then know nobody who lives in
    * another group but, for a while, who did; told, such a host answers with all that it knows.
    */
-  public List<Member<HostState>> strangers(Random random, long nowMillis) {
+  public List<Member<HostState>> sampleSilentGroups(Random random, long nowMillis) {
     Map<String, List<Member<HostState>>> silent = new HashMap<>();
     Set<String> living = new HashSet<>();
     for (Member<HostState> member : members.reachable(nowMillis)) {
@@ -168,10 +168,10 @@
   }
 
   /** Returns the other hosts of this host's group that are not told as delegates. */
-  public List<Member<HostState>> nearOthers(long nowMillis) {
+  public List<Member<HostState>> ownGroupNonDelegates(long nowMillis) {
     List<Member<HostState>> others = new ArrayList<>();
     for (Member<HostState> member : members.reachable(nowMillis)) {
-      if (isNear(member.host()) && !told.contains(member.host())) {
+      if (isInOwnGroup(member.host()) && !told.contains(member.host())) {
         others.add(member);
       }
     }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/PeerHeartbeats.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/PeerHeartbeats.java
@@ -54,7 +54,7 @@
   private final HostSettings settings;
   private final long incarnation;
   private final Members<HostState> members;
-  private final FleetShape shape;
+  private final FleetTopology shape;
   private final FleetSpending spending;
   private final DigestExchange digests;
   private final BiConsumer<String, byte[]> sender;
@@ -62,7 +62,7 @@
   private final BiConsumer<String, HostState> listener;
   private final Random random;
   private final EventLog log;
-  private List<String> seeds;
+  private List<String> seedIps;
   private long number;
   private long sentMillis = Long.MIN_VALUE / 2;
   private long completeMillis = Long.MIN_VALUE / 2;
@@ -94,7 +94,7 @@
       HostSettings settings,
       long incarnation,
       Members<HostState> members,
-      FleetShape shape,
+      FleetTopology shape,
       FleetLoad loads,
       Holdings holdings,
       FleetSpending spending,
@@ -105,7 +105,7 @@
       Random random,
       EventLog log) {
     this.settings = settings;
-    this.seeds = settings.seeds();
+    this.seedIps = settings.seeds();
     this.incarnation = incarnation;
     this.members = members;
     this.spending = spending;
@@ -141,8 +141,8 @@
   }
 
   /** Sets the IP numbers of hosts that may know the others. */
-  public void seeds(List<String> now) {
-    seeds = List.copyOf(now);
+  public void updateSeeds(List<String> now) {
+    seedIps = List.copyOf(now);
   }
 
   /** Records that this host's state has changed: the others are told soon. */
@@ -173,7 +173,7 @@
     long heartbeat =
         Math.max(LEAST_HEARTBEAT_MILLIS, Math.min(MOST_HEARTBEAT_MILLIS, members.periodMillis()));
     if (since >= heartbeat || (changed && since >= DELEGATE_PERIOD_MILLIS)) {
-      tell(shape.nearDelegates(), true, nowMillis);
+      tell(shape.ownGroupDelegates(), true, nowMillis);
     }
     digests.tick(nowMillis);
   }
@@ -183,19 +183,19 @@
     long period = Math.max(MIN_PERIOD_MILLIS, (long) peers * MILLIS / STATES_PER_SECOND);
     long since = nowMillis - sentMillis;
     if (since >= members.periodMillis() || (changed && since >= period)) {
-      tellAll(nowMillis);
+      sendToAll(nowMillis);
     }
   }
 
   /** Tells all hosts at once. */
-  public void tellAll(long nowMillis) {
+  public void sendToAll(long nowMillis) {
     tell(members.reachable(nowMillis), shape.isLarge(), nowMillis);
   }
 
   private void tell(List<Member<HostState>> told, boolean whole, long nowMillis) {
     sentMillis = nowMillis;
     changed = false;
-    seeds.stream()
+    seedIps.stream()
         .filter(ip -> !ip.equals(settings.ip()))
         .forEach(ip -> members.named(ip, nowMillis));
     boolean withHoldings = holdingsChanged || nowMillis - holdingsSentMillis >= HOLDINGS_MILLIS;
@@ -253,7 +253,7 @@
     }
     listener.accept(datagram.getHost(), state);
     digests.spendingTold(datagram.getHost(), datagram.getIncarnation(), state, nowMillis);
-    boolean toDelegate = shape.isDelegate() && shape.isNear(datagram.getHost());
+    boolean toDelegate = shape.isDelegate() && shape.isInOwnGroup(datagram.getHost());
     if (shape.isLarge() && !toDelegate && !state.getLeaving()) {
       // In a large fleet a host speaks directly only to its delegates and to strangers.
       digests.welcome(ip, nowMillis);
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/RecordExchange.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/RecordExchange.java
@@ -56,7 +56,7 @@
   }
 
   /** Returns calls over connections to the hosts' ports for peers. */
-  public static PeerCalls over(WireClients clients, int peerPort) {
+  public static PeerCalls callsOver(WireClients clients, int peerPort) {
     return (ip, pull, answer) -> {
       WireClient client = clients.to(new Endpoint(ip, peerPort));
       client.call(
@@ -104,17 +104,17 @@
   }
 
   /** Answers another host's pull. */
-  public static StoreRecords answer(StorePull pull, StoreRegistry store, long nowMillis) {
+  public static StoreRecords answerPull(StorePull pull, StoreRegistry store, long nowMillis) {
     StoreRecords.Builder records =
         StoreRecords.newBuilder()
             .setOperatorsCompleteTo(store.operatorsCompleteTo())
             .setRunnersCompleteTo(store.runnersCompleteTo())
             .setConfirmedMsAgo(nowMillis - store.status().confirmedMillis());
     store
-        .operatorSince(pull.getOperatorsCompleteTo())
+        .operatorRecordsSince(pull.getOperatorsCompleteTo())
         .forEach(item -> records.addOperators(entry(item)));
     store
-        .runnersSince(pull.getRunnersCompleteTo())
+        .runnerRecordsSince(pull.getRunnersCompleteTo())
         .forEach(item -> records.addRunners(entry(item)));
     return records.build();
   }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/RecordSync.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/RecordSync.java
@@ -22,7 +22,7 @@
   private final long boundMillis;
   private final long relianceMillis;
   private final long startedMillis;
-  private final FleetShape shape;
+  private final FleetTopology shape;
   private final Members<HostState> members;
   private final StoreRegistry store;
   private final StoreFollower operators;
@@ -69,7 +69,7 @@
   public RecordSync(
       long boundMillis,
       long startedMillis,
-      FleetShape shape,
+      FleetTopology shape,
       Members<HostState> members,
       StoreRegistry store,
       StoreFollower operators,
@@ -95,7 +95,7 @@
   public void tick(long nowMillis) {
     if (nowMillis - startedMillis > boundMillis) {
       // What others passed on may be old, but nothing better can be had.
-      store.useHeld(nowMillis);
+      store.activatePending(nowMillis);
     }
     if (watchesStore(nowMillis)) {
       operators.tick(nowMillis);
@@ -104,7 +104,7 @@
   }
 
   /** Takes from another host what it has read from the store and this host has not. */
-  public void told(String from, HostState state, long nowMillis) {
+  public void stateReceived(String from, HostState state, long nowMillis) {
     long operatorsCompleteTo = store.operatorsCompleteTo();
     long runnersCompleteTo = store.runnersCompleteTo();
     boolean behind = state.getConfigRevision() > operatorsCompleteTo;
@@ -135,11 +135,11 @@
   }
 
   /** Takes in what another host passed on. */
-  public void received(PulledRecords records, long nowMillis) {
+  public void recordsReceived(PulledRecords records, long nowMillis) {
     exchange.answered(records.ip());
     int news = 0;
     for (StoredItem item : records.items()) {
-      news += store.passedOn(item, nowMillis) ? 1 : 0;
+      news += store.applyFromPeer(item, nowMillis) ? 1 : 0;
     }
     store.completeTo(records.operatorsCompleteTo(), records.runnersCompleteTo());
     if (records.confirmedMillisAgo() <= boundMillis) {
@@ -152,10 +152,10 @@
   }
 
   /** Records that a datagram of another host came. */
-  public void heard(String from, long nowMillis) {
-    if (shape.isNearDelegate(from)) {
+  public void datagramReceived(String from, long nowMillis) {
+    if (shape.isDelegateOfOwnGroup(from)) {
       delegateHeardMillis = nowMillis;
-      if (store.isFilled() && !isLeftBehind(nowMillis)) {
+      if (store.isInitialized() && !isLeftBehind(nowMillis)) {
         store.confirmed(nowMillis, nowMillis);
       }
     }
@@ -167,7 +167,7 @@
    * changes that it does not get, cannot wait until it suspects them: it asks the store itself.
    */
   private boolean watchesStore(long nowMillis) {
-    return !store.isFilled()
+    return !store.isInitialized()
         || !shape.isLarge()
         || shape.isDelegate()
         || nowMillis - delegateHeardMillis > relianceMillis
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/RunnerEndExchange.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/RunnerTerminationExchange.java
@@ -29,7 +29,7 @@
  * that are held back are told to one host drawn at random every second besides, so that nobody
  * stays without them.
  */
-public final class RunnerEndExchange implements RunnerEndListener {
+public final class RunnerTerminationExchange implements RunnerEndListener {
 
   /** Datagrams of news are this far apart at least (ms), and more if many hosts are told. */
   private static final long PERIOD_MILLIS = 20;
@@ -50,7 +50,7 @@
 
   private final RequestQuarantine quarantine;
   private final Members<HostState> members;
-  private final FleetShape shape;
+  private final FleetTopology shape;
   private final Supplier<PeerDatagram.Builder> datagrams;
   private final BiConsumer<String, byte[]> sender;
   private final Random random;
@@ -61,7 +61,7 @@
   /** Requests under which one runner ended: the loss of a domain brings hundreds at once. */
   private final RepeatedNews ordinary = new RepeatedNews(MAX_WAITING);
 
-  private final Map<String, Heard> heard = new HashMap<>();
+  private final Map<String, Heard> stateReceived = new HashMap<>();
   private long toldMillis = Long.MIN_VALUE / 2;
   private long randomMillis = Long.MIN_VALUE / 2;
   private int turn;
@@ -74,10 +74,10 @@
    * @param datagrams begins a datagram of this host
    * @param sender sends bytes to an IP number
    */
-  public RunnerEndExchange(
+  public RunnerTerminationExchange(
       RequestQuarantine quarantine,
       Members<HostState> members,
-      FleetShape shape,
+      FleetTopology shape,
       Supplier<PeerDatagram.Builder> datagrams,
       BiConsumer<String, byte[]> sender,
       Random random) {
@@ -151,11 +151,11 @@
     if (!shape.isLarge()) {
       members.reachable(nowMillis).forEach(member -> near.add(member.ip()));
     } else {
-      shape.nearDelegates().forEach(member -> near.add(member.ip()));
+      shape.ownGroupDelegates().forEach(member -> near.add(member.ip()));
       if (shape.isDelegate()) {
-        shape.nearOthers(nowMillis).forEach(member -> near.add(member.ip()));
-        shape.farDelegates().forEach(member -> all.add(member.ip()));
-        shape.strangers(random, nowMillis).forEach(member -> all.add(member.ip()));
+        shape.ownGroupNonDelegates(nowMillis).forEach(member -> near.add(member.ip()));
+        shape.otherGroupDelegates().forEach(member -> all.add(member.ip()));
+        shape.sampleSilentGroups(random, nowMillis).forEach(member -> all.add(member.ip()));
       }
     }
     all.addAll(near);
@@ -169,7 +169,7 @@
     for (News each : news) {
       RunnerEnd end = each.end();
       if (end != null) {
-        ends.addEnds(StateCodec.encodeEnd(end, nowMillis));
+        ends.addEnds(StateCodec.encodeTermination(end, nowMillis));
       } else {
         ends.addCleared(
             ClearedRequest.newBuilder()
@@ -199,21 +199,21 @@
   }
 
   /** Records that a host spoke to this one directly; one that is new or was silent is told all. */
-  public void heard(String host, long incarnation, String ip, long nowMillis) {
-    Heard before = heard.put(host, new Heard(incarnation, nowMillis));
+  public void stateReceived(String host, long incarnation, String ip, long nowMillis) {
+    Heard before = stateReceived.put(host, new Heard(incarnation, nowMillis));
     boolean missed =
         before == null
             || before.incarnation != incarnation
             || nowMillis - before.atMillis >= SILENCE_MILLIS;
     if (missed) {
       tell(ip, quarantine.repeatedEnds(), nowMillis);
-      heard.keySet().removeIf(name -> members.find(name).isEmpty() && !name.equals(host));
+      stateReceived.keySet().removeIf(name -> members.find(name).isEmpty() && !name.equals(host));
     }
   }
 
   /** Takes in what another host told. */
   public void received(String from, String ip, RunnerEnds told, long nowMillis) {
-    boolean fromNear = !shape.isLarge() || shape.isNear(from);
+    boolean fromNear = !shape.isLarge() || shape.isInOwnGroup(from);
     boolean passesOn = shape.isLarge() && shape.isDelegate();
     for (ClearedRequest cleared : told.getClearedList()) {
       long at = nowMillis - Integer.toUnsignedLong(cleared.getAgoMs());
@@ -223,7 +223,7 @@
     }
     List<News> refuted = new ArrayList<>();
     for (org.sequoiahub.schema.peer.RunnerEnd message : told.getEndsList()) {
-      RunnerEnd end = StateCodec.decodeEnd(message, nowMillis);
+      RunnerEnd end = StateCodec.decodeTermination(message, nowMillis);
       boolean news = quarantine.ended(end, nowMillis);
       if (news && passesOn) {
         add(end, fromNear, nowMillis);
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/StateCodec.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/StateCodec.java
@@ -29,7 +29,7 @@
   private StateCodec() {}
 
   /** Adds what a host has in flight. */
-  public static void addUses(HostState.Builder state, Map<String, FleetLoad.Use> uses) {
+  public static void addLoads(HostState.Builder state, Map<String, FleetLoad.Use> uses) {
     uses.forEach((runner, use) -> state.addLoads(encodeLoad(runner, use, true)));
   }
 
@@ -51,7 +51,7 @@
   }
 
   /** Returns what is in flight, by runner. */
-  public static Map<String, FleetLoad.Use> uses(List<RunnerLoad> loads) {
+  public static Map<String, FleetLoad.Use> decodeLoads(List<RunnerLoad> loads) {
     Map<String, FleetLoad.Use> uses = new HashMap<>();
     for (RunnerLoad load : loads) {
       Map<String, Integer> adapters = new HashMap<>();
@@ -117,7 +117,7 @@
   }
 
   /** Returns what the runners that a host orders hold. */
-  public static Map<String, Holdings.Holding> holdings(
+  public static Map<String, Holdings.Holding> decodeHoldings(
       String host, HostState state, long nowMillis) {
     Map<String, Holdings.Holding> holdings = new HashMap<>();
     for (Holding message : state.getHoldingsList()) {
@@ -149,7 +149,7 @@
   }
 
   /** Encodes a runner's end under a request. */
-  static org.sequoiahub.schema.peer.RunnerEnd encodeEnd(RunnerEnd end, long nowMillis) {
+  static org.sequoiahub.schema.peer.RunnerEnd encodeTermination(RunnerEnd end, long nowMillis) {
     return org.sequoiahub.schema.peer.RunnerEnd.newBuilder()
         .setRequest(end.request())
         .setRunner(end.runner())
@@ -161,7 +161,7 @@
   }
 
   /** Decodes a runner's end under a request; an impossible order of times is put right. */
-  static RunnerEnd decodeEnd(org.sequoiahub.schema.peer.RunnerEnd message, long nowMillis) {
+  static RunnerEnd decodeTermination(org.sequoiahub.schema.peer.RunnerEnd message, long nowMillis) {
     long ended = nowMillis - Integer.toUnsignedLong(message.getEndedAgoMs());
     long started = nowMillis - Integer.toUnsignedLong(message.getStartedAgoMs());
     return new RunnerEnd(
--- a/sequoia-node/src/main/java/org/sequoiahub/node/store/ConfigurationStatus.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/store/ConfigurationStatus.java
@@ -6,17 +6,17 @@
  * @param version the operator's number of it; -1 if none is in force
  * @param revision the store's revision of its record
  * @param fromPeer whether another host passed it on
- * @param inForceMillis since when it is in force
+ * @param inForceSinceMillis since when it is in force
  * @param confirmedMillis when the store, or a host that others rely on, last had nothing newer
  */
 public record ConfigurationStatus(
-    long version, long revision, boolean fromPeer, long inForceMillis, long confirmedMillis) {
+    long version, long revision, boolean fromPeer, long inForceSinceMillis, long confirmedMillis) {
 
   static final ConfigurationStatus NONE =
       new ConfigurationStatus(-1, 0, false, Long.MIN_VALUE / 2, Long.MIN_VALUE / 2);
 
   ConfigurationStatus confirmedAt(long millis) {
     return new ConfigurationStatus(
-        version, revision, fromPeer, inForceMillis, Math.max(confirmedMillis, millis));
+        version, revision, fromPeer, inForceSinceMillis, Math.max(confirmedMillis, millis));
   }
 }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/store/StoreFollower.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/store/StoreFollower.java
@@ -56,7 +56,7 @@
     this.client = client;
     this.prefix = prefix;
     this.timing = timing;
-    this.patienceMillis = timing.patienceMillis();
+    this.patienceMillis = timing.answerTimeoutMillis();
     this.listener = listener;
     this.decisions = decisions;
     this.clock = clock;
@@ -69,7 +69,7 @@
     }
     calling = true;
     askedMillis = nowMillis;
-    dueMillis = nowMillis + timing.spacingMillis();
+    dueMillis = nowMillis + timing.minIntervalMillis();
     if (revision < 0) {
       client.range(prefix, after, patienceMillis, answer -> post(() -> page(answer)));
     } else {
@@ -113,7 +113,7 @@
       // A reading older than the history would be followed by the next one at once.
       dueMillis = now + nextPause();
     }
-    listener.whole(prefix, all, revision, now);
+    listener.snapshot(prefix, all, revision, now);
   }
 
   private void changes(Answer answer) {
@@ -142,21 +142,21 @@
   }
 
   private void succeeded(long nowMillis) {
-    patienceMillis = Math.max(timing.patienceMillis(), patienceMillis / 2);
+    patienceMillis = Math.max(timing.answerTimeoutMillis(), patienceMillis / 2);
     if (!reachable) {
       reachable = true;
-      listener.reachable(prefix, true, "", nowMillis - askedMillis, nowMillis);
+      listener.reachabilityChanged(prefix, true, "", nowMillis - askedMillis, nowMillis);
     }
   }
 
   private void failed(Answer answer, long nowMillis) {
     dueMillis = nowMillis + nextPause();
     patienceMillis =
-        Math.max(timing.patienceMillis(), Math.min(LONGEST_PATIENCE_MILLIS, patienceMillis * 2));
+        Math.max(timing.answerTimeoutMillis(), Math.min(LONGEST_PATIENCE_MILLIS, patienceMillis * 2));
     restartReading();
     if (reachable) {
       reachable = false;
-      listener.reachable(prefix, false, answer.toString(), nowMillis - askedMillis, nowMillis);
+      listener.reachabilityChanged(prefix, false, answer.toString(), nowMillis - askedMillis, nowMillis);
     }
   }
 
--- a/sequoia-node/src/main/java/org/sequoiahub/node/store/StoreListener.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/store/StoreListener.java
@@ -7,7 +7,7 @@
 public interface StoreListener {
 
   /** Receives all items of a prefix as of one revision. */
-  void whole(String prefix, List<StoredItem> items, long revision, long nowMillis);
+  void snapshot(String prefix, List<StoredItem> items, long revision, long nowMillis);
 
   /** Receives changes of a prefix up to one revision. */
   void changes(String prefix, List<StoredItem> items, long revision, long nowMillis);
@@ -17,5 +17,5 @@
    *
    * @param askedMillisAgo when the call was made that shows it
    */
-  void reachable(String prefix, boolean reachable, String why, long askedMillisAgo, long nowMillis);
+  void reachabilityChanged(String prefix, boolean reachable, String why, long askedMillisAgo, long nowMillis);
 }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/store/StoreRegistry.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/store/StoreRegistry.java
@@ -87,7 +87,7 @@
   }
 
   @Override
-  public void whole(String prefix, List<StoredItem> items, long revision, long nowMillis) {
+  public void snapshot(String prefix, List<StoredItem> items, long revision, long nowMillis) {
     if (prefix.equals(StoredKeys.RUNNER_PREFIX)) {
       List<Change> entries = new ArrayList<>();
       Set<String> unreadable = new HashSet<>();
@@ -164,7 +164,7 @@
   }
 
   @Override
-  public void reachable(
+  public void reachabilityChanged(
       String prefix, boolean reachable, String why, long askedMillisAgo, long nowMillis) {
     if (reachable) {
       log.info("store-regained", "prefix", prefix, "asked_ms_ago", askedMillisAgo);
@@ -174,7 +174,7 @@
   }
 
   /** Takes in a record that another host passed on; returns whether it was news. */
-  public boolean passedOn(StoredItem item, long nowMillis) {
+  public boolean applyFromPeer(StoredItem item, long nowMillis) {
     if (!item.key().startsWith(StoredKeys.RUNNER_PREFIX)) {
       return operatorChange(item, true, nowMillis);
     }
@@ -188,7 +188,7 @@
   }
 
   /** Returns whether a configuration is in force and the runners are known. */
-  public boolean isFilled() {
+  public boolean isInitialized() {
     return status.version() >= 0 && book.revision() > 0;
   }
 
@@ -203,11 +203,11 @@
    */
   public void confirmed(long atMillis, long nowMillis) {
     status = status.confirmedAt(atMillis);
-    useHeld(nowMillis);
+    activatePending(nowMillis);
   }
 
   /** Uses a configuration that waits for its confirmation, and later ones at once. */
-  public void useHeld(long nowMillis) {
+  public void activatePending(long nowMillis) {
     trustsPeers = true;
     Held waiting = held;
     held = null;
@@ -277,12 +277,12 @@
   }
 
   /** Returns the operators' records that are newer than {@code revision}. */
-  public List<StoredItem> operatorSince(long revision) {
+  public List<StoredItem> operatorRecordsSince(long revision) {
     return operator.values().stream().filter(item -> item.revision() > revision).toList();
   }
 
   /** Returns the runners' records that are newer than {@code revision}. */
-  public List<StoredItem> runnersSince(long revision) {
+  public List<StoredItem> runnerRecordsSince(long revision) {
     return runners.values().stream().filter(item -> item.revision() > revision).toList();
   }
 
@@ -353,7 +353,7 @@
       if (item.key().equals(StoredKeys.CONFIGURATION)) {
         held = new Held(decoder.configuration(value), item.revision(), fromPeer);
         if (trustsPeers || !fromPeer) {
-          useHeld(nowMillis);
+          activatePending(nowMillis);
         }
       } else if (item.key().startsWith(StoredKeys.VERSION_PREFIX)) {
         PublishedVersion version = decoder.version(value);
--- a/sequoia-node/src/main/java/org/sequoiahub/node/store/WatchTiming.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/store/WatchTiming.java
@@ -10,11 +10,11 @@
  * which a change must be known.
  *
  * @param holdMillis how long the store may hold a watch
- * @param patienceMillis an answer that is so late means a lost call
- * @param spacingMillis watches start at least this far apart: each call has a price, and the
+ * @param answerTimeoutMillis an answer that is so late means a lost call
+ * @param minIntervalMillis watches start at least this far apart: each call has a price, and the
  *     changes of one pause come with one call
  */
-public record WatchTiming(long holdMillis, long patienceMillis, long spacingMillis) {
+public record WatchTiming(long holdMillis, long answerTimeoutMillis, long minIntervalMillis) {
 
   private static final int HOLD_DIVISOR = 2;
   private static final int PATIENCE_DIVISOR = 4;
@@ -22,8 +22,8 @@
   /** Checks that a watch can be answered in time. */
   public WatchTiming {
     checkArgument(holdMillis > 0, "holdMillis must be above 0, was %s", holdMillis);
-    checkArgument(patienceMillis > 0, "patienceMillis must be above 0, was %s", patienceMillis);
-    checkArgument(spacingMillis >= 0, "spacingMillis must not be negative, was %s", spacingMillis);
+    checkArgument(answerTimeoutMillis > 0, "patienceMillis must be above 0, was %s", answerTimeoutMillis);
+    checkArgument(minIntervalMillis >= 0, "spacingMillis must not be negative, was %s", minIntervalMillis);
   }
 
   /**
--- a/sequoia-node/src/test/java/org/sequoiahub/node/holder/HolderWorld.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/holder/HolderWorld.java
@@ -35,7 +35,7 @@
 import org.sequoiahub.core.routing.ModelSpec;
 import org.sequoiahub.core.upstream.RunnerEntry;
 import org.sequoiahub.core.upstream.RunnerIncarnation;
-import org.sequoiahub.node.peer.FleetShape;
+import org.sequoiahub.node.peer.FleetTopology;
 import org.sequoiahub.node.peer.PeerHeartbeats;
 import org.sequoiahub.node.peer.StateCodec;
 import org.sequoiahub.runtime.log.EventLog;
@@ -168,7 +168,7 @@
     if (leaving.service != null && !leaving.paused) {
       leaving.leaving = true;
       leaving.service.stop();
-      leaving.peers.tellAll(now);
+      leaving.peers.sendToAll(now);
       int life = leaving.life;
       after(
           3_000,
@@ -275,7 +275,7 @@
     private Members<HostState> members = new Members<>("", MemberSettings.DEFAULT);
     private Holdings holdings = new Holdings();
     private @Nullable HolderService service;
-    private FleetShape shape = new FleetShape(settings(false), members);
+    private FleetTopology shape = new FleetTopology(settings(false), members);
     private PeerHeartbeats peers = peerDesk(0);
 
     Host(int number) {
@@ -316,7 +316,7 @@
           new FleetSpending(8_000),
           this::send,
           this::state,
-          (from, state) -> StateCodec.holdings(from, state, now).forEach(holdings::told),
+          (from, state) -> StateCodec.decodeHoldings(from, state, now).forEach(holdings::told),
           (from, state) -> {},
           random,
           new EventLog("test", "host-" + number));
@@ -328,7 +328,7 @@
       leaving = false;
       paused = false;
       inbox.clear();
-      shape = new FleetShape(settings(false), members);
+      shape = new FleetTopology(settings(false), members);
       peers = peerDesk(now);
       service =
           new HolderService(
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/CallerAddressesTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/CallerAddressesTest.java
@@ -21,7 +21,7 @@
   private static final long NOW = 100_000;
 
   private final Members<HostState> members = new Members<>("host-0", MemberSettings.DEFAULT);
-  private final FleetShape shape = new FleetShape(settings(), members);
+  private final FleetTopology shape = new FleetTopology(settings(), members);
   private final CallerAddresses addresses = new CallerAddresses(settings(), members, shape);
 
   private static HostSettings settings() {
@@ -70,8 +70,8 @@
     @Test
     void nameAll() {
       fleet(6, 0, true, NOW);
-      assertThat(addresses.named(true, NOW)).hasSize(7);
-      assertThat(addresses.named(false, NOW)).hasSize(6);
+      assertThat(addresses.advertised(true, NOW)).hasSize(7);
+      assertThat(addresses.advertised(false, NOW)).hasSize(6);
     }
   }
 
@@ -81,21 +81,21 @@
     @Test
     void nameTheStrongest() {
       fleet(76, 2, true, NOW);
-      assertThat(addresses.named(true, NOW)).hasSize(8);
-      assertThat(addresses.named(true, NOW)).doesNotContain(addresses.own());
+      assertThat(addresses.advertised(true, NOW)).hasSize(8);
+      assertThat(addresses.advertised(true, NOW)).doesNotContain(addresses.ownAddress());
     }
 
     @Test
     void nameMoreWhenTheFleetIsAskedMore() {
       fleet(76, 12, true, NOW);
-      assertThat(addresses.named(true, NOW)).hasSize(64);
+      assertThat(addresses.advertised(true, NOW)).hasSize(64);
     }
 
     /** After the loss of all hosts each knows only itself for a while. */
     @Test
     void nameThisHostWhenNobodyElseServes() {
       fleet(76, 2, false, NOW);
-      assertThat(addresses.named(true, NOW)).containsExactly(addresses.own());
+      assertThat(addresses.advertised(true, NOW)).containsExactly(addresses.ownAddress());
     }
 
     @Test
@@ -107,7 +107,7 @@
         members.heard("host-" + number, "ip-" + number, 1, later, false, state, later);
       }
       shape.refresh(later);
-      List<String> named = addresses.named(true, later);
+      List<String> named = addresses.advertised(true, later);
       for (int number = 1; number <= 8; number++) {
         assertThat(named).doesNotContain("ip-" + number + ":1");
       }
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/ConfigurationBoundTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/ConfigurationBoundTest.java
@@ -158,7 +158,7 @@
       assertWithMessage("version of the other hosts")
           .that(world.host(2).versionInForce())
           .isEqualTo(version);
-      assertWithMessage("is ready").that(world.host(2).registry.isFilled()).isTrue();
+      assertWithMessage("is ready").that(world.host(2).registry.isInitialized()).isTrue();
     }
   }
 
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/PeerWorld.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/PeerWorld.java
@@ -117,10 +117,10 @@
     final AllowanceKeeper allowances =
         new AllowanceKeeper(spending, ALLOWANCES, size > 1, random::nextDouble, now);
     final Set<String> words = new HashSet<>();
-    final FleetShape shape;
+    final FleetTopology shape;
     final PeerHeartbeats heartbeats;
     final RequestQuarantine quarantine = new RequestQuarantine(QuarantineSettings.DEFAULT);
-    final RunnerEndExchange runnerEnds;
+    final RunnerTerminationExchange runnerEnds;
     final Records records;
     long configRevision = 1_000;
 
@@ -128,7 +128,7 @@
       this.number = number;
       this.members = new Members<>("host-" + number, MemberSettings.DEFAULT);
       HostSettings settings = settings(number);
-      this.shape = new FleetShape(settings, members);
+      this.shape = new FleetTopology(settings, members);
       this.heartbeats =
           new PeerHeartbeats(
               settings,
@@ -145,7 +145,7 @@
               random,
               new EventLog("test", "host-" + number));
       this.runnerEnds =
-          new RunnerEndExchange(
+          new RunnerTerminationExchange(
               quarantine,
               members,
               shape,
@@ -166,12 +166,12 @@
               .setFleetSize(1 + members.reachable(now).size())
               .setConfigRevision(records.operatorRevision())
               .setRunnersRevision(records.runnersRevision());
-      StateCodec.addUses(state, loads.own());
+      StateCodec.addLoads(state, loads.own());
       return state.setLoadsComplete(true);
     }
 
     private void told(String from, HostState state) {
-      loads.told(from, StateCodec.uses(state.getLoadsList()), true, now);
+      loads.told(from, StateCodec.decodeLoads(state.getLoadsList()), true, now);
       word(from, state);
     }
 
@@ -354,7 +354,7 @@
         to.runnerEnds.received(datagram.getHost(), ip, datagram.getEnds(), now);
       } else {
         to.heartbeats.received(ip, datagram, now);
-        to.runnerEnds.heard(datagram.getHost(), datagram.getIncarnation(), ip, now);
+        to.runnerEnds.stateReceived(datagram.getHost(), datagram.getIncarnation(), ip, now);
       }
     } catch (InvalidProtocolBufferException e) {
       throw new AssertionError(e);
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/RecordWorld.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/RecordWorld.java
@@ -98,7 +98,7 @@
               follower(reader, StoredKeys.RUNNER_PREFIX, WatchTiming.within(DRAIN_MILLIS, 600)),
               new RecordExchange(
                   (ip, pull, answer) -> pull(this, ip, pull, answer),
-                  records -> decide(() -> sync().received(records, peers.now()))),
+                  records -> decide(() -> sync().recordsReceived(records, peers.now()))),
               () -> host.heartbeats.changed(),
               log);
       records.put(host.number, this);
@@ -139,12 +139,12 @@
 
     @Override
     public void told(String from, HostState state) {
-      sync.told(from, state, peers.now());
+      sync.stateReceived(from, state, peers.now());
     }
 
     @Override
     public void heard(String from) {
-      sync.heard(from, peers.now());
+      sync.datagramReceived(from, peers.now());
     }
 
     @Override
@@ -255,7 +255,7 @@
           HostRecords asked = host(to);
           asked.decide(
               () -> {
-                StoreRecords answered = RecordExchange.answer(pull, asked.registry, now());
+                StoreRecords answered = RecordExchange.answerPull(pull, asked.registry, now());
                 deliver(to, asker, () -> answer.accept(answered));
               });
         });
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/RunnerEndExchangeTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/RunnerEndExchangeTest.java
@@ -74,7 +74,7 @@
         PeerWorld.Host witness = ordinary(world).get(0);
         threeEnds(world, List.of(witness));
         for (PeerWorld.Host host : world.running()) {
-          if (host.shape.isDelegate() && witness.shape.isNear("host-" + host.number)) {
+          if (host.shape.isDelegate() && witness.shape.isInOwnGroup("host-" + host.number)) {
             world.kill(host.number);
           }
         }
