--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/AliveMarks.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/AliveMarks.java
@@ -29,15 +29,15 @@
    * Marks in a digest at most: those of a fleet of 77 in 0.3 s and of 300 in 1 s, in which hosts
    * are suspected after 1.5 s and 6 s.
    */
-  private static final int MARKS = 48;
+  private static final int MAX_MARKS = 48;
 
   private final Members<HostState> members;
-  private final Map<String, Marked> marks = new HashMap<>();
-  private final Map<Integer, String> hosts = new HashMap<>();
-  private int turn;
+  private final Map<String, HostMark> marksByHost = new HashMap<>();
+  private final Map<Integer, String> hostsByMark = new HashMap<>();
+  private int nextMember;
 
-  private record Marked(long incarnation, boolean ready, boolean leaving, int mark) {
-    boolean isOf(Member<HostState> member, HostState state) {
+  private record HostMark(long incarnation, boolean ready, boolean leaving, int mark) {
+    boolean matches(Member<HostState> member, HostState state) {
       return incarnation == member.incarnation()
           && ready == state.getReady()
           && leaving == state.getLeaving();
@@ -50,29 +50,29 @@
 
   /** Adds the marks of hosts to a digest; of many, others each time. */
   void add(Digest.Builder digest, List<Member<HostState>> told, long nowMillis) {
-    boolean all = told.size() <= MARKS;
-    int first = all ? 0 : turn;
-    int count = Math.min(MARKS, told.size());
+    boolean all = told.size() <= MAX_MARKS;
+    int first = all ? 0 : nextMember;
+    int count = Math.min(MAX_MARKS, told.size());
     for (int i = 0; i < count; i++) {
       Member<HostState> member = told.get((first + i) % told.size());
       HostState state = member.state();
       if (state != null) {
-        digest.addAlive(mark(member, state));
+        digest.addAlive(markOf(member, state));
         digest.addAliveAgesMs((int) Math.max(0, nowMillis - member.heardMillis()));
       }
     }
     if (!all) {
-      turn = (first + count) % told.size();
+      nextMember = (first + count) % told.size();
     }
   }
 
   /** Takes in the marks of a digest. */
-  void received(Digest digest, long nowMillis) {
+  void apply(Digest digest, long nowMillis) {
     int count = Math.min(digest.getAliveCount(), digest.getAliveAgesMsCount());
     for (int i = 0; i < count; i++) {
-      String host = hosts.get(digest.getAlive(i));
+      String host = hostsByMark.get(digest.getAlive(i));
       if (host != null) {
-        members.stillHeard(host, heardMillis(digest.getAliveAgesMs(i), nowMillis));
+        members.stillHeard(host, lastSeenMillis(digest.getAliveAgesMs(i), nowMillis));
       }
     }
   }
@@ -82,7 +82,7 @@
    * is decoded as a negative one: taken as it is, a damaged or forged datagram would put the moment
    * into the future and keep a dead host alive for weeks.
    */
-  static long heardMillis(int ageMillis, long nowMillis) {
+  static long lastSeenMillis(int ageMillis, long nowMillis) {
     return nowMillis - Integer.toUnsignedLong(ageMillis);
   }
 
@@ -90,29 +90,29 @@
   void refresh(long nowMillis) {
     List<Member<HostState>> known = members.reachable(nowMillis);
     Set<String> names = known.stream().map(Member::host).collect(Collectors.toSet());
-    marks.keySet().retainAll(names);
-    hosts.clear();
+    marksByHost.keySet().retainAll(names);
+    hostsByMark.clear();
     for (Member<HostState> member : known) {
       HostState state = member.state();
       if (state != null) {
-        hosts.put(mark(member, state), member.host());
+        hostsByMark.put(markOf(member, state), member.host());
       }
     }
   }
 
-  private int mark(Member<HostState> member, HostState state) {
-    Marked known = marks.get(member.host());
-    if (known == null || !known.isOf(member, state)) {
-      known = marked(member, state);
-      marks.put(member.host(), known);
+  private int markOf(Member<HostState> member, HostState state) {
+    HostMark known = marksByHost.get(member.host());
+    if (known == null || !known.matches(member, state)) {
+      known = createMark(member, state);
+      marksByHost.put(member.host(), known);
     }
     return known.mark;
   }
 
-  private static Marked marked(Member<HostState> member, HostState state) {
+  private static HostMark createMark(Member<HostState> member, HostState state) {
     boolean ready = state.getReady();
     boolean leaving = state.getLeaving();
     String text = member.host() + " " + member.incarnation() + " " + ready + " " + leaving;
-    return new Marked(member.incarnation(), ready, leaving, (int) Rendezvous.hash(text));
+    return new HostMark(member.incarnation(), ready, leaving, (int) Rendezvous.hash(text));
   }
 }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/CallerAddresses.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/CallerAddresses.java
@@ -16,21 +16,21 @@
 public final class CallerAddresses {
 
   /** Addresses in an answer at most: callers take no more. */
-  private static final int ANSWER_ADDRESSES = 64;
+  private static final int MAX_ADDRESSES = 64;
 
   /** Callers are sent to as many hosts as the busiest of so many seconds needs. */
-  private static final int DEMAND_SECONDS = 10;
+  private static final int DEMAND_WINDOW_SECONDS = 10;
 
   private final HostSettings settings;
   private final Members<HostState> members;
-  private final FleetTopology shape;
-  private final ArrivalRate arrivals = new ArrivalRate(DEMAND_SECONDS);
+  private final FleetTopology topology;
+  private final ArrivalRate arrivals = new ArrivalRate(DEMAND_WINDOW_SECONDS);
 
   /** Creates the addresses of a host that has had no request yet. */
   public CallerAddresses(HostSettings settings, Members<HostState> members, FleetTopology shape) {
     this.settings = requireNonNull(settings, "settings must not be null");
     this.members = requireNonNull(members, "members must not be null");
-    this.shape = requireNonNull(shape, "shape must not be null");
+    this.topology = requireNonNull(shape, "shape must not be null");
   }
 
   /** Counts a request that a caller sent to this host. */
@@ -71,8 +71,8 @@
         }
       }
     }
-    List<Candidate> named = shape.isLarge() ? CallerHosts.named(present, demand) : present;
-    return named.stream().limit(ANSWER_ADDRESSES).map(Candidate::address).toList();
+    List<Candidate> named = topology.isLarge() ? CallerHosts.named(present, demand) : present;
+    return named.stream().limit(MAX_ADDRESSES).map(Candidate::address).toList();
   }
 
   private static Candidate candidate(String host, HostState state) {
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/DatagramPort.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/DatagramPort.java
@@ -23,7 +23,7 @@
 public final class DatagramPort implements AutoCloseable {
 
   /** Largest datagram (bytes): the most that UDP over IPv4 carries. */
-  private static final int MAX_BYTES = 65_507;
+  private static final int MAX_DATAGRAM_BYTES = 65_507;
 
   private final Channel channel;
   private final int port;
@@ -52,8 +52,8 @@
             .channel(NioDatagramChannel.class)
             .option(
                 ChannelOption.RECVBUF_ALLOCATOR,
-                new FixedRecvByteBufAllocator(MAX_BYTES).maxMessagesPerRead(1))
-            .handler(new Inbound(log, receiver))
+                new FixedRecvByteBufAllocator(MAX_DATAGRAM_BYTES).maxMessagesPerRead(1))
+            .handler(new InboundHandler(log, receiver))
             .bind(new InetSocketAddress(ip, port))
             .awaitUninterruptibly();
     if (!bound.isSuccess()) {
@@ -74,11 +74,11 @@
     channel.close().awaitUninterruptibly();
   }
 
-  private static final class Inbound extends SimpleChannelInboundHandler<DatagramPacket> {
+  private static final class InboundHandler extends SimpleChannelInboundHandler<DatagramPacket> {
     private final EventLog log;
     private final BiConsumer<String, PeerDatagram> receiver;
 
-    Inbound(EventLog log, BiConsumer<String, PeerDatagram> receiver) {
+    InboundHandler(EventLog log, BiConsumer<String, PeerDatagram> receiver) {
       this.log = log;
       this.receiver = receiver;
     }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/DemandSender.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/DemandSender.java
@@ -25,15 +25,15 @@
    * Demands that have not changed are told again this often (ms): a datagram may be lost. A new one
    * is told at once, so this bounds what a loss costs to half of a load.
    */
-  private static final long PERIOD_MILLIS = 120;
+  private static final long REPEAT_MILLIS = 120;
 
   private final String self;
   private final Members<HostState> members;
   private final Holdings holdings;
   private final Supplier<PeerDatagram.Builder> datagrams;
   private final BiConsumer<String, byte[]> sender;
-  private Map<String, Set<String>> told = Map.of();
-  private long toldMillis = Long.MIN_VALUE / 2;
+  private Map<String, Set<String>> lastTargets = Map.of();
+  private long lastSentMillis = Long.MIN_VALUE / 2;
 
   /**
    * Creates a sender.
@@ -66,12 +66,12 @@
         targets.entrySet().stream()
             .anyMatch(
                 entry ->
-                    !told.getOrDefault(entry.getKey(), Set.of()).containsAll(entry.getValue()));
-    if (!anyNew && nowMillis - toldMillis < PERIOD_MILLIS) {
+                    !lastTargets.getOrDefault(entry.getKey(), Set.of()).containsAll(entry.getValue()));
+    if (!anyNew && nowMillis - lastSentMillis < REPEAT_MILLIS) {
       return;
     }
-    told = targets;
-    toldMillis = nowMillis;
+    lastTargets = targets;
+    lastSentMillis = nowMillis;
     Map<String, DemandReport.Builder> byHost = new HashMap<>();
     demands.forEach((runner, list) -> add(runner, list, byHost));
     byHost.forEach(this::send);
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/DigestBuilder.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/DigestBuilder.java
@@ -22,22 +22,22 @@
 final class DigestBuilder {
 
   /** A holding that was told longer ago than this is not passed on (ms): its holder is silent. */
-  private static final long HOLDING_MILLIS = 2_500;
+  private static final long MAX_HOLDING_AGE_MILLIS = 2_500;
 
-  private final int wordsInTurn;
-  private final int holdingsInTurn;
+  private final int repeatedReports;
+  private final int repeatedHoldings;
 
   /** A changed word is told so many times: one digest may be lost, and the next turn is far. */
-  private static final int TOLD_TIMES = 3;
+  private static final int SENDS_PER_CHANGE = 3;
 
-  private final Map<String, ToldWord> toldWords = new HashMap<>();
-  private final Map<String, Set<String>> toldHoldings = new HashMap<>();
-  private int wordTurn;
+  private final Map<String, SentReport> sentReports = new HashMap<>();
+  private final Map<String, Set<String>> sentHoldings = new HashMap<>();
+  private int nextReport;
 
   /** What was told of a host, and how many times. */
-  private record ToldWord(String brief, int times) {}
+  private record SentReport(String changeKey, int times) {}
 
-  private int holdingTurn;
+  private int nextHolding;
 
   /**
    * Creates a builder.
@@ -46,37 +46,37 @@
    * @param holdingsInTurn runners that are told of in each digest although nothing changed
    */
   DigestBuilder(int wordsInTurn, int holdingsInTurn) {
-    this.wordsInTurn = wordsInTurn;
-    this.holdingsInTurn = holdingsInTurn;
+    this.repeatedReports = wordsInTurn;
+    this.repeatedHoldings = holdingsInTurn;
   }
 
   /** Adds what the hosts said last. */
-  void addWords(Digest.Builder digest, List<Member<HostState>> members, long nowMillis) {
+  void addReports(Digest.Builder digest, List<Member<HostState>> members, long nowMillis) {
     List<Member<HostState>> rest = new ArrayList<>();
     for (Member<HostState> member : members) {
-      if (isTold(member)) {
+      if (wasSentOftenEnough(member)) {
         rest.add(member);
       } else {
-        addWord(digest, member, nowMillis);
+        addReport(digest, member, nowMillis);
       }
     }
-    addWordsInTurn(digest, rest, nowMillis);
+    addRepeatedReports(digest, rest, nowMillis);
   }
 
   /** Returns whether a host's word has been told often enough; counts it as told once more. */
-  private boolean isTold(Member<HostState> member) {
-    String brief = brief(member);
-    ToldWord last = toldWords.get(member.host());
-    int times = last != null && last.brief.equals(brief) ? last.times : 0;
-    toldWords.put(member.host(), new ToldWord(brief, Math.min(TOLD_TIMES, times + 1)));
-    return times >= TOLD_TIMES;
+  private boolean wasSentOftenEnough(Member<HostState> member) {
+    String brief = changeKey(member);
+    SentReport last = sentReports.get(member.host());
+    int times = last != null && last.changeKey.equals(brief) ? last.times : 0;
+    sentReports.put(member.host(), new SentReport(brief, Math.min(SENDS_PER_CHANGE, times + 1)));
+    return times >= SENDS_PER_CHANGE;
   }
 
   /** Adds what some of the hosts said last, others each time. */
-  void addWordsInTurn(Digest.Builder digest, List<Member<HostState>> members, long nowMillis) {
-    int count = Math.min(wordsInTurn, members.size());
+  void addRepeatedReports(Digest.Builder digest, List<Member<HostState>> members, long nowMillis) {
+    int count = Math.min(repeatedReports, members.size());
     for (int i = 0; i < count; i++) {
-      addWord(digest, members.get(Math.floorMod(wordTurn++, members.size())), nowMillis);
+      addReport(digest, members.get(Math.floorMod(nextReport++, members.size())), nowMillis);
     }
   }
 
@@ -89,19 +89,19 @@
         .forEach(
             (runner, holding) -> {
               if (!holder.test(holding.host())
-                  || nowMillis - holding.toldMillis() > HOLDING_MILLIS) {
+                  || nowMillis - holding.toldMillis() > MAX_HOLDING_AGE_MILLIS) {
                 return;
               }
-              Set<String> brief = brief(holding, nowMillis);
-              if (brief.equals(toldHoldings.put(runner, brief))) {
+              Set<String> brief = changeKey(holding, nowMillis);
+              if (brief.equals(sentHoldings.put(runner, brief))) {
                 rest.add(runner);
               } else {
                 addHolding(digest, runner, holding, nowMillis);
               }
             });
-    int count = Math.min(holdingsInTurn, rest.size());
+    int count = Math.min(repeatedHoldings, rest.size());
     for (int i = 0; i < count; i++) {
-      String runner = rest.get(Math.floorMod(holdingTurn++, rest.size()));
+      String runner = rest.get(Math.floorMod(nextHolding++, rest.size()));
       holdings.find(runner).ifPresent(holding -> addHolding(digest, runner, holding, nowMillis));
     }
   }
@@ -120,7 +120,7 @@
             digest.addLoads(StateCodec.encodeLoad(runner, use, withAdapters.test(runner))));
   }
 
-  static void addWord(Digest.Builder digest, Member<HostState> member, long nowMillis) {
+  static void addReport(Digest.Builder digest, Member<HostState> member, long nowMillis) {
     HostState state = member.state();
     if (state == null) {
       return;
@@ -144,7 +144,7 @@
             .setHolding(StateCodec.encodeHolding(runner, holding, nowMillis)));
   }
 
-  private static String brief(Member<HostState> member) {
+  private static String changeKey(Member<HostState> member) {
     HostState state = member.state();
     return state == null
         ? ""
@@ -157,7 +157,7 @@
             + state.getRunnersRevision();
   }
 
-  private static Set<String> brief(Holdings.Holding holding, long nowMillis) {
+  private static Set<String> changeKey(Holdings.Holding holding, long nowMillis) {
     return holding.items().values().stream()
         .map(item -> item.target() + "@" + item.version() + (item.readyMillis() > nowMillis))
         .collect(Collectors.toSet());
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/DigestExchange.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/DigestExchange.java
@@ -30,59 +30,59 @@
    * Digests are sent this often (ms) by the first delegate of a group. News takes a host's word and
    * two digests, 0.2 s on average; a host receives nine a second from both delegates.
    */
-  private static final long PERIOD_MILLIS = 150;
+  private static final long FIRST_DELEGATE_PERIOD_MILLIS = 150;
 
   /**
    * A delegate that is not the first of its group sends its digests this often (ms): the same news
    * comes from the first one, and a host's cost is for the most part in what it receives.
    */
-  private static final long SECOND_PERIOD_MILLIS = 450;
+  private static final long OTHER_DELEGATE_PERIOD_MILLIS = 450;
 
   /** Far digests are sent less often if there are many groups (ms for each delegate to tell). */
-  private static final long FAR_MILLIS = 10;
+  private static final long INTER_GROUP_MILLIS_PER_DELEGATE = 10;
 
   /**
    * Words of hosts of which nothing is new, for those who missed them: of a group of 16 hosts in
    * 1.2 s, of a fleet of 66 in 2.5 s.
    */
-  private static final int FAR_WORDS = 2;
+  private static final int INTER_GROUP_REPORTS = 2;
 
-  private static final int NEAR_WORDS = 4;
+  private static final int INTRA_GROUP_REPORTS = 4;
 
   /** Words of any group's hosts to the other groups' delegates: these may never have met. */
-  private static final int GOSSIP_WORDS = 2;
+  private static final int GOSSIP_REPORTS = 2;
 
   /** The holdings of a group of 11 runners in 0.6 s, of a fleet of 42 in 1.6 s. */
-  private static final int FAR_HOLDINGS = 3;
+  private static final int INTER_GROUP_HOLDINGS = 3;
 
-  private static final int NEAR_HOLDINGS = 4;
+  private static final int INTRA_GROUP_HOLDINGS = 4;
 
   /** Words in the answer to a host that does not know its delegates; 100 bytes each. */
-  private static final int WELCOME_WORDS = 500;
+  private static final int MAX_MEMBERSHIP_REPORTS = 500;
 
   /** One host is answered so at most this often (ms), while its view of the fleet differs. */
-  private static final long WELCOME_MILLIS = 800;
+  private static final long MEMBERSHIP_PERIOD_MILLIS = 800;
 
-  private static final String GROUP_SOURCE = "group ";
+  private static final String GROUP_SOURCE_PREFIX = "group ";
 
   private final HostSettings settings;
-  private final FleetTopology shape;
+  private final FleetTopology topology;
   private final Members<HostState> members;
   private final FleetLoad loads;
   private final Holdings holdings;
   private final FleetSpending spending;
   private final Supplier<PeerDatagram.Builder> datagrams;
-  private final Supplier<HostWord> ownWord;
+  private final Supplier<HostWord> ownReport;
   private final BiConsumer<String, byte[]> sender;
-  private final BiConsumer<String, HostState> wordListener;
+  private final BiConsumer<String, HostState> reportListener;
   private final Random random;
   private final AliveMarks marks;
-  private final DigestBuilder far = new DigestBuilder(FAR_WORDS, FAR_HOLDINGS);
-  private final DigestBuilder gossip = new DigestBuilder(GOSSIP_WORDS, 0);
-  private final DigestBuilder near = new DigestBuilder(NEAR_WORDS, NEAR_HOLDINGS);
-  private final Map<String, Long> welcomedMillis = new HashMap<>();
-  private long farDueMillis = Long.MIN_VALUE;
-  private long nearDueMillis = Long.MIN_VALUE;
+  private final DigestBuilder interGroup = new DigestBuilder(INTER_GROUP_REPORTS, INTER_GROUP_HOLDINGS);
+  private final DigestBuilder gossip = new DigestBuilder(GOSSIP_REPORTS, 0);
+  private final DigestBuilder intraGroup = new DigestBuilder(INTRA_GROUP_REPORTS, INTRA_GROUP_HOLDINGS);
+  private final Map<String, Long> membershipSentMillis = new HashMap<>();
+  private long interGroupDueMillis = Long.MIN_VALUE;
+  private long intraGroupDueMillis = Long.MIN_VALUE;
 
   /**
    * Creates an exchange.
@@ -105,50 +105,50 @@
       BiConsumer<String, HostState> wordListener,
       Random random) {
     this.settings = settings;
-    this.shape = shape;
+    this.topology = shape;
     this.members = members;
     this.loads = loads;
     this.holdings = holdings;
     this.spending = spending;
     this.datagrams = datagrams;
-    this.ownWord = ownWord;
+    this.ownReport = ownWord;
     this.sender = sender;
-    this.wordListener = wordListener;
+    this.reportListener = wordListener;
     this.random = random;
     this.marks = new AliveMarks(members);
   }
 
   /** Sends digests if this host is a delegate and they are due. */
   public void tick(long nowMillis) {
-    if (!shape.isLarge() || !shape.isDelegate()) {
+    if (!topology.isLarge() || !topology.isDelegate()) {
       return;
     }
-    long period = shape.isFirstDelegate() ? PERIOD_MILLIS : SECOND_PERIOD_MILLIS;
-    if (nowMillis >= farDueMillis) {
-      List<Member<HostState>> delegates = shape.otherGroupDelegates();
-      delegates.addAll(shape.sampleSilentGroups(random, nowMillis));
-      farDueMillis = nowMillis + Math.max(period, delegates.size() * FAR_MILLIS);
-      tellFar(delegates, nowMillis);
+    long period = topology.isFirstDelegate() ? FIRST_DELEGATE_PERIOD_MILLIS : OTHER_DELEGATE_PERIOD_MILLIS;
+    if (nowMillis >= interGroupDueMillis) {
+      List<Member<HostState>> delegates = topology.otherGroupDelegates();
+      delegates.addAll(topology.sampleSilentGroups(random, nowMillis));
+      interGroupDueMillis = nowMillis + Math.max(period, delegates.size() * INTER_GROUP_MILLIS_PER_DELEGATE);
+      sendInterGroup(delegates, nowMillis);
     }
-    if (nowMillis >= nearDueMillis) {
-      nearDueMillis = nowMillis + period;
-      tellNear(nowMillis);
+    if (nowMillis >= intraGroupDueMillis) {
+      intraGroupDueMillis = nowMillis + period;
+      sendIntraGroup(nowMillis);
     }
   }
 
-  private void tellFar(List<Member<HostState>> delegates, long nowMillis) {
-    Digest.Builder digest = Digest.newBuilder().setGroup(shape.group());
+  private void sendInterGroup(List<Member<HostState>> delegates, long nowMillis) {
+    Digest.Builder digest = Digest.newBuilder().setGroup(topology.group());
     List<Member<HostState>> group =
-        members.reachable(nowMillis).stream().filter(m -> shape.isInOwnGroup(m.host())).toList();
-    digest.addWords(ownWord.get());
-    far.addWords(digest, group, nowMillis);
+        members.reachable(nowMillis).stream().filter(m -> topology.isInOwnGroup(m.host())).toList();
+    digest.addWords(ownReport.get());
+    interGroup.addReports(digest, group, nowMillis);
     marks.add(digest, group, nowMillis);
-    gossip.addWordsInTurn(digest, members.reachable(nowMillis), nowMillis);
-    far.addHoldings(digest, holdings, shape::isInOwnGroup, nowMillis);
-    Map<String, FleetLoad.Use> sums = loads.sums(shape::isInOwnGroup, nowMillis);
+    gossip.addRepeatedReports(digest, members.reachable(nowMillis), nowMillis);
+    interGroup.addHoldings(digest, holdings, topology::isInOwnGroup, nowMillis);
+    Map<String, FleetLoad.Use> sums = loads.sums(topology::isInOwnGroup, nowMillis);
     if (!spending.isUnused()) {
       digest.setSpending(
-          StateCodec.encodeSpending(spending.sums(shape::isInOwnGroup, shape.groupSize(), nowMillis)));
+          StateCodec.encodeSpending(spending.sums(topology::isInOwnGroup, topology.groupSize(), nowMillis)));
     }
     Digest common = digest.build();
     for (Member<HostState> delegate : delegates) {
@@ -158,19 +158,19 @@
     }
   }
 
-  private void tellNear(long nowMillis) {
+  private void sendIntraGroup(long nowMillis) {
     Digest.Builder digest = Digest.newBuilder();
-    digest.addWords(ownWord.get());
+    digest.addWords(ownReport.get());
     List<Member<HostState>> all = members.reachable(nowMillis);
-    near.addWords(digest, all, nowMillis);
+    intraGroup.addReports(digest, all, nowMillis);
     marks.add(digest, all, nowMillis);
-    near.addHoldings(digest, holdings, holder -> true, nowMillis);
+    intraGroup.addHoldings(digest, holdings, holder -> true, nowMillis);
     DigestBuilder.addLoads(digest, loads.sums(source -> true, nowMillis), runner -> false);
     if (!spending.isUnused()) {
       digest.setSpending(StateCodec.encodeSpending(spending.whole(nowMillis)));
     }
     byte[] bytes = datagrams.get().setDigest(digest).build().toByteArray();
-    shape.ownGroupNonDelegates(nowMillis).forEach(member -> sender.accept(member.ip(), bytes));
+    topology.ownGroupNonDelegates(nowMillis).forEach(member -> sender.accept(member.ip(), bytes));
   }
 
   private boolean holds(String host, String runner) {
@@ -182,15 +182,15 @@
   }
 
   /** Tells a host that does not know its delegates who else there is. */
-  public void welcome(String ip, long nowMillis) {
-    welcomedMillis.values().removeIf(at -> nowMillis - at >= WELCOME_MILLIS);
-    if (welcomedMillis.putIfAbsent(ip, nowMillis) != null) {
+  public void sendMembership(String ip, long nowMillis) {
+    membershipSentMillis.values().removeIf(at -> nowMillis - at >= MEMBERSHIP_PERIOD_MILLIS);
+    if (membershipSentMillis.putIfAbsent(ip, nowMillis) != null) {
       return;
     }
-    Digest.Builder digest = Digest.newBuilder().addWords(ownWord.get());
+    Digest.Builder digest = Digest.newBuilder().addWords(ownReport.get());
     members.reachable(nowMillis).stream()
-        .limit(WELCOME_WORDS)
-        .forEach(member -> DigestBuilder.addWord(digest, member, nowMillis));
+        .limit(MAX_MEMBERSHIP_REPORTS)
+        .forEach(member -> DigestBuilder.addReport(digest, member, nowMillis));
     send(ip, digest);
   }
 
@@ -200,8 +200,8 @@
    * @param teller the host that tells, and which of its processes
    */
   public void received(String ip, String teller, Digest digest, long nowMillis) {
-    if (!digest.getGroup().isEmpty() && !shape.isDelegate()) {
-      welcome(ip, nowMillis);
+    if (!digest.getGroup().isEmpty() && !topology.isDelegate()) {
+      sendMembership(ip, nowMillis);
     }
     for (HostWord word : digest.getWordsList()) {
       HostState state = word.getState();
@@ -213,15 +213,15 @@
               word.getNumber(),
               state.getLeaving(),
               state,
-              AliveMarks.heardMillis(word.getAgeMs(), nowMillis),
+              AliveMarks.lastSeenMillis(word.getAgeMs(), nowMillis),
               nowMillis);
       if (news) {
-        wordListener.accept(word.getHost(), state);
+        reportListener.accept(word.getHost(), state);
       }
     }
     boolean ofOneGroup = !digest.getGroup().isEmpty();
-    if (ofOneGroup == shape.isDelegate()) {
-      marks.received(digest, nowMillis);
+    if (ofOneGroup == topology.isDelegate()) {
+      marks.apply(digest, nowMillis);
     }
     for (HeldBy held : digest.getHoldingsList()) {
       if (!held.getHost().equals(settings.host())) {
@@ -231,27 +231,27 @@
       }
     }
     if (digest.getLoadsTold()) {
-      loadsTold(digest, nowMillis);
+      applyLoads(digest, nowMillis);
     }
     if (digest.hasSpending()) {
-      spendingTold(teller, digest, nowMillis);
+      applySpending(teller, digest, nowMillis);
     }
   }
 
-  private void loadsTold(Digest digest, long nowMillis) {
+  private void applyLoads(Digest digest, long nowMillis) {
     Map<String, FleetLoad.Use> uses = StateCodec.decodeLoads(digest.getLoadsList());
     if (!digest.getGroup().isEmpty()) {
       loads.forgetWhole();
-      loads.told(GROUP_SOURCE + digest.getGroup(), uses, true, nowMillis);
-    } else if (!shape.isDelegate()) {
+      loads.told(GROUP_SOURCE_PREFIX + digest.getGroup(), uses, true, nowMillis);
+    } else if (!topology.isDelegate()) {
       loads.toldWhole(uses, nowMillis);
     }
   }
 
-  private void spendingTold(String teller, Digest digest, long nowMillis) {
+  private void applySpending(String teller, Digest digest, long nowMillis) {
     boolean whole = digest.getGroup().isEmpty();
-    String source = whole ? FleetSpending.WHOLE : GROUP_SOURCE + digest.getGroup();
-    if (whole ? !shape.isDelegate() : coversOthers(source)) {
+    String source = whole ? FleetSpending.WHOLE : GROUP_SOURCE_PREFIX + digest.getGroup();
+    if (whole ? !topology.isDelegate() : isRelevantSource(source)) {
       ToldSpending told = StateCodec.decodeSpending(digest.getSpending());
       spending.told(source, teller, told, nowMillis);
     }
@@ -261,33 +261,33 @@
    * Takes in what a host says that it spent itself; in a large fleet it counts so at the delegates
    * of its group only, as these tell the others.
    */
-  void spendingTold(String host, long incarnation, HostState state, long nowMillis) {
-    if (state.hasSpending() && coversOthers(host)) {
+  void applySpending(String host, long incarnation, HostState state, long nowMillis) {
+    if (state.hasSpending() && isRelevantSource(host)) {
       ToldSpending told = StateCodec.decodeSpending(state.getSpending());
-      spending.told(host, teller(host, incarnation), told, nowMillis);
+      spending.told(host, reporterId(host, incarnation), told, nowMillis);
     }
   }
 
   /** Forgets what other sources tell of by now. */
-  void upkeep(long nowMillis) {
-    spending.upkeep(this::coversOthers, nowMillis);
+  void refresh(long nowMillis) {
+    spending.upkeep(this::isRelevantSource, nowMillis);
     marks.refresh(nowMillis);
   }
 
   /** What delegates tell of the whole fleet stays for a while, as what was spent before. */
-  private boolean coversOthers(String source) {
+  private boolean isRelevantSource(String source) {
     if (source.equals(FleetSpending.WHOLE)) {
       return true;
     }
-    if (!shape.isLarge()) {
-      return !source.startsWith(GROUP_SOURCE);
+    if (!topology.isLarge()) {
+      return !source.startsWith(GROUP_SOURCE_PREFIX);
     }
-    return shape.isDelegate()
-        && !source.equals(GROUP_SOURCE + shape.group())
-        && (source.startsWith(GROUP_SOURCE) || shape.isInOwnGroup(source));
+    return topology.isDelegate()
+        && !source.equals(GROUP_SOURCE_PREFIX + topology.group())
+        && (source.startsWith(GROUP_SOURCE_PREFIX) || topology.isInOwnGroup(source));
   }
 
-  static String teller(String host, long incarnation) {
+  static String reporterId(String host, long incarnation) {
     return host + " " + incarnation;
   }
 }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/FleetTopology.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/FleetTopology.java
@@ -29,7 +29,7 @@
   private long refreshedMillis = Long.MIN_VALUE / 2;
   private boolean large;
   private Set<String> delegates = Set.of();
-  private Set<String> told = Set.of();
+  private Set<String> targetDelegates = Set.of();
   private Map<String, String> groups = Map.of();
 
   /** Creates the shape of a fleet of which nothing is known yet. */
@@ -48,7 +48,7 @@
     large = Delegates.areNeeded(reachable.size() + 1);
     if (!large) {
       delegates = Set.of();
-      told = Set.of();
+      targetDelegates = Set.of();
       groups = Map.of();
       return true;
     }
@@ -71,8 +71,8 @@
     delegates = Delegates.of(sound, host -> strengths.getOrDefault(host, 0));
     // Two groups that take each other for dead, as after a cut between them, would never speak
     // again if each told living delegates only; so those that would be delegates are told too.
-    told = Delegates.of(groups, host -> strengths.getOrDefault(host, 0));
-    told.addAll(delegates);
+    targetDelegates = Delegates.of(groups, host -> strengths.getOrDefault(host, 0));
+    targetDelegates.addAll(delegates);
     return true;
   }
 
@@ -123,17 +123,17 @@
 
   /** Returns the other hosts to tell as delegates of this host's group. */
   public List<Member<HostState>> ownGroupDelegates() {
-    return toTell(true);
+    return targets(true);
   }
 
   /** Returns the hosts to tell as delegates of the other groups. */
   public List<Member<HostState>> otherGroupDelegates() {
-    return toTell(false);
+    return targets(false);
   }
 
-  private List<Member<HostState>> toTell(boolean near) {
+  private List<Member<HostState>> targets(boolean near) {
     List<Member<HostState>> chosen = new ArrayList<>();
-    for (String host : told) {
+    for (String host : targetDelegates) {
       if (!host.equals(settings.host()) && isInOwnGroup(host) == near) {
         members.find(host).ifPresent(chosen::add);
       }
@@ -171,7 +171,7 @@
   public List<Member<HostState>> ownGroupNonDelegates(long nowMillis) {
     List<Member<HostState>> others = new ArrayList<>();
     for (Member<HostState> member : members.reachable(nowMillis)) {
-      if (isInOwnGroup(member.host()) && !told.contains(member.host())) {
+      if (isInOwnGroup(member.host()) && !targetDelegates.contains(member.host())) {
         others.add(member);
       }
     }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/PeerHeartbeats.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/PeerHeartbeats.java
@@ -27,7 +27,7 @@
    * What the runners hold is told on a change and at least this often (ms): it is the larger part
    * of a state, and bytes between failure domains are dear.
    */
-  private static final long HOLDINGS_MILLIS = 800;
+  private static final long HOLDINGS_PERIOD_MILLIS = 800;
 
   /**
    * States sent a second at most when things change: a host's cost must not grow with the fleet, so
@@ -40,35 +40,35 @@
    * lives as often as members speak, within two bounds: a silent host is suspected the later, the
    * larger the fleet is.
    */
-  private static final long DELEGATE_PERIOD_MILLIS = 100;
+  private static final long MIN_DELEGATE_PERIOD_MILLIS = 100;
 
-  private static final long LEAST_HEARTBEAT_MILLIS = 250;
+  private static final long MIN_HEARTBEAT_MILLIS = 250;
 
-  private static final long MOST_HEARTBEAT_MILLIS = 400;
+  private static final long MAX_HEARTBEAT_MILLIS = 400;
 
   /** Hosts named in each state. */
-  private static final int GOSSIP = 2;
+  private static final int GOSSIP_HOSTS = 2;
 
-  private static final int MILLIS = 1_000;
+  private static final int MILLIS_PER_SECOND = 1_000;
 
   private final HostSettings settings;
   private final long incarnation;
   private final Members<HostState> members;
-  private final FleetTopology shape;
+  private final FleetTopology topology;
   private final FleetSpending spending;
   private final DigestExchange digests;
   private final BiConsumer<String, byte[]> sender;
   private final StateSource ownState;
-  private final BiConsumer<String, HostState> listener;
+  private final BiConsumer<String, HostState> stateListener;
   private final Random random;
   private final EventLog log;
   private List<String> seedIps;
-  private long number;
-  private long sentMillis = Long.MIN_VALUE / 2;
-  private long completeMillis = Long.MIN_VALUE / 2;
+  private long sequence;
+  private long lastSentMillis = Long.MIN_VALUE / 2;
+  private long lastCompleteMillis = Long.MIN_VALUE / 2;
   private boolean changed;
   private boolean holdingsChanged;
-  private long holdingsSentMillis = Long.MIN_VALUE / 2;
+  private long lastHoldingsMillis = Long.MIN_VALUE / 2;
 
   /** Builds this host's state. */
   @FunctionalInterface
@@ -111,10 +111,10 @@
     this.spending = spending;
     this.sender = sender;
     this.ownState = ownState;
-    this.listener = listener;
+    this.stateListener = listener;
     this.random = random;
     this.log = log;
-    this.shape = shape;
+    this.topology = shape;
     this.digests =
         new DigestExchange(
             settings,
@@ -124,18 +124,18 @@
             holdings,
             spending,
             this::datagram,
-            this::ownWord,
+            this::ownReport,
             sender,
             wordListener,
             random);
   }
 
   /** Returns what this host says of itself, for others to pass on. */
-  private HostWord ownWord() {
+  private HostWord ownReport() {
     return HostWord.newBuilder()
         .setHost(settings.host())
         .setIncarnation(incarnation)
-        .setNumber(++number)
+        .setNumber(++sequence)
         .setState(ownState.state(false, true).clearLoads())
         .build();
   }
@@ -158,10 +158,10 @@
 
   /** Tells what is due. */
   public void tick(long nowMillis) {
-    if (shape.refresh(nowMillis)) {
-      digests.upkeep(nowMillis);
+    if (topology.refresh(nowMillis)) {
+      digests.refresh(nowMillis);
     }
-    if (shape.isLarge()) {
+    if (topology.isLarge()) {
       tickLarge(nowMillis);
     } else {
       tickSmall(nowMillis);
@@ -169,19 +169,19 @@
   }
 
   private void tickLarge(long nowMillis) {
-    long since = nowMillis - sentMillis;
+    long since = nowMillis - lastSentMillis;
     long heartbeat =
-        Math.max(LEAST_HEARTBEAT_MILLIS, Math.min(MOST_HEARTBEAT_MILLIS, members.periodMillis()));
-    if (since >= heartbeat || (changed && since >= DELEGATE_PERIOD_MILLIS)) {
-      tell(shape.ownGroupDelegates(), true, nowMillis);
+        Math.max(MIN_HEARTBEAT_MILLIS, Math.min(MAX_HEARTBEAT_MILLIS, members.periodMillis()));
+    if (since >= heartbeat || (changed && since >= MIN_DELEGATE_PERIOD_MILLIS)) {
+      send(topology.ownGroupDelegates(), true, nowMillis);
     }
     digests.tick(nowMillis);
   }
 
   private void tickSmall(long nowMillis) {
     int peers = members.reachable(nowMillis).size();
-    long period = Math.max(MIN_PERIOD_MILLIS, (long) peers * MILLIS / STATES_PER_SECOND);
-    long since = nowMillis - sentMillis;
+    long period = Math.max(MIN_PERIOD_MILLIS, (long) peers * MILLIS_PER_SECOND / STATES_PER_SECOND);
+    long since = nowMillis - lastSentMillis;
     if (since >= members.periodMillis() || (changed && since >= period)) {
       sendToAll(nowMillis);
     }
@@ -189,28 +189,28 @@
 
   /** Tells all hosts at once. */
   public void sendToAll(long nowMillis) {
-    tell(members.reachable(nowMillis), shape.isLarge(), nowMillis);
+    send(members.reachable(nowMillis), topology.isLarge(), nowMillis);
   }
 
-  private void tell(List<Member<HostState>> told, boolean whole, long nowMillis) {
-    sentMillis = nowMillis;
+  private void send(List<Member<HostState>> told, boolean whole, long nowMillis) {
+    lastSentMillis = nowMillis;
     changed = false;
     seedIps.stream()
         .filter(ip -> !ip.equals(settings.ip()))
         .forEach(ip -> members.named(ip, nowMillis));
-    boolean withHoldings = holdingsChanged || nowMillis - holdingsSentMillis >= HOLDINGS_MILLIS;
+    boolean withHoldings = holdingsChanged || nowMillis - lastHoldingsMillis >= HOLDINGS_PERIOD_MILLIS;
     if (withHoldings) {
       holdingsChanged = false;
-      holdingsSentMillis = nowMillis;
+      lastHoldingsMillis = nowMillis;
     }
-    boolean complete = whole || nowMillis - completeMillis >= members.periodMillis();
+    boolean complete = whole || nowMillis - lastCompleteMillis >= members.periodMillis();
     HostState.Builder state = ownState.state(withHoldings, complete);
     if (!spending.isUnused()) {
       state.setSpending(StateCodec.encodeSpending(spending.ownPart(nowMillis)));
     }
     if (complete) {
-      completeMillis = nowMillis;
-      gossip(told, state);
+      lastCompleteMillis = nowMillis;
+      addGossip(told, state);
     }
     byte[] bytes = datagram().setState(state).build().toByteArray();
     told.forEach(member -> sender.accept(member.ip(), bytes));
@@ -222,7 +222,7 @@
     return PeerDatagram.newBuilder()
         .setHost(settings.host())
         .setIncarnation(incarnation)
-        .setNumber(++number);
+        .setNumber(++sequence);
   }
 
   /** Takes in another host's state. */
@@ -251,25 +251,25 @@
       log.info("host-alive", "peer", datagram.getHost(), "known", known);
       holdingsChanged();
     }
-    listener.accept(datagram.getHost(), state);
-    digests.spendingTold(datagram.getHost(), datagram.getIncarnation(), state, nowMillis);
-    boolean toDelegate = shape.isDelegate() && shape.isInOwnGroup(datagram.getHost());
-    if (shape.isLarge() && !toDelegate && !state.getLeaving()) {
+    stateListener.accept(datagram.getHost(), state);
+    digests.applySpending(datagram.getHost(), datagram.getIncarnation(), state, nowMillis);
+    boolean toDelegate = topology.isDelegate() && topology.isInOwnGroup(datagram.getHost());
+    if (topology.isLarge() && !toDelegate && !state.getLeaving()) {
       // In a large fleet a host speaks directly only to its delegates and to strangers.
-      digests.welcome(ip, nowMillis);
+      digests.sendMembership(ip, nowMillis);
     }
   }
 
   /** Takes in a digest that came from an IP number. */
   public void receivedDigest(String ip, PeerDatagram datagram, long nowMillis) {
-    String teller = DigestExchange.teller(datagram.getHost(), datagram.getIncarnation());
+    String teller = DigestExchange.reporterId(datagram.getHost(), datagram.getIncarnation());
     digests.received(ip, teller, datagram.getDigest(), nowMillis);
   }
 
-  private void gossip(List<Member<HostState>> told, HostState.Builder state) {
+  private void addGossip(List<Member<HostState>> told, HostState.Builder state) {
     List<Member<HostState>> shuffled = new ArrayList<>(told);
     Collections.shuffle(shuffled, random);
-    for (Member<HostState> member : shuffled.subList(0, Math.min(GOSSIP, shuffled.size()))) {
+    for (Member<HostState> member : shuffled.subList(0, Math.min(GOSSIP_HOSTS, shuffled.size()))) {
       state.addGossip(HostAddress.newBuilder().setHost(member.host()).setIp(member.ip()));
     }
   }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/RecordExchange.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/RecordExchange.java
@@ -25,18 +25,18 @@
 public final class RecordExchange {
 
   /** A pull is not repeated sooner (ms). */
-  private static final long PERIOD_MILLIS = 150;
+  private static final long MIN_PULL_INTERVAL_MILLIS = 150;
 
   /**
    * A host that owes an answer is passed over for so long (ms): its connection may be silent for
    * good, and others can be asked.
    */
-  private static final long SILENCE_MILLIS = 1_000;
+  private static final long RESPONSE_TIMEOUT_MILLIS = 1_000;
 
   private final PeerCalls calls;
-  private final Consumer<PulledRecords> received;
-  private final Map<String, Long> unansweredMillis = new HashMap<>();
-  private long pulledMillis = Long.MIN_VALUE / 2;
+  private final Consumer<PulledRecords> recordsListener;
+  private final Map<String, Long> pendingSinceMillis = new HashMap<>();
+  private long lastPullMillis = Long.MIN_VALUE / 2;
 
   /** Asks other hosts for records. */
   @FunctionalInterface
@@ -52,7 +52,7 @@
    */
   public RecordExchange(PeerCalls calls, Consumer<PulledRecords> received) {
     this.calls = calls;
-    this.received = received;
+    this.recordsListener = received;
   }
 
   /** Returns calls over connections to the hosts' ports for peers. */
@@ -83,24 +83,24 @@
    * after the last pull, or if the host still owes an answer.
    */
   public void pull(String ip, long operatorsCompleteTo, long runnersCompleteTo, long nowMillis) {
-    Long unanswered = unansweredMillis.get(ip);
-    if (nowMillis - pulledMillis < PERIOD_MILLIS
-        || (unanswered != null && nowMillis - unanswered < SILENCE_MILLIS)) {
+    Long unanswered = pendingSinceMillis.get(ip);
+    if (nowMillis - lastPullMillis < MIN_PULL_INTERVAL_MILLIS
+        || (unanswered != null && nowMillis - unanswered < RESPONSE_TIMEOUT_MILLIS)) {
       return;
     }
-    pulledMillis = nowMillis;
-    unansweredMillis.put(ip, nowMillis);
+    lastPullMillis = nowMillis;
+    pendingSinceMillis.put(ip, nowMillis);
     StorePull pull =
         StorePull.newBuilder()
             .setOperatorsCompleteTo(operatorsCompleteTo)
             .setRunnersCompleteTo(runnersCompleteTo)
             .build();
-    calls.pull(ip, pull, records -> received.accept(PulledRecords.decode(ip, records)));
+    calls.pull(ip, pull, records -> recordsListener.accept(PulledRecords.decode(ip, records)));
   }
 
   /** Records that a host has answered. */
   public void answered(String ip) {
-    unansweredMillis.remove(ip);
+    pendingSinceMillis.remove(ip);
   }
 
   /** Answers another host's pull. */
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/RecordSync.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/RecordSync.java
@@ -17,20 +17,20 @@
 public final class RecordSync {
 
   /** Others are relied on for this part of the time in which a change must be known. */
-  private static final int RELIANCE_DIVISOR = 2;
+  private static final int PEER_WAIT_DIVISOR = 2;
 
   private final long boundMillis;
-  private final long relianceMillis;
+  private final long peerWaitMillis;
   private final long startedMillis;
-  private final FleetTopology shape;
+  private final FleetTopology topology;
   private final Members<HostState> members;
   private final StoreRegistry store;
   private final StoreFollower operators;
   private final StoreFollower runners;
   private final RecordExchange exchange;
-  private final Runnable changed;
+  private final Runnable changeListener;
   private final EventLog log;
-  private long delegateHeardMillis = Long.MIN_VALUE / 2;
+  private long delegateLastSeenMillis = Long.MIN_VALUE / 2;
 
   private final Lag operatorsLag = new Lag();
   private final Lag runnersLag = new Lag();
@@ -39,20 +39,20 @@
   private final class Lag {
     private long revision;
     private long sinceMillis;
-    private long toldMillis = Long.MIN_VALUE / 2;
+    private long lastReportMillis = Long.MIN_VALUE / 2;
 
-    void told(long newest, long completeTo, long nowMillis) {
-      boolean over = revision <= completeTo || nowMillis - toldMillis > relianceMillis;
+    void report(long newest, long completeTo, long nowMillis) {
+      boolean over = revision <= completeTo || nowMillis - lastReportMillis > peerWaitMillis;
       if (over) {
         sinceMillis = nowMillis;
       }
       revision = over ? newest : Math.max(revision, newest);
-      toldMillis = nowMillis;
+      lastReportMillis = nowMillis;
     }
 
-    boolean lasts(long completeTo, long millis, long nowMillis) {
+    boolean exceeds(long completeTo, long millis, long nowMillis) {
       return revision > completeTo
-          && nowMillis - toldMillis <= relianceMillis
+          && nowMillis - lastReportMillis <= peerWaitMillis
           && nowMillis - sinceMillis > millis;
     }
   }
@@ -80,14 +80,14 @@
     checkArgument(boundMillis > 0, "boundMillis must be above 0, was %s", boundMillis);
     this.boundMillis = boundMillis;
     this.startedMillis = startedMillis;
-    this.relianceMillis = boundMillis / RELIANCE_DIVISOR;
-    this.shape = requireNonNull(shape, "shape must not be null");
+    this.peerWaitMillis = boundMillis / PEER_WAIT_DIVISOR;
+    this.topology = requireNonNull(shape, "shape must not be null");
     this.members = requireNonNull(members, "members must not be null");
     this.store = requireNonNull(store, "store must not be null");
     this.operators = requireNonNull(operators, "operators must not be null");
     this.runners = requireNonNull(runners, "runners must not be null");
     this.exchange = requireNonNull(exchange, "exchange must not be null");
-    this.changed = requireNonNull(changed, "changed must not be null");
+    this.changeListener = requireNonNull(changed, "changed must not be null");
     this.log = requireNonNull(log, "log must not be null");
   }
 
@@ -110,12 +110,12 @@
     boolean behind = state.getConfigRevision() > operatorsCompleteTo;
     boolean runnersBehind = state.getRunnersRevision() > runnersCompleteTo;
     if (behind) {
-      operatorsLag.told(state.getConfigRevision(), operatorsCompleteTo, nowMillis);
+      operatorsLag.report(state.getConfigRevision(), operatorsCompleteTo, nowMillis);
     }
     if (runnersBehind) {
-      runnersLag.told(state.getRunnersRevision(), runnersCompleteTo, nowMillis);
+      runnersLag.report(state.getRunnersRevision(), runnersCompleteTo, nowMillis);
     }
-    if (behind || (runnersBehind && !awaitsRunners(nowMillis))) {
+    if (behind || (runnersBehind && !expectsRunnersFromWatch(nowMillis))) {
       members
           .find(from)
           .ifPresent(
@@ -128,10 +128,10 @@
    * Returns whether this host's own watch of the runners is about to tell the same: runners change
    * all the time, and their entries are many.
    */
-  private boolean awaitsRunners(long nowMillis) {
+  private boolean expectsRunnersFromWatch(long nowMillis) {
     return watchesStore(nowMillis)
         && runners.isReachable()
-        && !runnersLag.lasts(store.runnersCompleteTo(), relianceMillis, nowMillis);
+        && !runnersLag.exceeds(store.runnersCompleteTo(), peerWaitMillis, nowMillis);
   }
 
   /** Takes in what another host passed on. */
@@ -147,15 +147,15 @@
     }
     if (news > 0) {
       log.info("records-from-peer", "peer", records.ip(), "news", news);
-      changed.run();
+      changeListener.run();
     }
   }
 
   /** Records that a datagram of another host came. */
   public void datagramReceived(String from, long nowMillis) {
-    if (shape.isDelegateOfOwnGroup(from)) {
-      delegateHeardMillis = nowMillis;
-      if (store.isInitialized() && !isLeftBehind(nowMillis)) {
+    if (topology.isDelegateOfOwnGroup(from)) {
+      delegateLastSeenMillis = nowMillis;
+      if (store.isInitialized() && !isBehindPeers(nowMillis)) {
         store.confirmed(nowMillis, nowMillis);
       }
     }
@@ -168,14 +168,14 @@
    */
   private boolean watchesStore(long nowMillis) {
     return !store.isInitialized()
-        || !shape.isLarge()
-        || shape.isDelegate()
-        || nowMillis - delegateHeardMillis > relianceMillis
-        || isLeftBehind(nowMillis);
+        || !topology.isLarge()
+        || topology.isDelegate()
+        || nowMillis - delegateLastSeenMillis > peerWaitMillis
+        || isBehindPeers(nowMillis);
   }
 
-  private boolean isLeftBehind(long nowMillis) {
-    return operatorsLag.lasts(store.operatorsCompleteTo(), relianceMillis, nowMillis)
-        || runnersLag.lasts(store.runnersCompleteTo(), relianceMillis, nowMillis);
+  private boolean isBehindPeers(long nowMillis) {
+    return operatorsLag.exceeds(store.operatorsCompleteTo(), peerWaitMillis, nowMillis)
+        || runnersLag.exceeds(store.runnersCompleteTo(), peerWaitMillis, nowMillis);
   }
 }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/StateCodec.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/StateCodec.java
@@ -24,7 +24,7 @@
 public final class StateCodec {
 
   /** Slots of spending that are taken from one datagram at most. */
-  private static final int MAX_SLOTS = 64;
+  private static final int MAX_SPENDING_SLOTS = 64;
 
   private StateCodec() {}
 
@@ -88,7 +88,7 @@
         .forEach(workspace -> spent.put(workspace.getWorkspace(), workspace.getSpentList()));
     return new ToldSpending(
         message.getNewestSlot(),
-        Math.max(0, Math.min(message.getSlots(), MAX_SLOTS)),
+        Math.max(0, Math.min(message.getSlots(), MAX_SPENDING_SLOTS)),
         Integer.toUnsignedLong(message.getAgoMs()),
         Math.max(1, message.getHosts()),
         spent);
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/AliveMarksTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/AliveMarksTest.java
@@ -15,27 +15,27 @@
 
 class AliveMarksTest {
 
-  private static final long SOON = 100;
+  private static final long PERIOD_MILLIS = 100;
 
-  private final Members<HostState> tellers = new Members<>("delegate", MemberSettings.DEFAULT);
+  private final Members<HostState> senders = new Members<>("delegate", MemberSettings.DEFAULT);
   private final Members<HostState> receivers = new Members<>("ordinary", MemberSettings.DEFAULT);
-  private final AliveMarks told = new AliveMarks(tellers);
-  private final AliveMarks learnt = new AliveMarks(receivers);
+  private final AliveMarks senderMarks = new AliveMarks(senders);
+  private final AliveMarks receiverMarks = new AliveMarks(receivers);
 
-  private static void heard(
+  private static void receiveState(
       Members<HostState> members, long incarnation, boolean leaving, long nowMillis) {
     HostState state = HostState.newBuilder().setReady(true).setLeaving(leaving).build();
     members.heard("host", "ip", incarnation, nowMillis, leaving, state, nowMillis);
   }
 
-  private void pass(long nowMillis) {
+  private void exchangeMarks(long nowMillis) {
     Digest.Builder digest = Digest.newBuilder();
-    told.add(digest, tellers.reachable(nowMillis), nowMillis);
-    learnt.refresh(nowMillis);
-    learnt.received(digest.build(), nowMillis);
+    senderMarks.add(digest, senders.reachable(nowMillis), nowMillis);
+    receiverMarks.refresh(nowMillis);
+    receiverMarks.apply(digest.build(), nowMillis);
   }
 
-  private long heardMillis() {
+  private long lastSeenMillis() {
     return receivers.find("host").orElseThrow().heardMillis();
   }
 
@@ -43,14 +43,14 @@
   class LivingHosts {
 
     @Test
-    void stayAliveWithoutWordsOfTheirOwn() {
-      heard(receivers, 1, false, 0);
-      for (long now = 0; now < 10_000; now += SOON) {
-        heard(tellers, 1, false, now);
-        pass(now);
+    void stayAliveWithoutReportsOfTheirOwn() {
+      receiveState(receivers, 1, false, 0);
+      for (long now = 0; now < 10_000; now += PERIOD_MILLIS) {
+        receiveState(senders, 1, false, now);
+        exchangeMarks(now);
       }
       assertThat(receivers.isSound("host", 10_000)).isTrue();
-      assertThat(heardMillis()).isEqualTo(9_900);
+      assertThat(lastSeenMillis()).isEqualTo(9_900);
     }
   }
 
@@ -64,15 +64,15 @@
     void areAllMarkedByTwoDigests() {
       for (int number = 0; number < HOSTS; number++) {
         HostState state = HostState.newBuilder().setReady(true).build();
-        tellers.heard("host-" + number, "ip-" + number, 1, 1, false, state, 0);
+        senders.heard("host-" + number, "ip-" + number, 1, 1, false, state, 0);
       }
-      List<Member<HostState>> all = tellers.reachable(0);
+      List<Member<HostState>> all = senders.reachable(0);
       Set<Integer> marked = new HashSet<>();
       for (int i = 0; i < 2; i++) {
         Digest.Builder digest = Digest.newBuilder();
-        told.add(digest, all, 0);
+        senderMarks.add(digest, all, 0);
         marked.addAll(digest.getAliveList());
-        told.add(Digest.newBuilder(), all.subList(0, 19), 0);
+        senderMarks.add(Digest.newBuilder(), all.subList(0, 19), 0);
       }
       assertThat(marked).hasSize(HOSTS);
     }
@@ -90,13 +90,13 @@
      * spoke.
      */
     @Test
-    void areMissedThroughMarksToo() {
-      heard(tellers, 1, false, 0);
-      heard(receivers, 1, false, 0);
-      for (long now = 0; now < 10_000; now += SOON) {
-        pass(now);
+    void areDetectedDespiteMarks() {
+      receiveState(senders, 1, false, 0);
+      receiveState(receivers, 1, false, 0);
+      for (long now = 0; now < 10_000; now += PERIOD_MILLIS) {
+        exchangeMarks(now);
       }
-      assertThat(heardMillis()).isEqualTo(0);
+      assertThat(lastSeenMillis()).isEqualTo(0);
       assertThat(receivers.isSound("host", 10_000)).isFalse();
       assertThat(receivers.alive(10_000)).isEmpty();
     }
@@ -112,35 +112,35 @@
      * future.
      */
     @Test
-    void hugeAgesKeepNobodyAlive() {
-      heard(tellers, 1, false, 0);
-      heard(receivers, 1, false, 0);
+    void hugeAgesKeepNoHostAlive() {
+      receiveState(senders, 1, false, 0);
+      receiveState(receivers, 1, false, 0);
       Digest.Builder digest = Digest.newBuilder();
-      told.add(digest, tellers.reachable(0), 0);
-      learnt.refresh(0);
-      learnt.received(digest.setAliveAgesMs(0, -1_000_000).build(), SOON);
-      assertThat(heardMillis()).isEqualTo(0);
+      senderMarks.add(digest, senders.reachable(0), 0);
+      receiverMarks.refresh(0);
+      receiverMarks.apply(digest.setAliveAgesMs(0, -1_000_000).build(), PERIOD_MILLIS);
+      assertThat(lastSeenMillis()).isEqualTo(0);
     }
   }
 
   @Nested
-  class MissedWords {
+  class MissedReports {
 
     /** A restarted process has lost all that its predecessor knew: it must not pass for it. */
     @Test
-    void restartedHostIsNotTakenForTheOneBefore() {
-      heard(receivers, 1, false, 0);
-      heard(tellers, 2, false, 5_000);
-      pass(5_000);
-      assertThat(heardMillis()).isEqualTo(0);
+    void restartedHostIsNotMistakenForItsPredecessor() {
+      receiveState(receivers, 1, false, 0);
+      receiveState(senders, 2, false, 5_000);
+      exchangeMarks(5_000);
+      assertThat(lastSeenMillis()).isEqualTo(0);
     }
 
     @Test
-    void leavingHostLooksSilentToThoseWhoDoNotKnow() {
-      heard(receivers, 1, false, 0);
-      heard(tellers, 1, true, 5_000);
-      pass(5_000);
-      assertThat(heardMillis()).isEqualTo(0);
+    void leavingHostLooksSilentToUninformedHosts() {
+      receiveState(receivers, 1, false, 0);
+      receiveState(senders, 1, true, 5_000);
+      exchangeMarks(5_000);
+      assertThat(lastSeenMillis()).isEqualTo(0);
     }
   }
 }
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/AllowanceWorld.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/AllowanceSimulation.java
@@ -14,36 +14,36 @@
  * Hosts that serve one workspace with a limit, in virtual time, and an observer who counts what was
  * granted as the operators would. The observer shares no code with the decision.
  */
-final class AllowanceWorld {
+final class AllowanceSimulation {
 
   /** Tokens of one request: a long brief. */
-  static final long COST = 9_490;
+  static final long REQUEST_TOKENS = 9_490;
 
-  static final double PER_SECOND = 29_000;
+  static final double LIMIT_PER_SECOND = 29_000;
 
   /** The operators' bound: a quarter more than the allowance of a window, and as much besides. */
-  private static final double OVER = 1.25;
+  private static final double TOLERANCE_FACTOR = 1.25;
 
-  private static final double SLACK = 110_000;
+  private static final double TOLERANCE_TOKENS = 110_000;
   private static final long WINDOW_MILLIS = 8_000;
   private static final int STEP_MILLIS = 10;
 
   /** Decides whether a host may serve a request. */
   interface Policy {
-    boolean take(PeerWorld world, PeerWorld.Host host, Workspace workspace, long cost);
+    boolean take(PeerSimulation world, PeerSimulation.Host host, Workspace workspace, long cost);
   }
 
   /** The decision of the product. */
-  static final Policy LATE_SUMS =
+  static final Policy DELAYED_SUMS =
       (world, host, workspace, cost) ->
           host.allowances.take(workspace, cost, world.now()).granted();
 
-  final PeerWorld peers;
+  final PeerSimulation peers;
   private final Policy policy;
   private final Random random;
   private final Deque<long[]> granted = new ArrayDeque<>();
   private Workspace workspace;
-  private double owing;
+  private double pendingTokens;
   private long grantedInWindow;
   private long countedFromMillis;
   private long grantedFromMillis;
@@ -53,12 +53,12 @@
   private long grantedTokens;
   private final long[] grantedByHost;
 
-  AllowanceWorld(long seed, int hosts, Policy policy) {
-    this.peers = new PeerWorld(seed, hosts, 4);
+  AllowanceSimulation(long seed, int hosts, Policy policy) {
+    this.peers = new PeerSimulation(seed, hosts, 4);
     this.policy = policy;
     this.grantedByHost = new long[hosts];
     this.random = new Random(seed);
-    this.workspace = limitedTo(PER_SECOND);
+    this.workspace = limitedTo(LIMIT_PER_SECOND);
     configure();
   }
 
@@ -67,13 +67,13 @@
   }
 
   /** Sets another limit at all hosts. */
-  void limit(double perSecond) {
+  void setLimit(double perSecond) {
     workspace = limitedTo(perSecond);
     configure();
   }
 
   private void configure() {
-    for (PeerWorld.Host host : peers.running()) {
+    for (PeerSimulation.Host host : peers.running()) {
       host.allowances.configured(java.util.List.of(workspace), peers.now());
     }
   }
@@ -85,38 +85,38 @@
   }
 
   /** Lets time pass in which callers ask for so many times the limit, at hosts drawn at random. */
-  void ask(long millis, double timesLimit) {
-    ask(millis, timesLimit, -1);
+  void offerLoad(long millis, double timesLimit) {
+    offerLoad(millis, timesLimit, -1);
   }
 
   /** The same at one host; at random ones if {@code at} is negative. */
-  void ask(long millis, double timesLimit, int at) {
+  void offerLoad(long millis, double timesLimit, int at) {
     for (long end = peers.now() + millis; peers.now() < end; ) {
-      owing += timesLimit * PER_SECOND * STEP_MILLIS / 1_000;
+      pendingTokens += timesLimit * LIMIT_PER_SECOND * STEP_MILLIS / 1_000;
       // A request is asked for when a random part of its tokens is owing: arrivals are uneven.
-      while (owing >= COST * random.nextDouble() * 2) {
-        owing -= COST;
+      while (pendingTokens >= REQUEST_TOKENS * random.nextDouble() * 2) {
+        pendingTokens -= REQUEST_TOKENS;
         request(at < 0 ? random.nextInt(peers.size()) : at);
       }
-      peers.pass(STEP_MILLIS);
+      peers.advance(STEP_MILLIS);
     }
   }
 
   private void request(int number) {
-    PeerWorld.@Nullable Host host = peers.host(number);
+    PeerSimulation.@Nullable Host host = peers.host(number);
     if (host == null) {
       return;
     }
     askedCount++;
-    if (policy.take(peers, host, workspace, COST)) {
-      observe(COST);
-      grantedByHost[number] += COST;
+    if (policy.take(peers, host, workspace, REQUEST_TOKENS)) {
+      recordGrant(REQUEST_TOKENS);
+      grantedByHost[number] += REQUEST_TOKENS;
     } else {
       refusedCount++;
     }
   }
 
-  private void observe(long tokens) {
+  private void recordGrant(long tokens) {
     long now = peers.now();
     granted.add(new long[] {now, tokens});
     grantedInWindow += tokens;
@@ -131,7 +131,7 @@
 
   private double bound() {
     double limit = workspace.allowance().perSecond();
-    return (limit * WINDOW_MILLIS / 1_000 + workspace.allowance().burst()) * OVER + SLACK;
+    return (limit * WINDOW_MILLIS / 1_000 + workspace.allowance().burst()) * TOLERANCE_FACTOR + TOLERANCE_TOKENS;
   }
 
   /** Begins to count anew; windows that begin before do not count. */
@@ -165,12 +165,12 @@
   }
 
   /** Returns the part of the requests that was refused. */
-  double refusedPart() {
+  double refusedShare() {
     return askedCount == 0 ? 0 : (double) refusedCount / askedCount;
   }
 
   /** Returns what was granted, as a part of the limit over the time counted. */
-  double grantedPart() {
+  double grantedShare() {
     double seconds = (peers.now() - grantedFromMillis) / 1_000.0;
     return grantedTokens / (workspace.allowance().perSecond() * seconds);
   }
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/AllowanceTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/AllowanceTest.java
@@ -22,51 +22,51 @@
   private static final int JOIN_MILLIS = 12_000;
 
   /** What a workspace usually asks for, as a part of its limit. */
-  private static final double USUAL = 1 / 1.8;
+  private static final double USUAL_LOAD = 1 / 1.8;
 
   /** What one that asks seven and a half times its usual asks for. */
-  private static final double HOT = 7.5 * USUAL;
+  private static final double OVERLOAD = 7.5 * USUAL_LOAD;
 
-  private static AllowanceWorld world(int hosts) {
+  private static AllowanceSimulation world(int hosts) {
     return world(7, hosts);
   }
 
-  private static AllowanceWorld world(long seed, int hosts) {
-    AllowanceWorld world = new AllowanceWorld(seed, hosts, AllowanceWorld.LATE_SUMS);
+  private static AllowanceSimulation world(long seed, int hosts) {
+    AllowanceSimulation world = new AllowanceSimulation(seed, hosts, AllowanceSimulation.DELAYED_SUMS);
     world.peers.loseOneIn(20);
-    world.ask(JOIN_MILLIS, 0);
+    world.offerLoad(JOIN_MILLIS, 0);
     return world;
   }
 
   @ParameterizedTest
   @ValueSource(ints = {1, 7, 77})
   void usualLoadIsNotRefused(int hosts) {
-    AllowanceWorld world = world(hosts);
+    AllowanceSimulation world = world(hosts);
     world.countFromNow();
-    world.ask(30_000, USUAL);
-    assertThat(world.refusedPart()).isLessThan(0.01);
+    world.offerLoad(30_000, USUAL_LOAD);
+    assertThat(world.refusedShare()).isLessThan(0.01);
   }
 
   @ParameterizedTest
   @ValueSource(ints = {7, 77})
   void suddenLoadAtAllHostsStaysWithinTheBoundAndGetsItsAllowance(int hosts) {
-    AllowanceWorld world = world(hosts);
-    world.ask(10_000, USUAL);
+    AllowanceSimulation world = world(hosts);
+    world.offerLoad(10_000, USUAL_LOAD);
     world.countAllFromNow();
-    world.ask(15_000, HOT);
+    world.offerLoad(15_000, OVERLOAD);
     assertThat(world.worstWindow()).isAtMost(1.0);
-    assertThat(world.grantedPart()).isGreaterThan(0.95);
+    assertThat(world.grantedShare()).isGreaterThan(0.95);
   }
 
   @ParameterizedTest
   @ValueSource(ints = {7, 77})
   void suddenLoadAtOneHostStaysWithinTheBoundAndGetsItsAllowance(int hosts) {
-    AllowanceWorld world = world(hosts);
-    world.ask(10_000, USUAL);
+    AllowanceSimulation world = world(hosts);
+    world.offerLoad(10_000, USUAL_LOAD);
     world.countAllFromNow();
-    world.ask(15_000, HOT, hosts - 1);
+    world.offerLoad(15_000, OVERLOAD, hosts - 1);
     assertThat(world.worstWindow()).isAtMost(1.0);
-    assertThat(world.grantedPart()).isGreaterThan(0.95);
+    assertThat(world.grantedShare()).isGreaterThan(0.95);
   }
 
   @Nested
@@ -74,37 +74,37 @@
     /** Two parts that each granted the whole limit would grant it twice. */
     @ParameterizedTest
     @ValueSource(ints = {7, 77})
-    void partsThatCannotHearEachOtherStayWithinTheBoundTogether(int hosts) {
-      AllowanceWorld world = world(hosts);
-      world.ask(10_000, USUAL);
+    void disconnectedPartsStayWithinTheBoundTogether(int hosts) {
+      AllowanceSimulation world = world(hosts);
+      world.offerLoad(10_000, USUAL_LOAD);
       world.peers.cut((from, to) -> from % 2 != to % 2);
-      world.ask(1_500, USUAL);
+      world.offerLoad(1_500, USUAL_LOAD);
       world.countAllFromNow();
-      world.ask(8_000, HOT);
+      world.offerLoad(8_000, OVERLOAD);
       assertThat(world.worstWindow()).isAtMost(1.0);
     }
 
     /** A third of the hosts hear nobody at all, each for itself. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 7})
-    void hostsCutOffOneByOneStayWithinTheBoundTogether(long seed) {
-      AllowanceWorld world = world(seed, 77);
-      world.ask(10_000, USUAL);
+    void isolatedHostsStayWithinTheBoundTogether(long seed) {
+      AllowanceSimulation world = world(seed, 77);
+      world.offerLoad(10_000, USUAL_LOAD);
       world.peers.cut((from, to) -> from % 3 == 0 || to % 3 == 0);
-      world.ask(1_500, USUAL);
+      world.offerLoad(1_500, USUAL_LOAD);
       world.countAllFromNow();
-      world.ask(8_000, HOT);
+      world.offerLoad(8_000, OVERLOAD);
       assertThat(world.worstWindow()).isAtMost(1.0);
     }
 
     @Test
     void usualLoadIsMostlyServedDuringCuts() {
-      AllowanceWorld world = world(77);
-      world.ask(10_000, USUAL);
+      AllowanceSimulation world = world(77);
+      world.offerLoad(10_000, USUAL_LOAD);
       world.peers.cut((from, to) -> from % 2 != to % 2);
       world.countFromNow();
-      world.ask(8_000, USUAL);
-      assertThat(world.refusedPart()).isLessThan(0.2);
+      world.offerLoad(8_000, USUAL_LOAD);
+      assertThat(world.refusedShare()).isLessThan(0.2);
     }
   }
 
@@ -112,39 +112,39 @@
   class Restarts {
     /** Their part of the window's sum goes with them. */
     @Test
-    void halfOfTheHostsStartAnewUnderLoad() {
-      AllowanceWorld world = world(77);
-      world.ask(10_000, USUAL);
+    void halfOfTheHostsRestartUnderLoad() {
+      AllowanceSimulation world = world(77);
+      world.offerLoad(10_000, USUAL_LOAD);
       world.countAllFromNow();
-      world.ask(4_000, HOT);
+      world.offerLoad(4_000, OVERLOAD);
       for (int number = 0; number < 77; number += 2) {
         world.peers.kill(number);
       }
-      world.ask(1_500, HOT);
+      world.offerLoad(1_500, OVERLOAD);
       for (int number = 0; number < 77; number += 2) {
         world.restart(number);
       }
-      world.ask(10_000, HOT);
+      world.offerLoad(10_000, OVERLOAD);
       assertThat(world.worstWindow()).isAtMost(1.0);
-      assertThat(world.grantedPart()).isGreaterThan(0.7);
+      assertThat(world.grantedShare()).isGreaterThan(0.7);
     }
 
     /** Nobody knows the window any more: it must not be granted a second time. */
     @ParameterizedTest
     @ValueSource(ints = {7, 77})
-    void allHostsStartAnewUnderLoad(int hosts) {
-      AllowanceWorld world = world(hosts);
-      world.ask(10_000, USUAL);
+    void allHostsRestartUnderLoad(int hosts) {
+      AllowanceSimulation world = world(hosts);
+      world.offerLoad(10_000, USUAL_LOAD);
       world.countAllFromNow();
-      world.ask(4_000, HOT);
+      world.offerLoad(4_000, OVERLOAD);
       for (int number = 0; number < hosts; number++) {
         world.peers.kill(number);
       }
-      world.peers.pass(700);
+      world.peers.advance(700);
       for (int number = 0; number < hosts; number++) {
         world.restart(number);
       }
-      world.ask(10_000, HOT);
+      world.offerLoad(10_000, OVERLOAD);
       assertThat(world.worstWindow()).isAtMost(1.0);
     }
   }
@@ -152,12 +152,12 @@
   /** It binds one window after it is known. */
   @Test
   void loweredLimitHolds() {
-    AllowanceWorld world = world(77);
-    world.ask(10_000, USUAL);
-    world.limit(AllowanceWorld.PER_SECOND / 4);
+    AllowanceSimulation world = world(77);
+    world.offerLoad(10_000, USUAL_LOAD);
+    world.setLimit(AllowanceSimulation.LIMIT_PER_SECOND / 4);
     world.countFromNow();
-    world.ask(20_000, USUAL);
+    world.offerLoad(20_000, USUAL_LOAD);
     assertThat(world.worstWindow()).isAtMost(1.0);
-    assertThat(world.grantedPart()).isGreaterThan(0.95);
+    assertThat(world.grantedShare()).isGreaterThan(0.95);
   }
 }
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/OtherPolicies.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/AlternativePolicies.java
@@ -11,17 +11,17 @@
  * Ways of keeping to an allowance that were weighed against the product's. They are given what is
  * best for them: nothing that they tell each other is lost, and leases cost no time.
  */
-final class OtherPolicies {
+final class AlternativePolicies {
 
   /** How late hosts know of each other (ms), and how long they take to believe in silence. */
-  private static final long LATE_MILLIS = 300;
+  private static final long PROPAGATION_MILLIS = 300;
 
-  private static final long SILENT_MILLIS = 1_000;
+  private static final long SUSPICION_MILLIS = 1_000;
 
   /** Over which time a host's part of the demand is taken (ms). */
-  private static final long DEMAND_MILLIS = 2_000;
+  private static final long DEMAND_WINDOW_MILLIS = 2_000;
 
-  private OtherPolicies() {}
+  private AlternativePolicies() {}
 
   private static final class Bucket {
     double level;
@@ -44,8 +44,8 @@
   }
 
   /** Each host may spend an equal part. */
-  static AllowanceWorld.Policy equalShares() {
-    Map<PeerWorld.Host, Bucket> buckets = new HashMap<>();
+  static AllowanceSimulation.Policy equalShares() {
+    Map<PeerSimulation.Host, Bucket> buckets = new HashMap<>();
     return (world, host, workspace, cost) -> {
       double rate = workspace.allowance().perSecond() / world.size();
       double burst = workspace.allowance().burst() / world.size();
@@ -56,12 +56,12 @@
   }
 
   /** Each host may spend the part that its callers lately had of what all asked for. */
-  static AllowanceWorld.Policy demandShares() {
+  static AllowanceSimulation.Policy demandShares() {
     Deque<long[]> asked = new ArrayDeque<>();
-    Map<PeerWorld.Host, Bucket> buckets = new HashMap<>();
+    Map<PeerSimulation.Host, Bucket> buckets = new HashMap<>();
     return (world, host, workspace, cost) -> {
       long now = world.now();
-      while (!asked.isEmpty() && asked.element()[0] < now - DEMAND_MILLIS) {
+      while (!asked.isEmpty() && asked.element()[0] < now - DEMAND_WINDOW_MILLIS) {
         asked.remove();
       }
       asked.add(new long[] {now, host.number});
@@ -70,7 +70,7 @@
       for (Iterator<long[]> each = asked.iterator(); each.hasNext(); ) {
         long[] one = each.next();
         boolean mine = one[1] == host.number;
-        boolean known = mine || one[0] <= now - LATE_MILLIS;
+        boolean known = mine || one[0] <= now - PROPAGATION_MILLIS;
         own += mine ? 1 : 0;
         all += known && (mine || world.reaches((int) one[1], host.number)) ? 1 : 0;
       }
@@ -83,27 +83,27 @@
   }
 
   /** The first living host that can be reached keeps the bucket; the others ask it. */
-  static AllowanceWorld.Policy homeLeases() {
-    Map<PeerWorld.Host, Bucket> homes = new HashMap<>();
-    return new AllowanceWorld.Policy() {
+  static AllowanceSimulation.Policy homeLeases() {
+    Map<PeerSimulation.Host, Bucket> homes = new HashMap<>();
+    return new AllowanceSimulation.Policy() {
       @Override
-      public boolean take(PeerWorld world, PeerWorld.Host host, Workspace workspace, long cost) {
-        PeerWorld.Host home = home(world, host);
+      public boolean take(PeerSimulation world, PeerSimulation.Host host, Workspace workspace, long cost) {
+        PeerSimulation.Host home = homeOf(world, host);
         long now = world.now();
-        double part = part(world, home);
+        double part = reachableShare(world, home);
         double rate = workspace.allowance().perSecond() * part;
         double burst = workspace.allowance().burst() * part;
         // A home that is new knows nothing of what the one before granted: it begins when that
         // one's grants are a second old, without a burst.
-        Bucket bucket = homes.computeIfAbsent(home, h -> new Bucket(0, now + SILENT_MILLIS));
+        Bucket bucket = homes.computeIfAbsent(home, h -> new Bucket(0, now + SUSPICION_MILLIS));
         return now >= bucket.atMillis && bucket.take(rate, burst, cost, now);
       }
     };
   }
 
-  private static PeerWorld.Host home(PeerWorld world, PeerWorld.Host host) {
+  private static PeerSimulation.Host homeOf(PeerSimulation world, PeerSimulation.Host host) {
     for (int number = 0; number < world.size(); number++) {
-      PeerWorld.Host other = world.host(number);
+      PeerSimulation.Host other = world.host(number);
       if (other != null && (other == host || world.reaches(number, host.number))) {
         return other;
       }
@@ -111,7 +111,7 @@
     return host;
   }
 
-  private static double part(PeerWorld world, PeerWorld.Host home) {
+  private static double reachableShare(PeerSimulation world, PeerSimulation.Host home) {
     int reached = 1;
     for (int number = 0; number < world.size(); number++) {
       reached += number != home.number && world.reaches(number, home.number) ? 1 : 0;
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/CallerAddressesTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/CallerAddressesTest.java
@@ -21,8 +21,8 @@
   private static final long NOW = 100_000;
 
   private final Members<HostState> members = new Members<>("host-0", MemberSettings.DEFAULT);
-  private final FleetTopology shape = new FleetTopology(settings(), members);
-  private final CallerAddresses addresses = new CallerAddresses(settings(), members, shape);
+  private final FleetTopology topology = new FleetTopology(settings(), members);
+  private final CallerAddresses addresses = new CallerAddresses(settings(), members, topology);
 
   private static HostSettings settings() {
     return new HostSettings(
@@ -48,7 +48,7 @@
   }
 
   /** Hosts 1 to {@code count}, the first eight of which are strong, tell their state. */
-  private void fleet(int count, int requestsPerSecond, boolean ready, long nowMillis) {
+  private void reportStates(int count, int requestsPerSecond, boolean ready, long nowMillis) {
     for (int number = 1; number <= count; number++) {
       HostState state =
           HostState.newBuilder()
@@ -61,15 +61,15 @@
               .build();
       members.heard("host-" + number, "ip-" + number, 1, nowMillis, false, state, nowMillis);
     }
-    shape.refresh(nowMillis);
+    topology.refresh(nowMillis);
   }
 
   @Nested
   class SmallFleets {
 
     @Test
-    void nameAll() {
-      fleet(6, 0, true, NOW);
+    void advertiseAllHosts() {
+      reportStates(6, 0, true, NOW);
       assertThat(addresses.advertised(true, NOW)).hasSize(7);
       assertThat(addresses.advertised(false, NOW)).hasSize(6);
     }
@@ -79,34 +79,34 @@
   class LargeFleets {
 
     @Test
-    void nameTheStrongest() {
-      fleet(76, 2, true, NOW);
+    void advertiseTheStrongest() {
+      reportStates(76, 2, true, NOW);
       assertThat(addresses.advertised(true, NOW)).hasSize(8);
       assertThat(addresses.advertised(true, NOW)).doesNotContain(addresses.ownAddress());
     }
 
     @Test
-    void nameMoreWhenTheFleetIsAskedMore() {
-      fleet(76, 12, true, NOW);
+    void advertiseMoreUnderHigherDemand() {
+      reportStates(76, 12, true, NOW);
       assertThat(addresses.advertised(true, NOW)).hasSize(64);
     }
 
     /** After the loss of all hosts each knows only itself for a while. */
     @Test
-    void nameThisHostWhenNobodyElseServes() {
-      fleet(76, 2, false, NOW);
+    void advertiseThisHostWhenNoOtherIsReady() {
+      reportStates(76, 2, false, NOW);
       assertThat(addresses.advertised(true, NOW)).containsExactly(addresses.ownAddress());
     }
 
     @Test
-    void nameTheWeakOnceTheStrongAreSilent() {
-      fleet(76, 2, true, NOW);
+    void advertiseWeakHostsOnceTheStrongAreSilent() {
+      reportStates(76, 2, true, NOW);
       long later = NOW + 15_000;
       for (int number = 9; number <= 76; number++) {
         HostState state = requireNonNull(members.find("host-" + number).orElseThrow().state());
         members.heard("host-" + number, "ip-" + number, 1, later, false, state, later);
       }
-      shape.refresh(later);
+      topology.refresh(later);
       List<String> named = addresses.advertised(true, later);
       for (int number = 1; number <= 8; number++) {
         assertThat(named).doesNotContain("ip-" + number + ":1");
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/ConfigurationBoundTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/ConfigurationBoundTest.java
@@ -34,24 +34,24 @@
   }
 
   @Property(tries = 60, seed = "20261214")
-  void holdsUnderAnyTroubles(
+  void holdsUnderAnyFaults(
       @ForAll("troubles") List<RecordTrouble> troubles,
       @ForAll("sizes") int hosts,
       @ForAll long seed) {
-    RecordBounds bounds = new RecordBounds(new RecordWorld(seed, hosts, DOMAINS), seed);
-    bounds.pass(JOIN_MILLIS);
-    troubles.forEach(bounds::play);
-    bounds.pass(RecordBounds.SETTLED_MILLIS);
+    RecordBoundsChecker bounds = new RecordBoundsChecker(new RecordSimulation(seed, hosts, DOMAINS), seed);
+    bounds.advance(JOIN_MILLIS);
+    troubles.forEach(bounds::inject);
+    bounds.advance(RecordBoundsChecker.SETTLED_MILLIS);
   }
 
   /** Guards against a host that relies on its lost watch though others know of a change. */
   @Test
   void leavingRunnerIsKnownWhereTheStoreIsSilent() {
     long seed = 1_028;
-    RecordBounds bounds = new RecordBounds(new RecordWorld(seed, 2, DOMAINS), seed);
-    bounds.pass(JOIN_MILLIS);
-    bounds.play(new RecordTrouble(Kind.STORE_SILENT, 1, 2_141, 91));
-    bounds.pass(RecordBounds.SETTLED_MILLIS);
+    RecordBoundsChecker bounds = new RecordBoundsChecker(new RecordSimulation(seed, 2, DOMAINS), seed);
+    bounds.advance(JOIN_MILLIS);
+    bounds.inject(new RecordTrouble(Kind.STORE_SILENT, 1, 2_141, 91));
+    bounds.advance(RecordBoundsChecker.SETTLED_MILLIS);
   }
 
   @Provide
@@ -64,17 +64,17 @@
 
     /** Guards against a watch that the store lost and that hides later changes until it is late. */
     @Test
-    void changeAfterItsReturnIsInForceInTime() {
+    void changeAfterRecoveryIsInForceWithinTheBound() {
       for (int outage = 3_000; outage <= 9_000; outage += 250) {
-        RecordWorld world = new RecordWorld(outage, HOSTS, DOMAINS);
-        world.pass(JOIN_MILLIS);
+        RecordSimulation world = new RecordSimulation(outage, HOSTS, DOMAINS);
+        world.advance(JOIN_MILLIS);
         world.store.fault(Fault.SILENT, host -> true);
-        world.pass(outage);
+        world.advance(outage);
         world.store.fault(Fault.NONE, host -> false);
-        world.pass(1_000);
+        world.advance(1_000);
         long version = world.configure();
-        world.pass(RecordWorld.BOUND_MILLIS);
-        for (PeerWorld.Host host : world.peers.running()) {
+        world.advance(RecordSimulation.BOUND_MILLIS);
+        for (PeerSimulation.Host host : world.peers.running()) {
           assertWithMessage("version at host %s after an outage of %s ms", host.number, outage)
               .that(world.host(host.number).versionInForce())
               .isEqualTo(version);
@@ -84,7 +84,7 @@
   }
 
   @Nested
-  class NumberAheadOfItsRecord {
+  class RevisionAheadOfItsRecord {
 
     private static final int ADAPTERS = 80;
 
@@ -93,20 +93,20 @@
      * that take its records would never ask for that one.
      */
     @Test
-    void recordThatFollowsLaterIsTakenToo() {
-      RecordWorld world = new RecordWorld(1, 2, 2);
+    void laterRecordIsPulledToo() {
+      RecordSimulation world = new RecordSimulation(1, 2, 2);
       for (int adapter = 0; adapter < ADAPTERS; adapter++) {
         world.store.publishVersion(adapterName(adapter), 1);
       }
-      world.pass(JOIN_MILLIS);
+      world.advance(JOIN_MILLIS);
       world.kill(0);
       world.store.faults(host -> host == 0 ? Fault.SLOW : Fault.REFUSING);
       world.start(0);
-      world.pass(100);
+      world.advance(100);
       // Between its two pages: the first lacks the configuration, the second has a later record.
       long version = world.configure();
       world.store.publishVersion(adapterName(ADAPTERS - 1), 2);
-      world.pass(JOIN_MILLIS);
+      world.advance(JOIN_MILLIS);
       assertWithMessage("at the host that reads the store")
           .that(world.host(0).versionInForce())
           .isEqualTo(version);
@@ -125,21 +125,21 @@
 
     /** Guards against a host that begins with the configuration of one that is cut off. */
     @Test
-    void oldConfigurationIsNotUsedWhileItMayBeOld() {
-      RecordWorld world = new RecordWorld(3, 3, 3);
-      world.pass(JOIN_MILLIS);
+    void configurationOfIsolatedHostIsNotUsedWhileItMayBeOutdated() {
+      RecordSimulation world = new RecordSimulation(3, 3, 3);
+      world.advance(JOIN_MILLIS);
       world.store.fault(Fault.REFUSING, host -> host > 0);
       world.cut((from, to) -> from == 0 || to == 0);
-      world.pass(RecordWorld.BOUND_MILLIS);
+      world.advance(RecordSimulation.BOUND_MILLIS);
       world.configure();
-      world.pass(JOIN_MILLIS);
+      world.advance(JOIN_MILLIS);
       world.kill(2);
       world.start(2);
-      world.pass(1_000);
+      world.advance(1_000);
       assertWithMessage("version while it may be old")
           .that(world.host(2).versionInForce())
           .isEqualTo(-1);
-      world.pass(RecordWorld.BOUND_MILLIS);
+      world.advance(RecordSimulation.BOUND_MILLIS);
       assertWithMessage("version when no better one can be had")
           .that(world.host(2).versionInForce())
           .isEqualTo(1);
@@ -147,14 +147,14 @@
 
     /** Guards against a host that does not serve because the store turns it away. */
     @Test
-    void configurationOfHostsInTouchIsUsedAtOnce() {
-      RecordWorld world = new RecordWorld(4, 3, 3);
-      world.pass(JOIN_MILLIS);
+    void configurationOfConnectedHostsIsUsedAtOnce() {
+      RecordSimulation world = new RecordSimulation(4, 3, 3);
+      world.advance(JOIN_MILLIS);
       world.store.fault(Fault.REFUSING, host -> host == 2);
       final long version = world.configure();
       world.kill(2);
       world.start(2);
-      world.pass(1_000);
+      world.advance(1_000);
       assertWithMessage("version of the other hosts")
           .that(world.host(2).versionInForce())
           .isEqualTo(version);
@@ -165,37 +165,37 @@
   @Nested
   class Sizes {
 
-    private static final int CALM_MILLIS = 3_000;
+    private static final int IDLE_MILLIS = 3_000;
 
-    private void playEach(int hosts, int forMillis, List<Kind> kinds) {
-      RecordWorld world = new RecordWorld(hosts, hosts, 4);
-      RecordBounds bounds = new RecordBounds(world, hosts);
-      bounds.pass(2 * JOIN_MILLIS);
+    private void injectEach(int hosts, int forMillis, List<Kind> kinds) {
+      RecordSimulation world = new RecordSimulation(hosts, hosts, 4);
+      RecordBoundsChecker bounds = new RecordBoundsChecker(world, hosts);
+      bounds.advance(2 * JOIN_MILLIS);
       long callsBefore = world.store.calls();
-      world.pass(CALM_MILLIS);
+      world.advance(IDLE_MILLIS);
       System.out.printf(
           "calls to the store of a calm fleet of %d: %.1f a second%n",
-          hosts, (world.store.calls() - callsBefore) * 1_000.0 / CALM_MILLIS);
+          hosts, (world.store.calls() - callsBefore) * 1_000.0 / IDLE_MILLIS);
       for (Kind kind : kinds) {
-        bounds.play(new RecordTrouble(kind, 4, forMillis, 500));
+        bounds.inject(new RecordTrouble(kind, 4, forMillis, 500));
       }
-      bounds.pass(RecordBounds.SETTLED_MILLIS);
+      bounds.advance(RecordBoundsChecker.SETTLED_MILLIS);
       System.out.printf("configuration at %d hosts: %s%n", hosts, bounds.summary());
     }
 
     @Test
     void holdsAt7Hosts() {
-      playEach(7, 3_000, List.of(Kind.values()));
+      injectEach(7, 3_000, List.of(Kind.values()));
     }
 
     @Test
     void holdsAt77Hosts() {
-      playEach(77, 3_000, List.of(Kind.values()));
+      injectEach(77, 3_000, List.of(Kind.values()));
     }
 
     @Test
     void holdsAt300Hosts() {
-      playEach(300, 1_500, List.of(Kind.HOSTS_CUT_ONE_WAY, Kind.STORE_SILENT));
+      injectEach(300, 1_500, List.of(Kind.HOSTS_CUT_ONE_WAY, Kind.STORE_SILENT));
     }
   }
 }
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/LargeFleetTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/LargeFleetTest.java
@@ -16,39 +16,39 @@
   private static final String RUNNER = "i-1";
 
   /** A change at a host (100 ms), two digests (150 ms each), one of them lost (150 ms). */
-  private static final long NEWS_MILLIS = 600;
+  private static final long PROPAGATION_MILLIS = 600;
 
-  private final PeerWorld world = new PeerWorld(5, HOSTS, DOMAINS);
+  private final PeerSimulation world = new PeerSimulation(5, HOSTS, DOMAINS);
 
   @BeforeEach
   void join() {
-    world.pass(4_000);
+    world.advance(4_000);
   }
 
-  private void everyoneIsAlive(int hosts) {
-    for (PeerWorld.Host host : world.running()) {
+  private void assertAllAlive(int hosts) {
+    for (PeerSimulation.Host host : world.running()) {
       assertWithMessage("hosts that host %s knows", host.number)
           .that(host.members.alive(world.now()))
           .hasSize(hosts - 1);
     }
   }
 
-  private PeerWorld.Host ordinary() {
-    return world.running().stream().filter(host -> !host.shape.isDelegate()).findFirst().get();
+  private PeerSimulation.Host anyNonDelegate() {
+    return world.running().stream().filter(host -> !host.topology.isDelegate()).findFirst().get();
   }
 
   private List<Integer> delegates() {
     return world.running().stream()
-        .filter(host -> host.shape.isDelegate())
+        .filter(host -> host.topology.isDelegate())
         .map(host -> host.number)
         .toList();
   }
 
-  private void changeAt(PeerWorld.Host host) {
+  private void assertChangeReachesAll(PeerSimulation.Host host) {
     host.configRevision++;
     host.heartbeats.changed();
-    world.pass(NEWS_MILLIS);
-    for (PeerWorld.Host other : world.running()) {
+    world.advance(PROPAGATION_MILLIS);
+    for (PeerSimulation.Host other : world.running()) {
       assertWithMessage("revision at host %s", other.number)
           .that(other.configRevision)
           .isEqualTo(host.configRevision);
@@ -56,17 +56,17 @@
   }
 
   @Nested
-  class Calm {
+  class Idle {
     @Test
     void everyDomainHasTwoDelegatesOfWhichOneIsStrong() {
-      everyoneIsAlive(HOSTS);
+      assertAllAlive(HOSTS);
       assertThat(delegates()).hasSize(2 * DOMAINS);
       assertThat(delegates()).containsAtLeast(0, 1, 2, 3, 4, 5);
     }
 
     @Test
-    void newsOfOneHostReachesAll() {
-      changeAt(ordinary());
+    void changeOfOneHostReachesAll() {
+      assertChangeReachesAll(anyNonDelegate());
     }
 
     /**
@@ -79,12 +79,12 @@
     @Test
     void loadsAreSummedOnceOverTheFleet() {
       for (int host : List.of(1, 2, 3, 5)) {
-        PeerWorld.Host sender = world.running().get(host);
+        PeerSimulation.Host sender = world.running().get(host);
         sender.loads.add(RUNNER, 2, 100, 0, "m/a1");
         sender.heartbeats.changed();
       }
-      world.pass(NEWS_MILLIS);
-      for (PeerWorld.Host host : world.running()) {
+      world.advance(PROPAGATION_MILLIS);
+      for (PeerSimulation.Host host : world.running()) {
         assertWithMessage("requests that host %s counts", host.number)
             .that(host.loads.requests(RUNNER, world.now()))
             .isEqualTo(8);
@@ -105,16 +105,16 @@
     @Test
     void deadDelegatesAreReplaced() {
       delegates().forEach(world::kill);
-      world.pass(4_000);
-      everyoneIsAlive(HOSTS - 2 * DOMAINS);
-      changeAt(ordinary());
+      world.advance(4_000);
+      assertAllAlive(HOSTS - 2 * DOMAINS);
+      assertChangeReachesAll(anyNonDelegate());
     }
 
     @Test
-    void deadHostIsNoticedByAll() {
-      world.kill(ordinary().number);
-      world.pass(4_000);
-      everyoneIsAlive(HOSTS - 1);
+    void deadHostIsDetectedByAll() {
+      world.kill(anyNonDelegate().number);
+      world.advance(4_000);
+      assertAllAlive(HOSTS - 1);
     }
 
     /**
@@ -129,10 +129,10 @@
     void halvesFindEachOtherAfterCuts() {
       for (long millis : new long[] {10_000, 25_000}) {
         world.cut((from, to) -> from % 2 != to % 2);
-        world.pass(millis);
+        world.advance(millis);
         world.cut((from, to) -> false);
-        world.pass(5_000);
-        everyoneIsAlive(HOSTS);
+        world.advance(5_000);
+        assertAllAlive(HOSTS);
       }
     }
 
@@ -141,26 +141,26 @@
       for (int host = 0; host < HOSTS; host++) {
         world.kill(host);
       }
-      world.pass(1_400);
+      world.advance(1_400);
       for (int host = 0; host < HOSTS; host++) {
         world.start(host);
-        world.pass(20);
+        world.advance(20);
       }
-      world.pass(2_500);
-      everyoneIsAlive(HOSTS);
+      world.advance(2_500);
+      assertAllAlive(HOSTS);
       assertThat(delegates()).hasSize(2 * DOMAINS);
     }
 
     @Test
     void hostThatIsCutOffBecomesItsOwnDelegate() {
-      PeerWorld.Host alone = ordinary();
+      PeerSimulation.Host alone = anyNonDelegate();
       world.cut((from, to) -> from == alone.number || to == alone.number);
-      world.pass(4_000);
-      assertThat(alone.shape.isDelegate()).isTrue();
+      world.advance(4_000);
+      assertThat(alone.topology.isDelegate()).isTrue();
       world.cut((from, to) -> false);
-      world.pass(3_000);
-      everyoneIsAlive(HOSTS);
-      assertThat(alone.shape.isDelegate()).isFalse();
+      world.advance(3_000);
+      assertAllAlive(HOSTS);
+      assertThat(alone.topology.isDelegate()).isFalse();
     }
   }
 }
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/PeerCostTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/PeerCostTest.java
@@ -8,18 +8,18 @@
 class PeerCostTest {
 
   private static final int JOIN_MILLIS = 12_000;
-  private static final int COUNTED_MILLIS = 3_600;
+  private static final int MEASURED_MILLIS = 3_600;
 
   /** Returns the bytes that one idle host sends in a second. */
   private static long bytesPerSecond(int hosts) {
-    PeerWorld world = new PeerWorld(3, hosts, 4);
-    world.pass(JOIN_MILLIS);
+    PeerSimulation world = new PeerSimulation(3, hosts, 4);
+    world.advance(JOIN_MILLIS);
     long before = world.bytes();
-    world.pass(COUNTED_MILLIS);
-    for (PeerWorld.Host host : world.running()) {
+    world.advance(MEASURED_MILLIS);
+    for (PeerSimulation.Host host : world.running()) {
       assertThat(host.members.alive(world.now())).hasSize(hosts - 1);
     }
-    return (world.bytes() - before) * 1_000 / COUNTED_MILLIS / hosts;
+    return (world.bytes() - before) * 1_000 / MEASURED_MILLIS / hosts;
   }
 
   /**
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/PeerWorld.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/PeerSimulation.java
@@ -29,7 +29,7 @@
 import org.sequoiahub.usersplatform.HostSettings;
 
 /** Hosts that tell each other of themselves, in virtual time; datagrams are late and get lost. */
-final class PeerWorld {
+final class PeerSimulation {
 
   /** The users' figure. */
   static final AllowanceSettings ALLOWANCES = new AllowanceSettings(8_000);
@@ -38,26 +38,26 @@
   private static final int MAX_DELAY_MILLIS = 5;
 
   /** One datagram in so many is lost. */
-  private static final int LOSS = 100;
+  private static final int DEFAULT_LOSS_ONE_IN = 100;
 
-  private int lossOneIn = LOSS;
+  private int lossOneIn = DEFAULT_LOSS_ONE_IN;
 
   private final Function<Host, Records> recordsOf;
   private final Random random;
   private final int domains;
   private final int size;
   private final List<@Nullable Host> hosts = new ArrayList<>();
-  private final PriorityQueue<Late> late = new PriorityQueue<>();
+  private final PriorityQueue<Delivery> inTransit = new PriorityQueue<>();
   private BiPredicate<Integer, Integer> cut = (from, to) -> false;
   private long now = 1_000_000;
-  private long number;
+  private long deliveries;
   private long bytes;
   private final Map<Integer, Long> frozenUntil = new HashMap<>();
 
-  private record Late(long atMillis, long number, int from, int to, byte[] datagram)
-      implements Comparable<Late> {
+  private record Delivery(long atMillis, long number, int from, int to, byte[] datagram)
+      implements Comparable<Delivery> {
     @Override
-    public int compareTo(Late other) {
+    public int compareTo(Delivery other) {
       int byTime = Long.compare(atMillis, other.atMillis);
       return byTime != 0 ? byTime : Long.compare(number, other.number);
     }
@@ -70,19 +70,19 @@
     long runnersRevision();
 
     /** Takes in another host's state. */
-    void told(String from, HostState state);
+    void stateReceived(String from, HostState state);
 
     /** Told that a datagram of another host came. */
-    default void heard(String from) {}
+    default void datagramReceived(String from) {}
 
     void tick(long nowMillis);
   }
 
   /** Numbers only: a host that is behind another takes its records at once. */
-  private static final class Numbers implements Records {
+  private static final class RevisionsOnly implements Records {
     private final Host host;
 
-    Numbers(Host host) {
+    RevisionsOnly(Host host) {
       this.host = host;
     }
 
@@ -97,7 +97,7 @@
     }
 
     @Override
-    public void told(String from, HostState state) {
+    public void stateReceived(String from, HostState state) {
       host.configRevision = Math.max(host.configRevision, state.getConfigRevision());
     }
 
@@ -117,10 +117,10 @@
     final AllowanceKeeper allowances =
         new AllowanceKeeper(spending, ALLOWANCES, size > 1, random::nextDouble, now);
     final Set<String> words = new HashSet<>();
-    final FleetTopology shape;
+    final FleetTopology topology;
     final PeerHeartbeats heartbeats;
     final RequestQuarantine quarantine = new RequestQuarantine(QuarantineSettings.DEFAULT);
-    final RunnerTerminationExchange runnerEnds;
+    final RunnerTerminationExchange terminations;
     final Records records;
     long configRevision = 1_000;
 
@@ -128,27 +128,27 @@
       this.number = number;
       this.members = new Members<>("host-" + number, MemberSettings.DEFAULT);
       HostSettings settings = settings(number);
-      this.shape = new FleetTopology(settings, members);
+      this.topology = new FleetTopology(settings, members);
       this.heartbeats =
           new PeerHeartbeats(
               settings,
               now,
               members,
-              shape,
+              topology,
               loads,
               holdings,
               spending,
               (ip, datagram) -> send(number, ip, datagram),
               this::state,
-              this::told,
-              this::word,
+              this::stateReceived,
+              this::reportReceived,
               random,
               new EventLog("test", "host-" + number));
-      this.runnerEnds =
+      this.terminations =
           new RunnerTerminationExchange(
               quarantine,
               members,
-              shape,
+              topology,
               heartbeats::datagram,
               (ip, datagram) -> send(number, ip, datagram),
               random);
@@ -170,37 +170,37 @@
       return state.setLoadsComplete(true);
     }
 
-    private void told(String from, HostState state) {
+    private void stateReceived(String from, HostState state) {
       loads.told(from, StateCodec.decodeLoads(state.getLoadsList()), true, now);
-      word(from, state);
+      reportReceived(from, state);
     }
 
     /** A runner ends under a request of this host's; the others are told. */
-    void runnerEnded(long request, long runner, long startedMillis, long endedMillis) {
+    void runnerTerminated(long request, long runner, long startedMillis, long endedMillis) {
       RunnerEnd end = new RunnerEnd(request, runner, startedMillis, endedMillis, false, true);
       if (quarantine.ended(end, now)) {
-        runnerEnds.ended(end, now);
+        terminations.ended(end, now);
       }
     }
 
     /** A request of this host's has a good answer. */
-    void succeeded(long request) {
+    void requestSucceeded(long request) {
       if (quarantine.cleared(request, now)) {
-        runnerEnds.cleared(request, now, now);
+        terminations.cleared(request, now, now);
       }
     }
 
-    boolean holdsBack(long request) {
+    boolean isQuarantined(long request) {
       return quarantine.hold(request, now).isPresent();
     }
 
-    private void word(String from, HostState state) {
-      records.told(from, state);
+    private void reportReceived(String from, HostState state) {
+      records.stateReceived(from, state);
     }
   }
 
-  PeerWorld(long seed, int count, int domains) {
-    this(seed, count, domains, Numbers::new);
+  PeerSimulation(long seed, int count, int domains) {
+    this(seed, count, domains, RevisionsOnly::new);
   }
 
   /**
@@ -208,7 +208,7 @@
    *
    * @param recordsOf makes what each process knows of the store's records
    */
-  PeerWorld(long seed, int count, int domains, Function<Host, Records> recordsOf) {
+  PeerSimulation(long seed, int count, int domains, Function<Host, Records> recordsOf) {
     this.recordsOf = recordsOf;
     this.size = count;
     this.random = new Random(seed);
@@ -307,17 +307,17 @@
     return hosts.get(from) != null && hosts.get(to) != null && !cut.test(from, to);
   }
 
-  void pass(long millis) {
+  void advance(long millis) {
     for (long end = now + millis; now < end; now += TICK_MILLIS) {
-      while (!late.isEmpty() && late.peek().atMillis <= now) {
-        deliver(late.poll());
+      while (!inTransit.isEmpty() && inTransit.peek().atMillis <= now) {
+        deliver(inTransit.poll());
       }
       for (Host host : running()) {
         if (isFrozen(host.number)) {
           continue;
         }
         host.heartbeats.tick(now);
-        host.runnerEnds.tick(now);
+        host.terminations.tick(now);
         host.members.forget(now);
         host.allowances.upkeep(now);
         host.records.tick(now);
@@ -330,31 +330,31 @@
     int to = Integer.parseInt(ip.substring("ip-".length()));
     boolean lost = cut.test(from, to) || random.nextInt(lossOneIn) == 0;
     if (to < hosts.size() && !lost) {
-      late.add(new Late(now + 1 + random.nextInt(MAX_DELAY_MILLIS), number++, from, to, datagram));
+      inTransit.add(new Delivery(now + 1 + random.nextInt(MAX_DELAY_MILLIS), deliveries++, from, to, datagram));
     }
   }
 
-  private void deliver(Late arrived) {
+  private void deliver(Delivery arrived) {
     Host to = hosts.get(arrived.to);
     if (to == null) {
       return;
     }
     if (isFrozen(arrived.to)) {
       long until = frozenUntil.getOrDefault(arrived.to, now);
-      late.add(new Late(until, number++, arrived.from, arrived.to, arrived.datagram));
+      inTransit.add(new Delivery(until, deliveries++, arrived.from, arrived.to, arrived.datagram));
       return;
     }
     try {
       PeerDatagram datagram = PeerDatagram.parseFrom(arrived.datagram);
       String ip = "ip-" + arrived.from;
-      to.records.heard(datagram.getHost());
+      to.records.datagramReceived(datagram.getHost());
       if (datagram.hasDigest()) {
         to.heartbeats.receivedDigest(ip, datagram, now);
       } else if (datagram.hasEnds()) {
-        to.runnerEnds.received(datagram.getHost(), ip, datagram.getEnds(), now);
+        to.terminations.received(datagram.getHost(), ip, datagram.getEnds(), now);
       } else {
         to.heartbeats.received(ip, datagram, now);
-        to.runnerEnds.stateReceived(datagram.getHost(), datagram.getIncarnation(), ip, now);
+        to.terminations.stateReceived(datagram.getHost(), datagram.getIncarnation(), ip, now);
       }
     } catch (InvalidProtocolBufferException e) {
       throw new AssertionError(e);
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/RecordWorld.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/RecordSimulation.java
@@ -29,7 +29,7 @@
  * A fleet that follows a store, in virtual time: the real follower, registry and exchange of each
  * host over a store and a network that fail.
  */
-final class RecordWorld {
+final class RecordSimulation {
 
   static final int TICK_MILLIS = 10;
 
@@ -38,36 +38,36 @@
 
   static final long DRAIN_MILLIS = 2_000;
 
-  /** When {@link PeerWorld} begins. */
+  /** When {@link PeerSimulation} begins. */
   private static final long START_MILLIS = 1_000_000;
 
   private static final int MAX_DELAY_MILLIS = 4;
   private static final long RUNNER_HEARTBEAT_MILLIS = 1_200;
   private static final int RUNNERS = 4;
 
-  final PeerWorld peers;
+  final PeerSimulation peers;
   final VirtualStore store;
   private final Random random;
   private final Map<Integer, HostRecords> records = new HashMap<>();
   private final Map<Integer, Integer> starts = new HashMap<>();
   private BiPredicate<Integer, Integer> silent = (from, to) -> false;
-  private final PriorityQueue<Late> late = new PriorityQueue<>();
-  private long number;
+  private final PriorityQueue<Delivery> inTransit = new PriorityQueue<>();
+  private long deliveries;
   private long sequence;
   private long heartbeatMillis;
   private long version;
 
-  private record Late(long atMillis, long number, Runnable work) implements Comparable<Late> {
+  private record Delivery(long atMillis, long number, Runnable work) implements Comparable<Delivery> {
     @Override
-    public int compareTo(Late other) {
+    public int compareTo(Delivery other) {
       int byTime = Long.compare(atMillis, other.atMillis);
       return byTime != 0 ? byTime : Long.compare(number, other.number);
     }
   }
 
   /** The records of one process. */
-  final class HostRecords implements PeerWorld.Records {
-    final PeerWorld.Host host;
+  final class HostRecords implements PeerSimulation.Records {
+    final PeerSimulation.Host host;
     final RunnerRegistry runners = new RunnerRegistry();
     final StoreRegistry registry;
     final List<Long> versions = new ArrayList<>();
@@ -75,7 +75,7 @@
     private final List<Runnable> decisions = new ArrayList<>();
     private boolean ended;
 
-    HostRecords(PeerWorld.Host host) {
+    HostRecords(PeerSimulation.Host host) {
       this.host = host;
       long startedMillis = peers == null ? START_MILLIS : now();
       EventLog log = new EventLog("test", "host-" + host.number);
@@ -91,7 +91,7 @@
           new RecordSync(
               BOUND_MILLIS,
               startedMillis,
-              host.shape,
+              host.topology,
               host.members,
               registry,
               follower(reader, StoredKeys.OPERATOR_PREFIX, WatchTiming.within(BOUND_MILLIS, 0)),
@@ -110,7 +110,7 @@
 
     private StoreFollower follower(StoreReader reader, String prefix, WatchTiming timing) {
       return new StoreFollower(
-          reader, prefix, timing, registry, this::decide, RecordWorld.this::now);
+          reader, prefix, timing, registry, this::decide, RecordSimulation.this::now);
     }
 
     /** A frozen process decides when it wakes up. */
@@ -138,12 +138,12 @@
     }
 
     @Override
-    public void told(String from, HostState state) {
+    public void stateReceived(String from, HostState state) {
       sync.stateReceived(from, state, peers.now());
     }
 
     @Override
-    public void heard(String from) {
+    public void datagramReceived(String from) {
       sync.datagramReceived(from, peers.now());
     }
 
@@ -159,12 +159,12 @@
     }
   }
 
-  RecordWorld(long seed, int hosts, int domains) {
+  RecordSimulation(long seed, int hosts, int domains) {
     this.random = new Random(seed);
     this.store = new VirtualStore(seed, START_MILLIS);
     configure();
     runnerHeartbeats();
-    this.peers = new PeerWorld(seed, hosts, domains, HostRecords::new);
+    this.peers = new PeerSimulation(seed, hosts, domains, HostRecords::new);
   }
 
   long now() {
@@ -206,7 +206,7 @@
     silent = lost;
   }
 
-  void pass(long millis) {
+  void advance(long millis) {
     for (long end = now() + millis; now() < end; ) {
       step();
     }
@@ -217,10 +217,10 @@
       runnerHeartbeats();
     }
     store.advance(now());
-    while (!late.isEmpty() && late.peek().atMillis <= now()) {
-      late.poll().work.run();
+    while (!inTransit.isEmpty() && inTransit.peek().atMillis <= now()) {
+      inTransit.poll().work.run();
     }
-    peers.pass(TICK_MILLIS);
+    peers.advance(TICK_MILLIS);
   }
 
   private void runnerHeartbeats() {
@@ -236,7 +236,7 @@
   }
 
   /** A runner says that it leaves, another one starts; returns the id of the one that leaves. */
-  String runnerLeaves() {
+  String replaceRunner() {
     int runner = random.nextInt(RUNNERS);
     String id = runnerId(runner);
     store.runner(id, true, ++sequence);
@@ -263,7 +263,7 @@
 
   private void deliver(int from, int to, Runnable work) {
     if (peers.reaches(from, to) && !silent.test(from, to)) {
-      late.add(new Late(now() + 1 + random.nextInt(MAX_DELAY_MILLIS), number++, work));
+      inTransit.add(new Delivery(now() + 1 + random.nextInt(MAX_DELAY_MILLIS), deliveries++, work));
     }
   }
 }
