--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/AliveMarks.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/AliveMarks.java
@@ -12,22 +12,22 @@
 import org.sequoiahub.schema.peer.HostState;
 
 /**
- * Tells in a few bytes that hosts still live of which the receiver knows the rest.
+ * Compact liveness marks that a digest carries for hosts whose state the receiver already knows.
  *
- * <p>A whole word of a host takes a hundred bytes and as many steps to decode, and in a calm fleet
- * says nothing but that it lives. A mark stands for a process and for whether it takes requests or
- * leaves; one that the receiver does not know changes nothing there, so that a host whose word was
- * lost looks silent and never livelier than it is.
+ * <p>A full report of a host takes a hundred bytes and as many decoding steps, and in an idle fleet
+ * it says only that the host is alive. A mark identifies a process and whether it is ready or
+ * leaving. A receiver ignores marks that it does not know, so a host whose report was lost appears
+ * silent and never more alive than it is.
  *
- * <p>Marks go one way only: of a group's hosts from its delegates, who hear them directly, to other
- * delegates, and from these to hosts that pass nothing on. On a round way the age of a dead host
- * would shrink by the delay of each step, and it might never be missed.
+ * <p>Marks travel one way only: from a group's delegates, which receive its hosts directly, to
+ * other delegates, and from these to hosts that forward nothing. On a cycle, the age of a dead host
+ * would shrink by the delay of each hop, and its death might never be detected.
  */
 final class AliveMarks {
 
   /**
-   * Marks in a digest at most: those of a fleet of 77 in 0.3 s and of 300 in 1 s, in which hosts
-   * are suspected after 1.5 s and 6 s.
+   * Maximum number of marks in a digest: covers a fleet of 77 hosts in 0.3 s and one of 300 in 1 s,
+   * in which hosts are suspected after 1.5 s and 6 s.
    */
   private static final int MAX_MARKS = 48;
 
@@ -48,13 +48,13 @@
     this.members = members;
   }
 
-  /** Adds the marks of hosts to a digest; of many, others each time. */
-  void add(Digest.Builder digest, List<Member<HostState>> told, long nowMillis) {
-    boolean all = told.size() <= MAX_MARKS;
+  /** Adds the marks of the given hosts to a digest, in rotation if there are too many for one. */
+  void add(Digest.Builder digest, List<Member<HostState>> marked, long nowMillis) {
+    boolean all = marked.size() <= MAX_MARKS;
     int first = all ? 0 : nextMember;
-    int count = Math.min(MAX_MARKS, told.size());
+    int count = Math.min(MAX_MARKS, marked.size());
     for (int i = 0; i < count; i++) {
-      Member<HostState> member = told.get((first + i) % told.size());
+      Member<HostState> member = marked.get((first + i) % marked.size());
       HostState state = member.state();
       if (state != null) {
         digest.addAlive(markOf(member, state));
@@ -62,11 +62,11 @@
       }
     }
     if (!all) {
-      nextMember = (first + count) % told.size();
+      nextMember = (first + count) % marked.size();
     }
   }
 
-  /** Takes in the marks of a digest. */
+  /** Updates when the hosts marked in a digest were last seen. */
   void apply(Digest digest, long nowMillis) {
     int count = Math.min(digest.getAliveCount(), digest.getAliveAgesMsCount());
     for (int i = 0; i < count; i++) {
@@ -78,15 +78,15 @@
   }
 
   /**
-   * Returns when a host was heard of which another told the age. An age beyond what fits an integer
-   * is decoded as a negative one: taken as it is, a damaged or forged datagram would put the moment
-   * into the future and keep a dead host alive for weeks.
+   * Returns when a host was last seen, from the age that another host reports. An age above the
+   * largest integer decodes as a negative number. Used as is, a damaged or forged datagram would
+   * set the time in the future and keep a dead host alive for weeks.
    */
   static long lastSeenMillis(int ageMillis, long nowMillis) {
     return nowMillis - Integer.toUnsignedLong(ageMillis);
   }
 
-  /** Learns the marks of all hosts that are known by now, and forgets the others. */
+  /** Rebuilds the marks of all reachable hosts and drops the others. */
   void refresh(long nowMillis) {
     List<Member<HostState>> known = members.reachable(nowMillis);
     Set<String> names = known.stream().map(Member::host).collect(Collectors.toSet());
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/CallerAddresses.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/CallerAddresses.java
@@ -12,13 +12,13 @@
 import org.sequoiahub.schema.peer.HostState;
 import org.sequoiahub.usersplatform.HostSettings;
 
-/** The addresses that this host names to callers; decision thread only. */
+/** Selects the host addresses that this host advertises to callers. Decision thread only. */
 public final class CallerAddresses {
 
-  /** Addresses in an answer at most: callers take no more. */
+  /** Maximum number of addresses in an answer: callers accept no more. */
   private static final int MAX_ADDRESSES = 64;
 
-  /** Callers are sent to as many hosts as the busiest of so many seconds needs. */
+  /** Window whose busiest second determines to how many hosts callers are sent (s). */
   private static final int DEMAND_WINDOW_SECONDS = 10;
 
   private final HostSettings settings;
@@ -26,33 +26,34 @@
   private final FleetTopology topology;
   private final ArrivalRate arrivals = new ArrivalRate(DEMAND_WINDOW_SECONDS);
 
-  /** Creates the addresses of a host that has had no request yet. */
-  public CallerAddresses(HostSettings settings, Members<HostState> members, FleetTopology shape) {
+  /** Creates the addresses of a host that has received no request yet. */
+  public CallerAddresses(
+      HostSettings settings, Members<HostState> members, FleetTopology topology) {
     this.settings = requireNonNull(settings, "settings must not be null");
     this.members = requireNonNull(members, "members must not be null");
-    this.topology = requireNonNull(shape, "shape must not be null");
+    this.topology = requireNonNull(topology, "topology must not be null");
   }
 
-  /** Counts a request that a caller sent to this host. */
+  /** Counts a request received from a caller. */
   public void recordRequest(long nowMillis) {
     arrivals.arrived(nowMillis);
   }
 
-  /** Returns the requests that came to this host in the busiest of the last seconds. */
+  /** Returns the number of requests received in the busiest of the last seconds. */
   public int requestsPerSecond(long nowMillis) {
     return arrivals.perSecond(nowMillis);
   }
 
-  /** Returns where callers reach this host. */
+  /** Returns the {@code ip:port} at which callers reach this host. */
   public String ownAddress() {
     return settings.ip() + ":" + settings.callerPort();
   }
 
   /**
-   * Returns the addresses to name: of all hosts that take requests, in a large fleet of the
-   * strongest only.
+   * Returns the addresses to advertise: those of all hosts that accept requests, or, in a large
+   * fleet, of the strongest only.
    *
-   * @param serves whether this host takes requests
+   * @param serves whether this host accepts requests
    */
   public List<String> advertised(boolean serves, long nowMillis) {
     List<Candidate> present = new ArrayList<>();
@@ -60,7 +61,10 @@
     if (serves) {
       present.add(
           new Candidate(
-              settings.host(), ownAddress(), settings.failureDomain(), settings.processorPercent()));
+              settings.host(),
+              ownAddress(),
+              settings.failureDomain(),
+              settings.processorPercent()));
     }
     for (Member<HostState> member : members.alive(nowMillis)) {
       HostState state = member.state();
@@ -71,8 +75,8 @@
         }
       }
     }
-    List<Candidate> named = topology.isLarge() ? CallerHosts.named(present, demand) : present;
-    return named.stream().limit(MAX_ADDRESSES).map(Candidate::address).toList();
+    List<Candidate> advertised = topology.isLarge() ? CallerHosts.named(present, demand) : present;
+    return advertised.stream().limit(MAX_ADDRESSES).map(Candidate::address).toList();
   }
 
   private static Candidate candidate(String host, HostState state) {
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/DatagramPort.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/DatagramPort.java
@@ -19,7 +19,7 @@
 import org.sequoiahub.runtime.log.EventLog;
 import org.sequoiahub.schema.peer.PeerDatagram;
 
-/** Sends and receives datagrams of the other hosts. */
+/** UDP port for datagrams between hosts. */
 public final class DatagramPort implements AutoCloseable {
 
   /** Largest datagram (bytes): the most that UDP over IPv4 carries. */
@@ -36,7 +36,7 @@
   /**
    * Opens the port.
    *
-   * @param receiver receives the sender's IP number and the datagram, on the network thread
+   * @param receiver receives the sender's IP address and the datagram, on the network thread
    * @throws IOException if the port cannot be opened
    */
   public static DatagramPort open(
@@ -57,12 +57,13 @@
             .bind(new InetSocketAddress(ip, port))
             .awaitUninterruptibly();
     if (!bound.isSuccess()) {
-      throw new IOException(ip + ":" + port + " udp: " + bound.cause(), bound.cause());
+      throw new IOException(
+          "cannot bind UDP port " + ip + ":" + port + ": " + bound.cause(), bound.cause());
     }
     return new DatagramPort(bound.channel(), port);
   }
 
-  /** Sends a datagram to another host; it may be lost on the way. */
+  /** Sends a datagram to another host; delivery is not guaranteed. */
   public void send(String ip, byte[] datagram) {
     channel.writeAndFlush(
         new DatagramPacket(Unpooled.wrappedBuffer(datagram), new InetSocketAddress(ip, port)),
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/DemandSender.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/DemandSender.java
@@ -16,14 +16,14 @@
 import org.sequoiahub.schema.peer.PeerDatagram;
 
 /**
- * Tells the hosts that order runners what this host's requests wait for there; runs on the decision
- * thread.
+ * Reports to the holders of runners which adapters this host's requests are waiting for there. Runs
+ * on the decision thread.
  */
 public final class DemandSender {
 
   /**
-   * Demands that have not changed are told again this often (ms): a datagram may be lost. A new one
-   * is told at once, so this bounds what a loss costs to half of a load.
+   * Interval at which unchanged demands are repeated (ms), since a datagram may be lost. A new
+   * demand is sent at once, so this limits the cost of a loss to half the time of a load.
    */
   private static final long REPEAT_MILLIS = 120;
 
@@ -39,8 +39,8 @@
    * Creates a sender.
    *
    * @param self this host's name
-   * @param datagrams begins a datagram of this host
-   * @param sender sends bytes to an IP number
+   * @param datagrams creates datagrams of this host, without a body
+   * @param sender sends bytes to an IP address
    */
   public DemandSender(
       String self,
@@ -55,18 +55,20 @@
     this.sender = sender;
   }
 
-  /** Tells what requests wait for, by runner, if it is time to. */
+  /** Sends the demands of waiting requests, by runner, if any is new or a repetition is due. */
   public void report(Map<String, List<Demand>> demands, long nowMillis) {
     Map<String, Set<String>> targets = new HashMap<>();
     demands.forEach(
         (runner, list) ->
             targets.put(runner, list.stream().map(Demand::target).collect(Collectors.toSet())));
-    // A new demand is told at once: a load takes 250 ms, and the period is half of that.
+    // A new demand is sent at once: a load takes 250 ms, and the period is half of that.
     boolean anyNew =
         targets.entrySet().stream()
             .anyMatch(
                 entry ->
-                    !lastTargets.getOrDefault(entry.getKey(), Set.of()).containsAll(entry.getValue()));
+                    !lastTargets
+                        .getOrDefault(entry.getKey(), Set.of())
+                        .containsAll(entry.getValue()));
     if (!anyNew && nowMillis - lastSentMillis < REPEAT_MILLIS) {
       return;
     }
@@ -88,7 +90,7 @@
             });
   }
 
-  /** Tells that a runner refused a request for an adapter that it should have. */
+  /** Reports that a runner refused a request for an adapter that it is expected to hold. */
   public void reportRefusal(String runner, String target) {
     AdapterDemand demand =
         AdapterDemand.newBuilder().setRunner(runner).setAdapter(target).setRefused(true).build();
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/DigestBuilder.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/DigestBuilder.java
@@ -16,25 +16,28 @@
 import org.sequoiahub.schema.peer.HostWord;
 
 /**
- * Builds the digests of one direction: what has changed goes out at once, the rest in turn, so that
- * a lost datagram is made up for and the size does not grow with the fleet.
+ * Builds the digests for one kind of receiver. Changes are included at once and unchanged entries
+ * in rotation, so that a lost datagram is made up for and the size does not grow with the fleet.
  */
 final class DigestBuilder {
 
-  /** A holding that was told longer ago than this is not passed on (ms): its holder is silent. */
+  /** Maximum age of a forwarded holding (ms): the holder of an older one is silent. */
   private static final long MAX_HOLDING_AGE_MILLIS = 2_500;
 
   private final int repeatedReports;
   private final int repeatedHoldings;
 
-  /** A changed word is told so many times: one digest may be lost, and the next turn is far. */
+  /**
+   * Number of consecutive digests that include a changed report: one digest may be lost, and the
+   * next rotation is far away.
+   */
   private static final int SENDS_PER_CHANGE = 3;
 
   private final Map<String, SentReport> sentReports = new HashMap<>();
   private final Map<String, Set<String>> sentHoldings = new HashMap<>();
   private int nextReport;
 
-  /** What was told of a host, and how many times. */
+  /** The change key of the report last sent for a host, and how many times it was sent. */
   private record SentReport(String changeKey, int times) {}
 
   private int nextHolding;
@@ -42,15 +45,15 @@
   /**
    * Creates a builder.
    *
-   * @param wordsInTurn hosts that are told of in each digest although nothing changed
-   * @param holdingsInTurn runners that are told of in each digest although nothing changed
+   * @param repeatedReports number of unchanged host reports in each digest
+   * @param repeatedHoldings number of unchanged runner holdings in each digest
    */
-  DigestBuilder(int wordsInTurn, int holdingsInTurn) {
-    this.repeatedReports = wordsInTurn;
-    this.repeatedHoldings = holdingsInTurn;
+  DigestBuilder(int repeatedReports, int repeatedHoldings) {
+    this.repeatedReports = repeatedReports;
+    this.repeatedHoldings = repeatedHoldings;
   }
 
-  /** Adds what the hosts said last. */
+  /** Adds the latest reports of hosts: all that changed, and some of the others in rotation. */
   void addReports(Digest.Builder digest, List<Member<HostState>> members, long nowMillis) {
     List<Member<HostState>> rest = new ArrayList<>();
     for (Member<HostState> member : members) {
@@ -63,16 +66,16 @@
     addRepeatedReports(digest, rest, nowMillis);
   }
 
-  /** Returns whether a host's word has been told often enough; counts it as told once more. */
+  /** Returns whether a host's report was already sent often enough, and counts one more sending. */
   private boolean wasSentOftenEnough(Member<HostState> member) {
-    String brief = changeKey(member);
+    String key = changeKey(member);
     SentReport last = sentReports.get(member.host());
-    int times = last != null && last.changeKey.equals(brief) ? last.times : 0;
-    sentReports.put(member.host(), new SentReport(brief, Math.min(SENDS_PER_CHANGE, times + 1)));
+    int times = last != null && last.changeKey.equals(key) ? last.times : 0;
+    sentReports.put(member.host(), new SentReport(key, Math.min(SENDS_PER_CHANGE, times + 1)));
     return times >= SENDS_PER_CHANGE;
   }
 
-  /** Adds what some of the hosts said last, others each time. */
+  /** Adds the latest reports of some hosts, in rotation. */
   void addRepeatedReports(Digest.Builder digest, List<Member<HostState>> members, long nowMillis) {
     int count = Math.min(repeatedReports, members.size());
     for (int i = 0; i < count; i++) {
@@ -80,7 +83,7 @@
     }
   }
 
-  /** Adds what the runners hold whose holder is accepted. */
+  /** Adds the holdings of the runners whose holder matches the predicate. */
   void addHoldings(
       Digest.Builder digest, Holdings holdings, Predicate<String> holder, long nowMillis) {
     List<String> rest = new ArrayList<>();
@@ -92,8 +95,8 @@
                   || nowMillis - holding.toldMillis() > MAX_HOLDING_AGE_MILLIS) {
                 return;
               }
-              Set<String> brief = changeKey(holding, nowMillis);
-              if (brief.equals(sentHoldings.put(runner, brief))) {
+              Set<String> key = changeKey(holding, nowMillis);
+              if (key.equals(sentHoldings.put(runner, key))) {
                 rest.add(runner);
               } else {
                 addHolding(digest, runner, holding, nowMillis);
@@ -107,10 +110,10 @@
   }
 
   /**
-   * Adds what is in flight.
+   * Adds the requests and tokens in flight at each runner.
    *
-   * @param withAdapters the runners of which it is told which adapters are used: only their holders
-   *     need it
+   * @param withAdapters selects the runners for which the adapters in use are included: only the
+   *     holders of these runners need them
    */
   static void addLoads(
       Digest.Builder digest, Map<String, FleetLoad.Use> sums, Predicate<String> withAdapters) {
@@ -125,7 +128,7 @@
     if (state == null) {
       return;
     }
-    HostState brief =
+    HostState summary =
         state.toBuilder().clearLoads().clearHoldings().clearGossip().clearSpending().build();
     digest.addWords(
         HostWord.newBuilder()
@@ -133,7 +136,7 @@
             .setIncarnation(member.incarnation())
             .setNumber(member.number())
             .setAgeMs((int) Math.max(0, nowMillis - member.heardMillis()))
-            .setState(brief));
+            .setState(summary));
   }
 
   private static void addHolding(
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/DigestExchange.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/DigestExchange.java
@@ -20,47 +20,59 @@
 import org.sequoiahub.usersplatform.HostSettings;
 
 /**
- * What delegates of a large fleet pass on: to the delegates of the other groups what their own
- * group does, and to the hosts of their group what the whole fleet does. Runs on the decision
- * thread.
+ * Exchanges digests in a large fleet, where delegates represent their groups: they send the state
+ * of their own group to the delegates of the other groups, and the state of the whole fleet to the
+ * hosts of their own group. Runs on the decision thread.
  */
 public final class DigestExchange {
 
   /**
-   * Digests are sent this often (ms) by the first delegate of a group. News takes a host's word and
-   * two digests, 0.2 s on average; a host receives nine a second from both delegates.
+   * Interval between the digests of a group's first delegate (ms). A change propagates by a host's
+   * state and two digests, in 0.2 s on average; a host receives nine digests a second from both
+   * delegates.
    */
   private static final long FIRST_DELEGATE_PERIOD_MILLIS = 150;
 
   /**
-   * A delegate that is not the first of its group sends its digests this often (ms): the same news
-   * comes from the first one, and a host's cost is for the most part in what it receives.
+   * Interval between the digests of a group's other delegates (ms). The first delegate sends the
+   * same changes, and most of a host's cost lies in what it receives.
    */
   private static final long OTHER_DELEGATE_PERIOD_MILLIS = 450;
 
-  /** Far digests are sent less often if there are many groups (ms for each delegate to tell). */
+  /**
+   * Lower bound of the interval between digests to other groups, for each delegate addressed (ms):
+   * with many groups they are sent less often.
+   */
   private static final long INTER_GROUP_MILLIS_PER_DELEGATE = 10;
 
   /**
-   * Words of hosts of which nothing is new, for those who missed them: of a group of 16 hosts in
-   * 1.2 s, of a fleet of 66 in 2.5 s.
+   * Unchanged host reports in each digest to another group, for receivers that missed them: covers
+   * a group of 16 hosts in 1.2 s. With {@link #INTRA_GROUP_REPORTS}, a fleet of 66 takes 2.5 s.
    */
   private static final int INTER_GROUP_REPORTS = 2;
 
+  /** Unchanged host reports in each digest to the own group. */
   private static final int INTRA_GROUP_REPORTS = 4;
 
-  /** Words of any group's hosts to the other groups' delegates: these may never have met. */
+  /**
+   * Reports of hosts of any group in each digest to another group's delegates: two delegates may
+   * not know each other yet.
+   */
   private static final int GOSSIP_REPORTS = 2;
 
-  /** The holdings of a group of 11 runners in 0.6 s, of a fleet of 42 in 1.6 s. */
+  /**
+   * Unchanged holdings in each digest to another group: covers a group of 11 runners in 0.6 s. With
+   * {@link #INTRA_GROUP_HOLDINGS}, a fleet of 42 takes 1.6 s.
+   */
   private static final int INTER_GROUP_HOLDINGS = 3;
 
+  /** Unchanged holdings in each digest to the own group. */
   private static final int INTRA_GROUP_HOLDINGS = 4;
 
-  /** Words in the answer to a host that does not know its delegates; 100 bytes each. */
+  /** Maximum number of reports, of 100 bytes each, sent to a host that lacks its delegates. */
   private static final int MAX_MEMBERSHIP_REPORTS = 500;
 
-  /** One host is answered so at most this often (ms), while its view of the fleet differs. */
+  /** Minimum interval between such answers to one host while its view of the fleet differs (ms). */
   private static final long MEMBERSHIP_PERIOD_MILLIS = 800;
 
   private static final String GROUP_SOURCE_PREFIX = "group ";
@@ -77,9 +89,11 @@
   private final BiConsumer<String, HostState> reportListener;
   private final Random random;
   private final AliveMarks marks;
-  private final DigestBuilder interGroup = new DigestBuilder(INTER_GROUP_REPORTS, INTER_GROUP_HOLDINGS);
+  private final DigestBuilder interGroup =
+      new DigestBuilder(INTER_GROUP_REPORTS, INTER_GROUP_HOLDINGS);
   private final DigestBuilder gossip = new DigestBuilder(GOSSIP_REPORTS, 0);
-  private final DigestBuilder intraGroup = new DigestBuilder(INTRA_GROUP_REPORTS, INTRA_GROUP_HOLDINGS);
+  private final DigestBuilder intraGroup =
+      new DigestBuilder(INTRA_GROUP_REPORTS, INTRA_GROUP_HOLDINGS);
   private final Map<String, Long> membershipSentMillis = new HashMap<>();
   private long interGroupDueMillis = Long.MIN_VALUE;
   private long intraGroupDueMillis = Long.MIN_VALUE;
@@ -87,33 +101,33 @@
   /**
    * Creates an exchange.
    *
-   * @param datagrams begins a datagram of this host
-   * @param ownWord what this host says of itself
-   * @param sender sends bytes to an IP number
-   * @param wordListener receives each host's newest word
+   * @param datagrams creates datagrams of this host, without a body
+   * @param ownReport creates this host's report of itself
+   * @param sender sends bytes to an IP address
+   * @param reportListener receives each host's latest report
    */
   public DigestExchange(
       HostSettings settings,
-      FleetTopology shape,
+      FleetTopology topology,
       Members<HostState> members,
       FleetLoad loads,
       Holdings holdings,
       FleetSpending spending,
       Supplier<PeerDatagram.Builder> datagrams,
-      Supplier<HostWord> ownWord,
+      Supplier<HostWord> ownReport,
       BiConsumer<String, byte[]> sender,
-      BiConsumer<String, HostState> wordListener,
+      BiConsumer<String, HostState> reportListener,
       Random random) {
     this.settings = settings;
-    this.topology = shape;
+    this.topology = topology;
     this.members = members;
     this.loads = loads;
     this.holdings = holdings;
     this.spending = spending;
     this.datagrams = datagrams;
-    this.ownReport = ownWord;
+    this.ownReport = ownReport;
     this.sender = sender;
-    this.reportListener = wordListener;
+    this.reportListener = reportListener;
     this.random = random;
     this.marks = new AliveMarks(members);
   }
@@ -123,11 +137,13 @@
     if (!topology.isLarge() || !topology.isDelegate()) {
       return;
     }
-    long period = topology.isFirstDelegate() ? FIRST_DELEGATE_PERIOD_MILLIS : OTHER_DELEGATE_PERIOD_MILLIS;
+    long period =
+        topology.isFirstDelegate() ? FIRST_DELEGATE_PERIOD_MILLIS : OTHER_DELEGATE_PERIOD_MILLIS;
     if (nowMillis >= interGroupDueMillis) {
       List<Member<HostState>> delegates = topology.otherGroupDelegates();
       delegates.addAll(topology.sampleSilentGroups(random, nowMillis));
-      interGroupDueMillis = nowMillis + Math.max(period, delegates.size() * INTER_GROUP_MILLIS_PER_DELEGATE);
+      interGroupDueMillis =
+          nowMillis + Math.max(period, delegates.size() * INTER_GROUP_MILLIS_PER_DELEGATE);
       sendInterGroup(delegates, nowMillis);
     }
     if (nowMillis >= intraGroupDueMillis) {
@@ -148,13 +164,14 @@
     Map<String, FleetLoad.Use> sums = loads.sums(topology::isInOwnGroup, nowMillis);
     if (!spending.isUnused()) {
       digest.setSpending(
-          StateCodec.encodeSpending(spending.sums(topology::isInOwnGroup, topology.groupSize(), nowMillis)));
+          StateCodec.encodeSpending(
+              spending.sums(topology::isInOwnGroup, topology.groupSize(), nowMillis)));
     }
     Digest common = digest.build();
     for (Member<HostState> delegate : delegates) {
-      Digest.Builder own = common.toBuilder();
-      DigestBuilder.addLoads(own, sums, runner -> holds(delegate.host(), runner));
-      send(delegate.ip(), own);
+      Digest.Builder builder = common.toBuilder();
+      DigestBuilder.addLoads(builder, sums, runner -> holds(delegate.host(), runner));
+      send(delegate.ip(), builder);
     }
   }
 
@@ -181,7 +198,7 @@
     sender.accept(ip, datagrams.get().setDigest(digest).build().toByteArray());
   }
 
-  /** Tells a host that does not know its delegates who else there is. */
+  /** Sends the known members to a host that does not know its delegates. */
   public void sendMembership(String ip, long nowMillis) {
     membershipSentMillis.values().removeIf(at -> nowMillis - at >= MEMBERSHIP_PERIOD_MILLIS);
     if (membershipSentMillis.putIfAbsent(ip, nowMillis) != null) {
@@ -195,32 +212,32 @@
   }
 
   /**
-   * Takes in a digest that came from an IP number.
+   * Applies a digest received from an IP address.
    *
-   * @param teller the host that tells, and which of its processes
+   * @param reporter id of the sending process, as {@link #reporterId} returns it
    */
-  public void received(String ip, String teller, Digest digest, long nowMillis) {
+  public void received(String ip, String reporter, Digest digest, long nowMillis) {
     if (!digest.getGroup().isEmpty() && !topology.isDelegate()) {
       sendMembership(ip, nowMillis);
     }
-    for (HostWord word : digest.getWordsList()) {
-      HostState state = word.getState();
-      boolean news =
+    for (HostWord report : digest.getWordsList()) {
+      HostState state = report.getState();
+      boolean changed =
           members.heardOf(
-              word.getHost(),
+              report.getHost(),
               state.getIp(),
-              word.getIncarnation(),
-              word.getNumber(),
+              report.getIncarnation(),
+              report.getNumber(),
               state.getLeaving(),
               state,
-              AliveMarks.lastSeenMillis(word.getAgeMs(), nowMillis),
+              AliveMarks.lastSeenMillis(report.getAgeMs(), nowMillis),
               nowMillis);
-      if (news) {
-        reportListener.accept(word.getHost(), state);
+      if (changed) {
+        reportListener.accept(report.getHost(), state);
       }
     }
-    boolean ofOneGroup = !digest.getGroup().isEmpty();
-    if (ofOneGroup == topology.isDelegate()) {
+    boolean fromGroup = !digest.getGroup().isEmpty();
+    if (fromGroup == topology.isDelegate()) {
       marks.apply(digest, nowMillis);
     }
     for (HeldBy held : digest.getHoldingsList()) {
@@ -234,7 +251,7 @@
       applyLoads(digest, nowMillis);
     }
     if (digest.hasSpending()) {
-      applySpending(teller, digest, nowMillis);
+      applySpending(reporter, digest, nowMillis);
     }
   }
 
@@ -248,33 +265,36 @@
     }
   }
 
-  private void applySpending(String teller, Digest digest, long nowMillis) {
+  private void applySpending(String reporter, Digest digest, long nowMillis) {
     boolean whole = digest.getGroup().isEmpty();
     String source = whole ? FleetSpending.WHOLE : GROUP_SOURCE_PREFIX + digest.getGroup();
     if (whole ? !topology.isDelegate() : isRelevantSource(source)) {
-      ToldSpending told = StateCodec.decodeSpending(digest.getSpending());
-      spending.told(source, teller, told, nowMillis);
+      ToldSpending reported = StateCodec.decodeSpending(digest.getSpending());
+      spending.told(source, reporter, reported, nowMillis);
     }
   }
 
   /**
-   * Takes in what a host says that it spent itself; in a large fleet it counts so at the delegates
-   * of its group only, as these tell the others.
+   * Applies a host's own spending. In a large fleet only the delegates of its group do so, as they
+   * report the group's sum to the others.
    */
   void applySpending(String host, long incarnation, HostState state, long nowMillis) {
     if (state.hasSpending() && isRelevantSource(host)) {
-      ToldSpending told = StateCodec.decodeSpending(state.getSpending());
-      spending.told(host, reporterId(host, incarnation), told, nowMillis);
+      ToldSpending reported = StateCodec.decodeSpending(state.getSpending());
+      spending.told(host, reporterId(host, incarnation), reported, nowMillis);
     }
   }
 
-  /** Forgets what other sources tell of by now. */
+  /** Drops outdated sources of spending and rebuilds the liveness marks. */
   void refresh(long nowMillis) {
     spending.upkeep(this::isRelevantSource, nowMillis);
     marks.refresh(nowMillis);
   }
 
-  /** What delegates tell of the whole fleet stays for a while, as what was spent before. */
+  /**
+   * Returns whether a source reports spending of hosts that no other source covers. The delegates'
+   * sum of the whole fleet always counts, as it stands for what was spent before.
+   */
   private boolean isRelevantSource(String source) {
     if (source.equals(FleetSpending.WHOLE)) {
       return true;
@@ -287,6 +307,7 @@
         && (source.startsWith(GROUP_SOURCE_PREFIX) || topology.isInOwnGroup(source));
   }
 
+  /** Returns an id that distinguishes the processes of a host. */
   static String reporterId(String host, long incarnation) {
     return host + " " + incarnation;
   }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/FleetTopology.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/FleetTopology.java
@@ -15,12 +15,15 @@
 import org.sequoiahub.schema.peer.HostState;
 import org.sequoiahub.usersplatform.HostSettings;
 
-/** Which hosts this host speaks to, by the size of the fleet; decision thread only. */
+/**
+ * Determines which hosts this host communicates with. In a small fleet these are all hosts; in a
+ * large one the hosts form groups that delegates represent. Decision thread only.
+ */
 public final class FleetTopology {
 
   /**
-   * The choice is made anew this often (ms): a host is suspected only after a second, and to rank
-   * all hosts is dear.
+   * Interval at which the delegates are chosen again (ms): a host is suspected only after a second,
+   * and ranking all hosts is expensive.
    */
   private static final long REFRESH_MILLIS = 400;
 
@@ -32,13 +35,13 @@
   private Set<String> targetDelegates = Set.of();
   private Map<String, String> groups = Map.of();
 
-  /** Creates the shape of a fleet of which nothing is known yet. */
+  /** Creates the topology of a fleet of which nothing is known yet. */
   public FleetTopology(HostSettings settings, Members<HostState> members) {
     this.settings = requireNonNull(settings, "settings must not be null");
     this.members = requireNonNull(members, "members must not be null");
   }
 
-  /** Looks at the members again if it is time to; returns whether it was. */
+  /** Chooses the delegates from the current members if that is due, and returns whether it was. */
   public boolean refresh(long nowMillis) {
     if (nowMillis - refreshedMillis < REFRESH_MILLIS) {
       return false;
@@ -64,19 +67,20 @@
       }
     }
     groups = Delegates.groups(domains);
-    Map<String, String> sound = new HashMap<>(groups);
-    sound
+    Map<String, String> healthy = new HashMap<>(groups);
+    healthy
         .keySet()
         .removeIf(host -> !host.equals(settings.host()) && !members.isSound(host, nowMillis));
-    delegates = Delegates.of(sound, host -> strengths.getOrDefault(host, 0));
-    // Two groups that take each other for dead, as after a cut between them, would never speak
-    // again if each told living delegates only; so those that would be delegates are told too.
+    delegates = Delegates.of(healthy, host -> strengths.getOrDefault(host, 0));
+    // After a network partition, two groups that consider each other dead would never communicate
+    // again if each addressed live delegates only. Hosts that would be delegates if they were alive
+    // are therefore addressed too.
     targetDelegates = Delegates.of(groups, host -> strengths.getOrDefault(host, 0));
     targetDelegates.addAll(delegates);
     return true;
   }
 
-  /** Returns whether the fleet is so large that delegates speak for the others. */
+  /** Returns whether the fleet is so large that delegates represent the other hosts. */
   public boolean isLarge() {
     return large;
   }
@@ -92,12 +96,14 @@
   }
 
   /**
-   * Returns whether this host is the one of its group's delegates that tells the others most. The
-   * rest tell them less often: they are there for the time until a dead one is suspected.
+   * Returns whether this host is the delegate of its group that sends digests most often. The
+   * others send fewer and bridge the time until a dead delegate is suspected.
    */
   public boolean isFirstDelegate() {
     return isDelegate()
-        && delegates.stream().filter(this::isInOwnGroup).allMatch(d -> settings.host().compareTo(d) <= 0);
+        && delegates.stream()
+            .filter(this::isInOwnGroup)
+            .allMatch(d -> settings.host().compareTo(d) <= 0);
   }
 
   /** Returns the name of this host's group. */
@@ -121,20 +127,20 @@
     return delegates.contains(host) && isInOwnGroup(host);
   }
 
-  /** Returns the other hosts to tell as delegates of this host's group. */
+  /** Returns the other hosts to address as delegates of this host's group. */
   public List<Member<HostState>> ownGroupDelegates() {
     return targets(true);
   }
 
-  /** Returns the hosts to tell as delegates of the other groups. */
+  /** Returns the hosts to address as delegates of the other groups. */
   public List<Member<HostState>> otherGroupDelegates() {
     return targets(false);
   }
 
-  private List<Member<HostState>> targets(boolean near) {
+  private List<Member<HostState>> targets(boolean ownGroup) {
     List<Member<HostState>> chosen = new ArrayList<>();
     for (String host : targetDelegates) {
-      if (!host.equals(settings.host()) && isInOwnGroup(host) == near) {
+      if (!host.equals(settings.host()) && isInOwnGroup(host) == ownGroup) {
         members.find(host).ifPresent(chosen::add);
       }
     }
@@ -142,32 +148,33 @@
   }
 
   /**
-   * Returns one host, drawn anew each time, of each other group of which no host is known to live.
+   * Returns one host, drawn at random on each call, of each other group without a live host.
    *
-   * <p>Both delegates of each group may die at once. Their successors then know nobody who lives in
-   * another group but, for a while, who did; told, such a host answers with all that it knows.
+   * <p>Both delegates of each group may die at once. Their successors then know no live host of
+   * another group, but for a while they remember its former members. Such a host, when addressed,
+   * answers with all members that it knows.
    */
   public List<Member<HostState>> sampleSilentGroups(Random random, long nowMillis) {
     Map<String, List<Member<HostState>>> silent = new HashMap<>();
-    Set<String> living = new HashSet<>();
+    Set<String> live = new HashSet<>();
     for (Member<HostState> member : members.reachable(nowMillis)) {
       String group = groups.getOrDefault(member.host(), group());
       if (members.isSound(member.host(), nowMillis)) {
-        living.add(group);
+        live.add(group);
       }
       silent.computeIfAbsent(group, g -> new ArrayList<>()).add(member);
     }
     List<Member<HostState>> drawn = new ArrayList<>();
     silent.forEach(
         (group, hosts) -> {
-          if (!living.contains(group) && !group.equals(group())) {
+          if (!live.contains(group) && !group.equals(group())) {
             drawn.add(hosts.get(random.nextInt(hosts.size())));
           }
         });
     return drawn;
   }
 
-  /** Returns the other hosts of this host's group that are not told as delegates. */
+  /** Returns the other hosts of this host's group that are not addressed as delegates. */
   public List<Member<HostState>> ownGroupNonDelegates(long nowMillis) {
     List<Member<HostState>> others = new ArrayList<>();
     for (Member<HostState> member : members.reachable(nowMillis)) {
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/PeerHeartbeats.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/PeerHeartbeats.java
@@ -17,36 +17,38 @@
 import org.sequoiahub.schema.peer.PeerDatagram;
 import org.sequoiahub.usersplatform.HostSettings;
 
-/** Tells the other hosts this host's state and keeps theirs; runs on the decision thread. */
+/** Sends this host's state to the other hosts and applies theirs. Runs on the decision thread. */
 public final class PeerHeartbeats {
 
-  /** Changes within this time go out together (ms): it bounds datagrams under load. */
+  /** Changes within this time are sent together (ms), which bounds the datagrams under load. */
   private static final long MIN_PERIOD_MILLIS = 40;
 
   /**
-   * What the runners hold is told on a change and at least this often (ms): it is the larger part
-   * of a state, and bytes between failure domains are dear.
+   * Maximum interval between states with the runners' holdings (ms). They are otherwise sent on a
+   * change only: they make up most of a state, and traffic between failure domains is expensive.
    */
   private static final long HOLDINGS_PERIOD_MILLIS = 800;
 
   /**
-   * States sent a second at most when things change: a host's cost must not grow with the fleet, so
-   * in a larger one changes are told less often.
+   * Maximum number of states sent per second on changes. A host's cost must not grow with the
+   * fleet, so changes are sent less often in a larger one.
    */
   private static final int STATES_PER_SECOND = 400;
 
   /**
-   * In a large fleet a host tells its delegates of changes this often at most (ms), and that it
-   * lives as often as members speak, within two bounds: a silent host is suspected the later, the
-   * larger the fleet is.
+   * Minimum interval between the changes that a host of a large fleet sends to its delegates (ms).
    */
   private static final long MIN_DELEGATE_PERIOD_MILLIS = 100;
 
+  /**
+   * Bounds of a host's heartbeat interval in a large fleet (ms). Within them it follows the
+   * members' period, as the larger the fleet, the later a silent host is suspected.
+   */
   private static final long MIN_HEARTBEAT_MILLIS = 250;
 
   private static final long MAX_HEARTBEAT_MILLIS = 400;
 
-  /** Hosts named in each state. */
+  /** Other hosts whose addresses each state includes. */
   private static final int GOSSIP_HOSTS = 2;
 
   private static final int MILLIS_PER_SECOND = 1_000;
@@ -76,8 +78,8 @@
     /**
      * Returns the state as it is now.
      *
-     * @param withHoldings whether to tell what the runners that this host orders hold
-     * @param complete whether to tell all that is in flight, or only what has changed
+     * @param withHoldings whether to include the holdings of the runners whose holder is this host
+     * @param complete whether to include all loads in flight, or only those that changed
      */
     HostState.Builder state(boolean withHoldings, boolean complete);
   }
@@ -85,23 +87,23 @@
   /**
    * Creates the heartbeats of a host.
    *
-   * @param sender sends bytes to an IP number
+   * @param sender sends bytes to an IP address
    * @param ownState builds this host's state without the gossip
-   * @param listener receives each host's newest state
-   * @param wordListener receives the states that were passed on, without loads and holdings
+   * @param stateListener receives each host's latest state
+   * @param reportListener receives the states that delegates forward, without loads and holdings
    */
   public PeerHeartbeats(
       HostSettings settings,
       long incarnation,
       Members<HostState> members,
-      FleetTopology shape,
+      FleetTopology topology,
       FleetLoad loads,
       Holdings holdings,
       FleetSpending spending,
       BiConsumer<String, byte[]> sender,
       StateSource ownState,
-      BiConsumer<String, HostState> listener,
-      BiConsumer<String, HostState> wordListener,
+      BiConsumer<String, HostState> stateListener,
+      BiConsumer<String, HostState> reportListener,
       Random random,
       EventLog log) {
     this.settings = settings;
@@ -111,14 +113,14 @@
     this.spending = spending;
     this.sender = sender;
     this.ownState = ownState;
-    this.stateListener = listener;
+    this.stateListener = stateListener;
     this.random = random;
     this.log = log;
-    this.topology = shape;
+    this.topology = topology;
     this.digests =
         new DigestExchange(
             settings,
-            shape,
+            topology,
             members,
             loads,
             holdings,
@@ -126,11 +128,11 @@
             this::datagram,
             this::ownReport,
             sender,
-            wordListener,
+            reportListener,
             random);
   }
 
-  /** Returns what this host says of itself, for others to pass on. */
+  /** Returns this host's report of itself, for others to forward. */
   private HostWord ownReport() {
     return HostWord.newBuilder()
         .setHost(settings.host())
@@ -140,23 +142,23 @@
         .build();
   }
 
-  /** Sets the IP numbers of hosts that may know the others. */
-  public void updateSeeds(List<String> now) {
-    seedIps = List.copyOf(now);
+  /** Sets the IP addresses of hosts that may know the others. */
+  public void updateSeeds(List<String> ips) {
+    seedIps = List.copyOf(ips);
   }
 
-  /** Records that this host's state has changed: the others are told soon. */
+  /** Records that this host's state has changed, so that it is sent soon. */
   public void changed() {
     changed = true;
   }
 
-  /** Records that what a runner holds has changed. */
+  /** Records that a runner's holdings have changed. */
   public void holdingsChanged() {
     changed = true;
     holdingsChanged = true;
   }
 
-  /** Tells what is due. */
+  /** Sends the states and digests that are due. */
   public void tick(long nowMillis) {
     if (topology.refresh(nowMillis)) {
       digests.refresh(nowMillis);
@@ -187,37 +189,38 @@
     }
   }
 
-  /** Tells all hosts at once. */
+  /** Sends this host's state to all hosts now. */
   public void sendToAll(long nowMillis) {
     send(members.reachable(nowMillis), topology.isLarge(), nowMillis);
   }
 
-  private void send(List<Member<HostState>> told, boolean whole, long nowMillis) {
+  private void send(List<Member<HostState>> receivers, boolean allLoads, long nowMillis) {
     lastSentMillis = nowMillis;
     changed = false;
     seedIps.stream()
         .filter(ip -> !ip.equals(settings.ip()))
         .forEach(ip -> members.named(ip, nowMillis));
-    boolean withHoldings = holdingsChanged || nowMillis - lastHoldingsMillis >= HOLDINGS_PERIOD_MILLIS;
+    boolean withHoldings =
+        holdingsChanged || nowMillis - lastHoldingsMillis >= HOLDINGS_PERIOD_MILLIS;
     if (withHoldings) {
       holdingsChanged = false;
       lastHoldingsMillis = nowMillis;
     }
-    boolean complete = whole || nowMillis - lastCompleteMillis >= members.periodMillis();
+    boolean complete = allLoads || nowMillis - lastCompleteMillis >= members.periodMillis();
     HostState.Builder state = ownState.state(withHoldings, complete);
     if (!spending.isUnused()) {
       state.setSpending(StateCodec.encodeSpending(spending.ownPart(nowMillis)));
     }
     if (complete) {
       lastCompleteMillis = nowMillis;
-      addGossip(told, state);
+      addGossip(receivers, state);
     }
     byte[] bytes = datagram().setState(state).build().toByteArray();
-    told.forEach(member -> sender.accept(member.ip(), bytes));
+    receivers.forEach(member -> sender.accept(member.ip(), bytes));
     members.toTry(nowMillis).forEach(ip -> sender.accept(ip, bytes));
   }
 
-  /** Returns a datagram of this host, to be given a body. */
+  /** Creates a datagram of this host, without a body. */
   public PeerDatagram.Builder datagram() {
     return PeerDatagram.newBuilder()
         .setHost(settings.host())
@@ -225,12 +228,12 @@
         .setNumber(++sequence);
   }
 
-  /** Takes in another host's state. */
+  /** Applies another host's state. */
   public void received(String ip, PeerDatagram datagram, long nowMillis) {
     HostState state = datagram.getState();
     boolean known = members.find(datagram.getHost()).isPresent();
     boolean wasAlive = members.isSound(datagram.getHost(), nowMillis);
-    boolean news =
+    boolean isNewer =
         members.heard(
             datagram.getHost(),
             ip,
@@ -239,12 +242,12 @@
             state.getLeaving(),
             state,
             nowMillis);
-    if (!news) {
+    if (!isNewer) {
       return;
     }
-    for (HostAddress named : state.getGossipList()) {
-      if (!named.getIp().equals(settings.ip())) {
-        members.named(named.getIp(), nowMillis);
+    for (HostAddress gossiped : state.getGossipList()) {
+      if (!gossiped.getIp().equals(settings.ip())) {
+        members.named(gossiped.getIp(), nowMillis);
       }
     }
     if (!wasAlive && !state.getLeaving()) {
@@ -255,19 +258,19 @@
     digests.applySpending(datagram.getHost(), datagram.getIncarnation(), state, nowMillis);
     boolean toDelegate = topology.isDelegate() && topology.isInOwnGroup(datagram.getHost());
     if (topology.isLarge() && !toDelegate && !state.getLeaving()) {
-      // In a large fleet a host speaks directly only to its delegates and to strangers.
+      // In a large fleet a host addresses only its delegates and hosts that it does not know yet.
       digests.sendMembership(ip, nowMillis);
     }
   }
 
-  /** Takes in a digest that came from an IP number. */
+  /** Applies a digest received from an IP address. */
   public void receivedDigest(String ip, PeerDatagram datagram, long nowMillis) {
-    String teller = DigestExchange.reporterId(datagram.getHost(), datagram.getIncarnation());
-    digests.received(ip, teller, datagram.getDigest(), nowMillis);
+    String reporter = DigestExchange.reporterId(datagram.getHost(), datagram.getIncarnation());
+    digests.received(ip, reporter, datagram.getDigest(), nowMillis);
   }
 
-  private void addGossip(List<Member<HostState>> told, HostState.Builder state) {
-    List<Member<HostState>> shuffled = new ArrayList<>(told);
+  private void addGossip(List<Member<HostState>> receivers, HostState.Builder state) {
+    List<Member<HostState>> shuffled = new ArrayList<>(receivers);
     Collections.shuffle(shuffled, random);
     for (Member<HostState> member : shuffled.subList(0, Math.min(GOSSIP_HOSTS, shuffled.size()))) {
       state.addGossip(HostAddress.newBuilder().setHost(member.host()).setIp(member.ip()));
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/PulledRecords.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/PulledRecords.java
@@ -8,13 +8,14 @@
 import org.sequoiahub.usersplatform.StoredItem;
 
 /**
- * Records that another host passed on.
+ * Store records pulled from another host.
  *
- * @param ip the host
- * @param items what it knows that is newer than it was asked for
- * @param operatorsCompleteTo store revision up to which it knows all operators' records
- * @param runnersCompleteTo store revision up to which it knows all runners' entries
- * @param confirmedMillisAgo how long ago it knew that there was nothing newer of operators
+ * @param ip IP address of that host
+ * @param items its records that are newer than the requested revisions
+ * @param operatorsCompleteTo store revision up to which it has all operators' records
+ * @param runnersCompleteTo store revision up to which it has all runners' entries
+ * @param confirmedMillisAgo how long ago it last confirmed that there was no newer operators'
+ *     record
  */
 public record PulledRecords(
     String ip,
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/QuarantineChange.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/QuarantineChange.java
@@ -4,20 +4,22 @@
 import org.sequoiahub.core.quarantine.RunnerEnd;
 
 /**
- * One thing to tell other hosts of a request: a runner's end under it, or a good answer since.
+ * A change to a request's quarantine record that other hosts are to receive: a runner's termination
+ * while it processed the request, or a successful response since then.
  *
- * @param termination the end; null for a good answer
+ * @param termination the termination; null for a successful response
  * @param request the request's fingerprint
- * @param succeededMillis when the good answer was complete; 0 for an end
- * @param toAllGroups whether to tell it beyond this host's own group
+ * @param succeededMillis when the successful response was complete; 0 for a termination
+ * @param toAllGroups whether to send it beyond this host's own group
  */
-record QuarantineChange(@Nullable RunnerEnd termination, long request, long succeededMillis, boolean toAllGroups) {
+record QuarantineChange(
+    @Nullable RunnerEnd termination, long request, long succeededMillis, boolean toAllGroups) {
 
-  static QuarantineChange terminated(RunnerEnd end, boolean toAll) {
-    return new QuarantineChange(end, end.request(), 0, toAll);
+  static QuarantineChange terminated(RunnerEnd termination, boolean toAllGroups) {
+    return new QuarantineChange(termination, termination.request(), 0, toAllGroups);
   }
 
-  static QuarantineChange cleared(long request, long atMillis, boolean toAll) {
-    return new QuarantineChange(null, request, atMillis, toAll);
+  static QuarantineChange cleared(long request, long succeededMillis, boolean toAllGroups) {
+    return new QuarantineChange(null, request, succeededMillis, toAllGroups);
   }
 }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/RecordExchange.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/RecordExchange.java
@@ -17,19 +17,19 @@
 import org.sequoiahub.wire.WireClients;
 
 /**
- * Takes from other hosts what they read from the store and this host could not.
+ * Pulls store records from other hosts that this host could not read itself.
  *
- * <p>The store can be out of reach of one host and serve the others; a change must be in force here
- * all the same.
+ * <p>The store may be unreachable for one host while it serves the others. A change must come into
+ * force here nevertheless.
  */
 public final class RecordExchange {
 
-  /** A pull is not repeated sooner (ms). */
+  /** Minimum interval between pulls (ms). */
   private static final long MIN_PULL_INTERVAL_MILLIS = 150;
 
   /**
-   * A host that owes an answer is passed over for so long (ms): its connection may be silent for
-   * good, and others can be asked.
+   * How long a host with a pending pull is skipped (ms). Its connection may stay silent forever,
+   * and other hosts can be asked.
    */
   private static final long RESPONSE_TIMEOUT_MILLIS = 1_000;
 
@@ -38,24 +38,25 @@
   private final Map<String, Long> pendingSinceMillis = new HashMap<>();
   private long lastPullMillis = Long.MIN_VALUE / 2;
 
-  /** Asks other hosts for records. */
+  /** Sends pulls to other hosts. */
   @FunctionalInterface
   public interface PeerCalls {
-    /** Sends a pull to the host with an IP number; the answer comes on any thread, or never. */
+    /** Sends a pull to a host's IP address. The answer arrives on any thread, or never. */
     void pull(String ip, StorePull pull, Consumer<StoreRecords> answer);
   }
 
   /**
    * Creates an exchange.
    *
-   * @param received receives what another host passed on, on the thread of its answer
+   * @param recordsListener receives the records that another host returns, on the thread of its
+   *     answer
    */
-  public RecordExchange(PeerCalls calls, Consumer<PulledRecords> received) {
+  public RecordExchange(PeerCalls calls, Consumer<PulledRecords> recordsListener) {
     this.calls = calls;
-    this.recordsListener = received;
+    this.recordsListener = recordsListener;
   }
 
-  /** Returns calls over connections to the hosts' ports for peers. */
+  /** Returns calls over connections to the hosts' peer ports. */
   public static PeerCalls callsOver(WireClients clients, int peerPort) {
     return (ip, pull, answer) -> {
       WireClient client = clients.to(new Endpoint(ip, peerPort));
@@ -72,20 +73,20 @@
 
             @Override
             public void lost(boolean handedOn) {
-              // The next state of any host that is ahead leads to the next pull.
+              // The next state from any host with newer records triggers another pull.
             }
           });
     };
   }
 
   /**
-   * Asks a host for the records that are newer than these revisions; nothing if that is too soon
-   * after the last pull, or if the host still owes an answer.
+   * Asks a host for the records that are newer than the given revisions. Does nothing if the last
+   * pull was too recent or if an earlier one to this host is still pending.
    */
   public void pull(String ip, long operatorsCompleteTo, long runnersCompleteTo, long nowMillis) {
-    Long unanswered = pendingSinceMillis.get(ip);
+    Long pendingSince = pendingSinceMillis.get(ip);
     if (nowMillis - lastPullMillis < MIN_PULL_INTERVAL_MILLIS
-        || (unanswered != null && nowMillis - unanswered < RESPONSE_TIMEOUT_MILLIS)) {
+        || (pendingSince != null && nowMillis - pendingSince < RESPONSE_TIMEOUT_MILLIS)) {
       return;
     }
     lastPullMillis = nowMillis;
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/RecordSync.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/RecordSync.java
@@ -11,12 +11,15 @@
 import org.sequoiahub.usersplatform.StoredItem;
 
 /**
- * Keeps this host's records level with the store's, by watches of its own and by what other hosts
- * read; runs on the decision thread.
+ * Keeps this host's records up to date with the store, through its own watches and through records
+ * pulled from other hosts. Runs on the decision thread.
  */
 public final class RecordSync {
 
-  /** Others are relied on for this part of the time in which a change must be known. */
+  /**
+   * Divisor of the propagation bound. For this part of it, this host relies on other hosts before it
+   * queries the store itself.
+   */
   private static final int PEER_WAIT_DIVISOR = 2;
 
   private final long boundMillis;
@@ -35,18 +38,18 @@
   private final Lag operatorsLag = new Lag();
   private final Lag runnersLag = new Lag();
 
-  /** For how long other hosts have told of a change that this one does not have. */
+  /** Tracks for how long other hosts have reported a revision that this host lacks. */
   private final class Lag {
     private long revision;
     private long sinceMillis;
     private long lastReportMillis = Long.MIN_VALUE / 2;
 
     void report(long newest, long completeTo, long nowMillis) {
-      boolean over = revision <= completeTo || nowMillis - lastReportMillis > peerWaitMillis;
-      if (over) {
+      boolean ended = revision <= completeTo || nowMillis - lastReportMillis > peerWaitMillis;
+      if (ended) {
         sinceMillis = nowMillis;
       }
-      revision = over ? newest : Math.max(revision, newest);
+      revision = ended ? newest : Math.max(revision, newest);
       lastReportMillis = nowMillis;
     }
 
@@ -60,41 +63,41 @@
   /**
    * Creates the sync of a host.
    *
-   * @param boundMillis the time in which a change must be known
-   * @param startedMillis when this host's process began
+   * @param boundMillis the propagation bound: the time within which a change must be known (ms)
+   * @param startedMillis when this host's process started
    * @param operators follows the operators' records
    * @param runners follows the runners' entries
-   * @param changed told when another host passed on something that is news
+   * @param changeListener called when a pulled record has changed this host's state
    */
   public RecordSync(
       long boundMillis,
       long startedMillis,
-      FleetTopology shape,
+      FleetTopology topology,
       Members<HostState> members,
       StoreRegistry store,
       StoreFollower operators,
       StoreFollower runners,
       RecordExchange exchange,
-      Runnable changed,
+      Runnable changeListener,
       EventLog log) {
     checkArgument(boundMillis > 0, "boundMillis must be above 0, was %s", boundMillis);
     this.boundMillis = boundMillis;
     this.startedMillis = startedMillis;
     this.peerWaitMillis = boundMillis / PEER_WAIT_DIVISOR;
-    this.topology = requireNonNull(shape, "shape must not be null");
+    this.topology = requireNonNull(topology, "topology must not be null");
     this.members = requireNonNull(members, "members must not be null");
     this.store = requireNonNull(store, "store must not be null");
     this.operators = requireNonNull(operators, "operators must not be null");
     this.runners = requireNonNull(runners, "runners must not be null");
     this.exchange = requireNonNull(exchange, "exchange must not be null");
-    this.changeListener = requireNonNull(changed, "changed must not be null");
+    this.changeListener = requireNonNull(changeListener, "changeListener must not be null");
     this.log = requireNonNull(log, "log must not be null");
   }
 
-  /** Makes the calls to the store that are due. */
+  /** Makes the store calls that are due. */
   public void tick(long nowMillis) {
     if (nowMillis - startedMillis > boundMillis) {
-      // What others passed on may be old, but nothing better can be had.
+      // The configuration from other hosts may be outdated, but no better one is available.
       store.activatePending(nowMillis);
     }
     if (watchesStore(nowMillis)) {
@@ -103,7 +106,7 @@
     }
   }
 
-  /** Takes from another host what it has read from the store and this host has not. */
+  /** Pulls the records that another host's state shows to be newer than this host's. */
   public void stateReceived(String from, HostState state, long nowMillis) {
     long operatorsCompleteTo = store.operatorsCompleteTo();
     long runnersCompleteTo = store.runnersCompleteTo();
@@ -125,8 +128,8 @@
   }
 
   /**
-   * Returns whether this host's own watch of the runners is about to tell the same: runners change
-   * all the time, and their entries are many.
+   * Returns whether this host's own watch of the runners is expected to deliver the same changes.
+   * Runners change constantly and have many entries, so a pull would be wasteful.
    */
   private boolean expectsRunnersFromWatch(long nowMillis) {
     return watchesStore(nowMillis)
@@ -134,24 +137,24 @@
         && !runnersLag.exceeds(store.runnersCompleteTo(), peerWaitMillis, nowMillis);
   }
 
-  /** Takes in what another host passed on. */
+  /** Applies the records that another host returned. */
   public void recordsReceived(PulledRecords records, long nowMillis) {
     exchange.answered(records.ip());
-    int news = 0;
+    int changes = 0;
     for (StoredItem item : records.items()) {
-      news += store.applyFromPeer(item, nowMillis) ? 1 : 0;
+      changes += store.applyFromPeer(item, nowMillis) ? 1 : 0;
     }
     store.completeTo(records.operatorsCompleteTo(), records.runnersCompleteTo());
     if (records.confirmedMillisAgo() <= boundMillis) {
       store.confirmed(nowMillis - records.confirmedMillisAgo(), nowMillis);
     }
-    if (news > 0) {
-      log.info("records-from-peer", "peer", records.ip(), "news", news);
+    if (changes > 0) {
+      log.info("records-from-peer", "peer", records.ip(), "news", changes);
       changeListener.run();
     }
   }
 
-  /** Records that a datagram of another host came. */
+  /** Records that a datagram of another host was received. */
   public void datagramReceived(String from, long nowMillis) {
     if (topology.isDelegateOfOwnGroup(from)) {
       delegateLastSeenMillis = nowMillis;
@@ -162,9 +165,9 @@
   }
 
   /**
-   * Returns whether this host asks the store for changes: in a large fleet the delegates do, and
-   * the others learn of changes from them. A host that hears none of its delegates, or hears of
-   * changes that it does not get, cannot wait until it suspects them: it asks the store itself.
+   * Returns whether this host watches the store. In a large fleet the delegates do, and the other
+   * hosts receive changes from them. A host that receives nothing from its delegates, or that lacks
+   * reported changes, cannot wait until it suspects them and queries the store itself.
    */
   private boolean watchesStore(long nowMillis) {
     return !store.isInitialized()
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/RetransmissionQueue.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/RetransmissionQueue.java
@@ -6,18 +6,19 @@
 import java.util.List;
 
 /**
- * News that is told several times, as datagrams get lost; bounded. What has been told most often
- * makes way first.
+ * Bounded queue of changes, each of which is sent several times because datagrams may be lost. When
+ * the queue is full, the changes that were sent most often are dropped first.
  */
 final class RetransmissionQueue {
 
   /**
-   * How long after it was told last news is told again (ms): in all after 0.2, 1, 2 and 3.5 s. A
-   * delegate that died is replaced within 1.4 s, and all hosts must know within 3 s.
+   * Delays between the transmissions of a change (ms), which is thus repeated after 0.2, 1, 2 and
+   * 3.5 s. A dead delegate is replaced within 1.4 s, and all hosts must receive a change within 3
+   * s.
    */
   private static final long[] RETRANSMIT_DELAYS_MILLIS = {200, 800, 1_000, 1_500};
 
-  /** By how often it has been told; each queue is in the order of its due times. */
+  /** Changes by the number of times they were sent; each queue is ordered by due time. */
   private final List<Deque<Pending>> bySendCount = new ArrayList<>();
 
   private final int capacity;
@@ -25,26 +26,26 @@
 
   private record Pending(QuarantineChange change, long dueMillis) {}
 
-  /** Creates an empty store for {@code max} items. */
-  RetransmissionQueue(int max) {
-    this.capacity = max;
+  /** Creates an empty queue for {@code capacity} changes. */
+  RetransmissionQueue(int capacity) {
+    this.capacity = capacity;
     for (int i = 0; i <= RETRANSMIT_DELAYS_MILLIS.length; i++) {
       bySendCount.add(new ArrayDeque<>());
     }
   }
 
-  /** Adds what is to be told at once. */
-  void add(QuarantineChange news, long nowMillis) {
-    for (int told = bySendCount.size() - 1; told >= 0 && size >= capacity; told--) {
-      if (bySendCount.get(told).pollFirst() != null) {
+  /** Adds a change that is due at once. */
+  void add(QuarantineChange change, long nowMillis) {
+    for (int sent = bySendCount.size() - 1; sent >= 0 && size >= capacity; sent--) {
+      if (bySendCount.get(sent).pollFirst() != null) {
         size--;
       }
     }
-    bySendCount.get(0).addLast(new Pending(news, nowMillis));
+    bySendCount.get(0).addLast(new Pending(change, nowMillis));
     size++;
   }
 
-  /** Returns whether there is anything to tell now. */
+  /** Returns whether any change is due. */
   boolean isDue(long nowMillis) {
     return bySendCount.stream().anyMatch(queue -> isDue(queue, nowMillis));
   }
@@ -54,16 +55,18 @@
     return first != null && first.dueMillis <= nowMillis;
   }
 
-  /** Returns what is due, the newest first told, and puts it back for its next repetition. */
+  /** Returns due changes, those sent least often first, and schedules their next transmission. */
   List<QuarantineChange> pollDue(int count, long nowMillis) {
     List<QuarantineChange> due = new ArrayList<>();
-    for (int told = 0; told < bySendCount.size(); told++) {
-      Deque<Pending> queue = bySendCount.get(told);
+    for (int sent = 0; sent < bySendCount.size(); sent++) {
+      Deque<Pending> queue = bySendCount.get(sent);
       while (due.size() < count && isDue(queue, nowMillis)) {
-        QuarantineChange news = queue.removeFirst().change;
-        due.add(news);
-        if (told < RETRANSMIT_DELAYS_MILLIS.length) {
-          bySendCount.get(told + 1).addLast(new Pending(news, nowMillis + RETRANSMIT_DELAYS_MILLIS[told]));
+        QuarantineChange change = queue.removeFirst().change;
+        due.add(change);
+        if (sent < RETRANSMIT_DELAYS_MILLIS.length) {
+          bySendCount
+              .get(sent + 1)
+              .addLast(new Pending(change, nowMillis + RETRANSMIT_DELAYS_MILLIS[sent]));
         } else {
           size--;
         }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/RunnerTerminationExchange.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/RunnerTerminationExchange.java
@@ -20,32 +20,32 @@
 import org.sequoiahub.schema.peer.RunnerEnds;
 
 /**
- * Tells the other hosts under which requests runners ended, and learns it from them; decision
- * thread only.
+ * Exchanges with the other hosts the requests during which runners terminated. Decision thread only.
  *
- * <p>News goes out at once and is repeated, as datagrams get lost and a delegate may have died
- * unnoticed; in a large fleet the delegates pass it on. A host that starts, or comes back from a
- * cut, is told of the requests under which several runners ended as soon as it is heard. The ones
- * that are held back are told to one host drawn at random every second besides, so that nobody
- * stays without them.
+ * <p>A change is sent at once and repeated, as datagrams may be lost and a delegate may have died
+ * undetected; in a large fleet the delegates forward it. A host that starts, or that reconnects
+ * after a network partition, receives the requests with several terminations as soon as its state
+ * arrives. In addition, the quarantined requests are sent every second to one host drawn at random,
+ * so that no host stays without them.
  */
 public final class RunnerTerminationExchange implements RunnerEndListener {
 
-  /** Datagrams of news are this far apart at least (ms), and more if many hosts are told. */
+  /** Minimum interval between datagrams with changes (ms); more if there are many receivers. */
   private static final long MIN_PERIOD_MILLIS = 20;
 
+  /** Minimum interval between datagrams with changes, for each receiver (ms). */
   private static final long PERIOD_PER_HOST_MILLIS = 4;
 
-  /** Items of one datagram: 30 bytes each, so that it fits in one packet. */
+  /** Maximum number of items in a datagram: of 30 bytes each, so that it fits in one packet. */
   private static final int MAX_ITEMS_PER_DATAGRAM = 32;
 
-  /** Items of each kind that wait to be told at most. */
+  /** Maximum number of pending items in each queue. */
   private static final int MAX_PENDING = 512;
 
-  /** One host drawn at random is told this often what is held back (ms). */
+  /** Interval at which the quarantined requests are sent to one host drawn at random (ms). */
   private static final long RANDOM_PERIOD_MILLIS = 1_000;
 
-  /** A host that was not heard for this long may have missed what was told (ms). */
+  /** A host that was silent for this long may have missed changes (ms). */
   private static final long SILENCE_MILLIS = 1_000;
 
   private final RequestQuarantine quarantine;
@@ -55,10 +55,10 @@
   private final BiConsumer<String, byte[]> sender;
   private final Random random;
 
-  /** What counts most: requests under which several runners ended, and good answers. */
+  /** Changes with priority: requests with several terminations, and successful responses. */
   private final RetransmissionQueue urgent = new RetransmissionQueue(MAX_PENDING);
 
-  /** Requests under which one runner ended: the loss of a domain brings hundreds at once. */
+  /** Requests with one termination: the loss of a failure domain causes hundreds at once. */
   private final RetransmissionQueue ordinary = new RetransmissionQueue(MAX_PENDING);
 
   private final Map<String, LastSeen> lastSeen = new HashMap<>();
@@ -71,19 +71,19 @@
   /**
    * Creates an exchange.
    *
-   * @param datagrams begins a datagram of this host
-   * @param sender sends bytes to an IP number
+   * @param datagrams creates datagrams of this host, without a body
+   * @param sender sends bytes to an IP address
    */
   public RunnerTerminationExchange(
       RequestQuarantine quarantine,
       Members<HostState> members,
-      FleetTopology shape,
+      FleetTopology topology,
       Supplier<PeerDatagram.Builder> datagrams,
       BiConsumer<String, byte[]> sender,
       Random random) {
     this.quarantine = quarantine;
     this.members = members;
-    this.topology = shape;
+    this.topology = topology;
     this.datagrams = datagrams;
     this.sender = sender;
     this.random = random;
@@ -99,18 +99,21 @@
     urgent.add(QuarantineChange.cleared(request, atMillis, true), nowMillis);
   }
 
-  /** Adds an end to what is to be told, with those that it follows: they may be pushed out. */
-  private void add(RunnerEnd end, boolean toAll, long nowMillis) {
-    if (quarantine.isRepeated(end.request())) {
+  /**
+   * Adds a termination to send. For a request with several terminations the earlier ones are added
+   * again, as they may have been dropped from the queue.
+   */
+  private void add(RunnerEnd termination, boolean toAllGroups, long nowMillis) {
+    if (quarantine.isRepeated(termination.request())) {
       quarantine
-          .endsUnder(end.request())
-          .forEach(known -> urgent.add(QuarantineChange.terminated(known, toAll), nowMillis));
+          .endsUnder(termination.request())
+          .forEach(known -> urgent.add(QuarantineChange.terminated(known, toAllGroups), nowMillis));
     } else {
-      ordinary.add(QuarantineChange.terminated(end, toAll), nowMillis);
+      ordinary.add(QuarantineChange.terminated(termination, toAllGroups), nowMillis);
     }
   }
 
-  /** Tells what is due. */
+  /** Sends the changes that are due. */
   public void tick(long nowMillis) {
     sendDue(nowMillis);
     if (nowMillis - lastRandomMillis >= RANDOM_PERIOD_MILLIS) {
@@ -123,9 +126,9 @@
     if (!urgent.isDue(nowMillis) && !ordinary.isDue(nowMillis)) {
       return;
     }
-    Set<String> near = new HashSet<>();
+    Set<String> ownGroup = new HashSet<>();
     Set<String> all = new HashSet<>();
-    collectTargets(near, all, nowMillis);
+    collectTargets(ownGroup, all, nowMillis);
     long period = Math.max(MIN_PERIOD_MILLIS, all.size() * PERIOD_PER_HOST_MILLIS);
     if (nowMillis - lastSentMillis < period) {
       return;
@@ -133,48 +136,50 @@
     lastSentMillis = nowMillis;
     List<QuarantineChange> due = urgent.pollDue(MAX_ITEMS_PER_DATAGRAM, nowMillis);
     due.addAll(ordinary.pollDue(MAX_ITEMS_PER_DATAGRAM - due.size(), nowMillis));
-    List<QuarantineChange> forAll = due.stream().filter(QuarantineChange::toAllGroups).toList();
-    Set<String> far = new HashSet<>(all);
-    far.removeAll(near);
-    send(near, due, nowMillis);
-    send(far, forAll, nowMillis);
+    List<QuarantineChange> forAllGroups =
+        due.stream().filter(QuarantineChange::toAllGroups).toList();
+    Set<String> otherGroups = new HashSet<>(all);
+    otherGroups.removeAll(ownGroup);
+    send(ownGroup, due, nowMillis);
+    send(otherGroups, forAllGroups, nowMillis);
   }
 
   /**
-   * Finds whom to tell: in a small fleet everybody; in a large one the delegates of this host's
-   * group, which tell the group's other hosts and the delegates of the other groups.
+   * Collects the receivers. In a small fleet these are all hosts; in a large one they are the
+   * delegates of this host's group, which forward changes to the group's other hosts and to the
+   * delegates of the other groups.
    *
-   * @param near receives the IP numbers of hosts of this host's own group
-   * @param all receives those and the ones of other groups
+   * @param ownGroup collects the IP addresses of hosts of this host's own group
+   * @param all collects those and the addresses of hosts of other groups
    */
-  private void collectTargets(Set<String> near, Set<String> all, long nowMillis) {
+  private void collectTargets(Set<String> ownGroup, Set<String> all, long nowMillis) {
     if (!topology.isLarge()) {
-      members.reachable(nowMillis).forEach(member -> near.add(member.ip()));
+      members.reachable(nowMillis).forEach(member -> ownGroup.add(member.ip()));
     } else {
-      topology.ownGroupDelegates().forEach(member -> near.add(member.ip()));
+      topology.ownGroupDelegates().forEach(member -> ownGroup.add(member.ip()));
       if (topology.isDelegate()) {
-        topology.ownGroupNonDelegates(nowMillis).forEach(member -> near.add(member.ip()));
+        topology.ownGroupNonDelegates(nowMillis).forEach(member -> ownGroup.add(member.ip()));
         topology.otherGroupDelegates().forEach(member -> all.add(member.ip()));
         topology.sampleSilentGroups(random, nowMillis).forEach(member -> all.add(member.ip()));
       }
     }
-    all.addAll(near);
+    all.addAll(ownGroup);
   }
 
-  private void send(Set<String> ips, List<QuarantineChange> news, long nowMillis) {
-    if (ips.isEmpty() || news.isEmpty()) {
+  private void send(Set<String> ips, List<QuarantineChange> changes, long nowMillis) {
+    if (ips.isEmpty() || changes.isEmpty()) {
       return;
     }
     RunnerEnds.Builder ends = RunnerEnds.newBuilder();
-    for (QuarantineChange each : news) {
-      RunnerEnd end = each.termination();
-      if (end != null) {
-        ends.addEnds(StateCodec.encodeTermination(end, nowMillis));
+    for (QuarantineChange change : changes) {
+      RunnerEnd termination = change.termination();
+      if (termination != null) {
+        ends.addEnds(StateCodec.encodeTermination(termination, nowMillis));
       } else {
         ends.addCleared(
             ClearedRequest.newBuilder()
-                .setRequest(each.request())
-                .setAgoMs((int) (nowMillis - each.succeededMillis())));
+                .setRequest(change.request())
+                .setAgoMs((int) (nowMillis - change.succeededMillis())));
       }
     }
     byte[] bytes = datagrams.get().setEnds(ends).build().toByteArray();
@@ -189,16 +194,21 @@
     }
   }
 
-  /** Tells a host of ends, others each time if they are more than a datagram holds. */
+  /** Sends terminations to a host, in rotation if there are too many for one datagram. */
   private void sendTerminations(String ip, List<RunnerEnd> known, long nowMillis) {
-    List<QuarantineChange> told = new ArrayList<>();
+    List<QuarantineChange> changes = new ArrayList<>();
     for (int i = 0; i < Math.min(MAX_ITEMS_PER_DATAGRAM, known.size()); i++) {
-      told.add(QuarantineChange.terminated(known.get(Math.floorMod(nextTermination++, known.size())), false));
+      changes.add(
+          QuarantineChange.terminated(
+              known.get(Math.floorMod(nextTermination++, known.size())), false));
     }
-    send(Set.of(ip), told, nowMillis);
+    send(Set.of(ip), changes, nowMillis);
   }
 
-  /** Records that a host spoke to this one directly; one that is new or was silent is told all. */
+  /**
+   * Records that a host's state was received from the host itself. A host that is new or was silent
+   * is sent all requests with several terminations.
+   */
   public void stateReceived(String host, long incarnation, String ip, long nowMillis) {
     LastSeen before = lastSeen.put(host, new LastSeen(incarnation, nowMillis));
     boolean missed =
@@ -211,29 +221,30 @@
     }
   }
 
-  /** Takes in what another host told. */
-  public void received(String from, String ip, RunnerEnds told, long nowMillis) {
-    boolean fromNear = !topology.isLarge() || topology.isInOwnGroup(from);
-    boolean passesOn = topology.isLarge() && topology.isDelegate();
-    for (ClearedRequest cleared : told.getClearedList()) {
+  /** Applies the changes received from another host. */
+  public void received(String from, String ip, RunnerEnds ends, long nowMillis) {
+    boolean fromOwnGroup = !topology.isLarge() || topology.isInOwnGroup(from);
+    boolean forwards = topology.isLarge() && topology.isDelegate();
+    for (ClearedRequest cleared : ends.getClearedList()) {
       long at = nowMillis - Integer.toUnsignedLong(cleared.getAgoMs());
-      if (quarantine.cleared(cleared.getRequest(), at) && passesOn) {
-        urgent.add(QuarantineChange.cleared(cleared.getRequest(), at, fromNear), nowMillis);
+      if (quarantine.cleared(cleared.getRequest(), at) && forwards) {
+        urgent.add(QuarantineChange.cleared(cleared.getRequest(), at, fromOwnGroup), nowMillis);
       }
     }
     List<QuarantineChange> refuted = new ArrayList<>();
-    for (org.sequoiahub.schema.peer.RunnerEnd message : told.getEndsList()) {
-      RunnerEnd end = StateCodec.decodeTermination(message, nowMillis);
-      boolean news = quarantine.ended(end, nowMillis);
-      if (news && passesOn) {
-        add(end, fromNear, nowMillis);
-      } else if (!news) {
+    for (org.sequoiahub.schema.peer.RunnerEnd message : ends.getEndsList()) {
+      RunnerEnd termination = StateCodec.decodeTermination(message, nowMillis);
+      boolean isNew = quarantine.ended(termination, nowMillis);
+      if (isNew && forwards) {
+        add(termination, fromOwnGroup, nowMillis);
+      } else if (!isNew) {
         quarantine
-            .refutedAt(end)
-            .ifPresent(at -> refuted.add(QuarantineChange.cleared(end.request(), at, false)));
+            .refutedAt(termination)
+            .ifPresent(
+                at -> refuted.add(QuarantineChange.cleared(termination.request(), at, false)));
       }
     }
-    // The sender does not know of the good answer.
+    // The sender does not know of the successful response.
     send(Set.of(ip), refuted, nowMillis);
   }
 }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/StateCodec.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/StateCodec.java
@@ -20,20 +20,20 @@
 import org.sequoiahub.schema.peer.Spending;
 import org.sequoiahub.schema.peer.WorkspaceSpending;
 
-/** Turns what hosts tell each other into the core's types and back. */
+/** Converts between the messages that hosts exchange and the core's types. */
 public final class StateCodec {
 
-  /** Slots of spending that are taken from one datagram at most. */
+  /** Maximum number of spending slots that are accepted from one datagram. */
   private static final int MAX_SPENDING_SLOTS = 64;
 
   private StateCodec() {}
 
-  /** Adds what a host has in flight. */
+  /** Adds the loads that a host has in flight. */
   public static void addLoads(HostState.Builder state, Map<String, FleetLoad.Use> uses) {
     uses.forEach((runner, use) -> state.addLoads(encodeLoad(runner, use, true)));
   }
 
-  /** Encodes what is in flight at a runner. */
+  /** Encodes the load in flight at a runner. */
   static RunnerLoad.Builder encodeLoad(String runner, FleetLoad.Use use, boolean withAdapters) {
     RunnerLoad.Builder load =
         RunnerLoad.newBuilder()
@@ -50,7 +50,7 @@
     return load;
   }
 
-  /** Returns what is in flight, by runner. */
+  /** Decodes the loads in flight, by runner. */
   public static Map<String, FleetLoad.Use> decodeLoads(List<RunnerLoad> loads) {
     Map<String, FleetLoad.Use> uses = new HashMap<>();
     for (RunnerLoad load : loads) {
@@ -64,15 +64,16 @@
     return uses;
   }
 
-  /** Encodes what was spent of allowances. */
-  public static Spending encodeSpending(ToldSpending told) {
+  /** Encodes the spending of allowances. */
+  public static Spending encodeSpending(ToldSpending reported) {
     Spending.Builder message =
         Spending.newBuilder()
-            .setNewestSlot(told.newestSlot())
-            .setSlots(told.slots())
-            .setAgoMs((int) told.agoMillis())
-            .setHosts(told.hosts());
-    told.spent()
+            .setNewestSlot(reported.newestSlot())
+            .setSlots(reported.slots())
+            .setAgoMs((int) reported.agoMillis())
+            .setHosts(reported.hosts());
+    reported
+        .spent()
         .forEach(
             (workspace, slots) ->
                 message.addWorkspaces(
@@ -80,7 +81,7 @@
     return message.build();
   }
 
-  /** Decodes what was spent of allowances; more slots than hosts tell are cut off. */
+  /** Decodes the spending of allowances. Slots beyond the number that hosts send are ignored. */
   static ToldSpending decodeSpending(Spending message) {
     Map<String, List<Long>> spent = new HashMap<>();
     message
@@ -94,7 +95,7 @@
         spent);
   }
 
-  /** Encodes what a runner holds. */
+  /** Encodes a runner's holdings. */
   public static Holding encodeHolding(String runner, Holdings.Holding holding, long nowMillis) {
     Holding.Builder message =
         Holding.newBuilder()
@@ -116,7 +117,7 @@
     return message.build();
   }
 
-  /** Returns what the runners that a host orders hold. */
+  /** Decodes the holdings of the runners whose holder is a host. */
   public static Map<String, Holdings.Holding> decodeHoldings(
       String host, HostState state, long nowMillis) {
     Map<String, Holdings.Holding> holdings = new HashMap<>();
@@ -126,7 +127,7 @@
     return holdings;
   }
 
-  /** Decodes what a runner holds, as the host that orders it told. */
+  /** Decodes a runner's holdings, as reported by its holder. */
   static Holdings.Holding decodeHolding(String host, Holding message, long nowMillis) {
     Map<String, HeldItem> items = new HashMap<>();
     for (HeldAdapter adapter : message.getAdaptersList()) {
@@ -148,19 +149,23 @@
         message.getKept());
   }
 
-  /** Encodes a runner's end under a request. */
-  static org.sequoiahub.schema.peer.RunnerEnd encodeTermination(RunnerEnd end, long nowMillis) {
+  /** Encodes the termination of a runner that was processing a request. */
+  static org.sequoiahub.schema.peer.RunnerEnd encodeTermination(
+      RunnerEnd termination, long nowMillis) {
     return org.sequoiahub.schema.peer.RunnerEnd.newBuilder()
-        .setRequest(end.request())
-        .setRunner(end.runner())
-        .setStartedAgoMs((int) Math.max(0, nowMillis - end.startedMillis()))
-        .setEndedAgoMs((int) Math.max(0, nowMillis - end.endedMillis()))
-        .setBegun(end.begun())
-        .setConfirmed(end.confirmed())
+        .setRequest(termination.request())
+        .setRunner(termination.runner())
+        .setStartedAgoMs((int) Math.max(0, nowMillis - termination.startedMillis()))
+        .setEndedAgoMs((int) Math.max(0, nowMillis - termination.endedMillis()))
+        .setBegun(termination.begun())
+        .setConfirmed(termination.confirmed())
         .build();
   }
 
-  /** Decodes a runner's end under a request; an impossible order of times is put right. */
+  /**
+   * Decodes the termination of a runner that was processing a request. A start after the end is
+   * corrected to the end.
+   */
   static RunnerEnd decodeTermination(org.sequoiahub.schema.peer.RunnerEnd message, long nowMillis) {
     long ended = nowMillis - Integer.toUnsignedLong(message.getEndedAgoMs());
     long started = nowMillis - Integer.toUnsignedLong(message.getStartedAgoMs());
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/package-info.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/package-info.java
@@ -1,4 +1,4 @@
-/** What the hosts of a fleet tell each other. */
+/** The exchange of state between the hosts of a fleet. */
 @NullMarked
 package org.sequoiahub.node.peer;
 
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/AliveMarksTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/AliveMarksTest.java
@@ -59,7 +59,7 @@
 
     private static final int HOSTS = 77;
 
-    /** Digests of few hosts go out in between and must not disturb the turn. */
+    /** Digests of few hosts, sent in between, must not disturb the rotation. */
     @Test
     void areAllMarkedByTwoDigests() {
       for (int number = 0; number < HOSTS; number++) {
@@ -82,12 +82,9 @@
   class DeadHosts {
 
     /**
-     * Symptom looked for: callers are named a dead host for as long as the fleet runs.
-     *
-     * <p>Events: a host dies; a delegate goes on telling of it.
-     *
-     * <p>Cause looked for: an age that is counted from when it was told and not from when the host
-     * spoke.
+     * Guards against a dead host that is advertised to callers for as long as the fleet runs: a
+     * delegate keeps sending its mark, and the age must count from when the host was last seen, not
+     * from when the mark was sent.
      */
     @Test
     void areDetectedDespiteMarks() {
@@ -106,10 +103,8 @@
   class DamagedDigests {
 
     /**
-     * Symptom looked for: a dead host is named for weeks after one damaged datagram.
-     *
-     * <p>Cause looked for: an age above the largest integer, decoded as a negative one, lies in the
-     * future.
+     * Guards against a dead host that is advertised for weeks after one damaged datagram: an age
+     * above the largest integer decodes as a negative number, which would lie in the future.
      */
     @Test
     void hugeAgesKeepNoHostAlive() {
@@ -126,7 +121,7 @@
   @Nested
   class MissedReports {
 
-    /** A restarted process has lost all that its predecessor knew: it must not pass for it. */
+    /** A restarted process has lost its predecessor's state and must not be mistaken for it. */
     @Test
     void restartedHostIsNotMistakenForItsPredecessor() {
       receiveState(receivers, 1, false, 0);
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/AllowancePoliciesTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/AllowancePoliciesTest.java
@@ -11,8 +11,8 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * What each way of keeping to an allowance costs callers and operators, on the same load: 77 hosts,
- * one workspace that usually asks for 0.56 of its limit and then for 4.2 times as much as it may.
+ * Compares policies that enforce an allowance under the same load: 77 hosts and one workspace that
+ * usually requests 0.56 of its limit and then 4.2 times its limit.
  */
 class AllowancePoliciesTest {
 
@@ -21,7 +21,10 @@
   private static final double USUAL_LOAD = 1 / 1.8;
   private static final double OVERLOAD = 7.5 * USUAL_LOAD;
 
-  /** What was seen of one way. */
+  /**
+   * The measurements of one policy: granted tokens as a part of the bound, except for the refused
+   * share at the usual load and the granted share of the limit.
+   */
   private record Result(
       double refusedAtUsualLoad,
       double overload,
@@ -53,7 +56,7 @@
     return world;
   }
 
-  /** Cuts the fleet into {@code parts}, or a third of it off one by one if that is 0. */
+  /** Splits the fleet into {@code parts}, or isolates result host of a third of it if that is 0. */
   private static double cut(AllowanceSimulation.Policy policy, int parts) {
     AllowanceSimulation world = atUsualLoad(policy);
     world.peers.cut(
@@ -81,30 +84,33 @@
 
   @Test
   void delayedSumsKeepTheBoundAndRefuseLeast() {
-    Map<String, Supplier<AllowanceSimulation.Policy>> ways = new LinkedHashMap<>();
-    ways.put("equal shares", AlternativePolicies::equalShares);
-    ways.put("shares that follow demand", AlternativePolicies::demandShares);
-    ways.put("leases from a home host", AlternativePolicies::homeLeases);
-    ways.put("late sums", () -> AllowanceSimulation.DELAYED_SUMS);
-    Map<String, Result> seen = new LinkedHashMap<>();
-    ways.forEach((name, way) -> seen.put(name, measure(way)));
-    seen.forEach(
-        (name, each) ->
+    Map<String, Supplier<AllowanceSimulation.Policy>> policies = new LinkedHashMap<>();
+    policies.put("equal shares", AlternativePolicies::equalShares);
+    policies.put("shares that follow demand", AlternativePolicies::demandShares);
+    policies.put("leases from a home host", AlternativePolicies::homeLeases);
+    policies.put("delayed sums", () -> AllowanceSimulation.DELAYED_SUMS);
+    Map<String, Result> results = new LinkedHashMap<>();
+    policies.forEach((name, policy) -> results.put(name, measure(policy)));
+    results.forEach(
+        (name, result) ->
             System.out.printf(
                 Locale.ROOT,
                 "%-26s refused of the usual %.3f; of the bound: hot %.2f (granted %.2f of the"
                     + " limit), halves %.2f, one by one %.2f, all restarted %.2f%n",
                 name,
-                each.refusedAtUsualLoad,
-                each.overload,
-                each.overloadGranted,
-                each.splitInHalves,
-                each.isolatedHosts,
-                each.restart));
-    Result kept = requireNonNull(seen.get("late sums"));
+                result.refusedAtUsualLoad,
+                result.overload,
+                result.overloadGranted,
+                result.splitInHalves,
+                result.isolatedHosts,
+                result.restart));
+    Result kept = requireNonNull(results.get("delayed sums"));
     assertThat(kept.refusedAtUsualLoad).isLessThan(0.01);
     assertWithMessage("the worst window")
-        .that(Math.max(Math.max(kept.overload, kept.splitInHalves), Math.max(kept.isolatedHosts, kept.restart)))
+        .that(
+            Math.max(
+                Math.max(kept.overload, kept.splitInHalves),
+                Math.max(kept.isolatedHosts, kept.restart)))
         .isAtMost(1.0);
   }
 }
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/AllowanceSimulation.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/AllowanceSimulation.java
@@ -11,17 +11,17 @@
 import org.sequoiahub.core.workspace.Workspace;
 
 /**
- * Hosts that serve one workspace with a limit, in virtual time, and an observer who counts what was
- * granted as the operators would. The observer shares no code with the decision.
+ * Simulates, in virtual time, hosts that serve one workspace with a limit, and counts the granted
+ * tokens as the operators would. The count shares no code with the decision.
  */
 final class AllowanceSimulation {
 
-  /** Tokens of one request: a long brief. */
+  /** Tokens of one request, a long prompt. */
   static final long REQUEST_TOKENS = 9_490;
 
   static final double LIMIT_PER_SECOND = 29_000;
 
-  /** The operators' bound: a quarter more than the allowance of a window, and as much besides. */
+  /** The operators' bound is a window's allowance times this factor, plus the tokens below. */
   private static final double TOLERANCE_FACTOR = 1.25;
 
   private static final double TOLERANCE_TOKENS = 110_000;
@@ -33,7 +33,7 @@
     boolean take(PeerSimulation world, PeerSimulation.Host host, Workspace workspace, long cost);
   }
 
-  /** The decision of the product. */
+  /** The policy of the product: sums of all hosts' spending, which arrive with a delay. */
   static final Policy DELAYED_SUMS =
       (world, host, workspace, cost) ->
           host.allowances.take(workspace, cost, world.now()).granted();
@@ -78,22 +78,22 @@
     }
   }
 
-  /** Starts a host anew; it reads the configuration at once. */
+  /** Restarts a host, which reads the configuration at once. */
   void restart(int number) {
     peers.start(number);
     configure();
   }
 
-  /** Lets time pass in which callers ask for so many times the limit, at hosts drawn at random. */
+  /** Advances the time while callers request a multiple of the limit at hosts drawn at random. */
   void offerLoad(long millis, double timesLimit) {
     offerLoad(millis, timesLimit, -1);
   }
 
-  /** The same at one host; at random ones if {@code at} is negative. */
+  /** The same at one host, or at hosts drawn at random if {@code at} is negative. */
   void offerLoad(long millis, double timesLimit, int at) {
     for (long end = peers.now() + millis; peers.now() < end; ) {
       pendingTokens += timesLimit * LIMIT_PER_SECOND * STEP_MILLIS / 1_000;
-      // A request is asked for when a random part of its tokens is owing: arrivals are uneven.
+      // A request is sent once a random part of its tokens is pending, so arrivals are uneven.
       while (pendingTokens >= REQUEST_TOKENS * random.nextDouble() * 2) {
         pendingTokens -= REQUEST_TOKENS;
         request(at < 0 ? random.nextInt(peers.size()) : at);
@@ -131,10 +131,11 @@
 
   private double bound() {
     double limit = workspace.allowance().perSecond();
-    return (limit * WINDOW_MILLIS / 1_000 + workspace.allowance().burst()) * TOLERANCE_FACTOR + TOLERANCE_TOKENS;
+    return (limit * WINDOW_MILLIS / 1_000 + workspace.allowance().burst()) * TOLERANCE_FACTOR
+        + TOLERANCE_TOKENS;
   }
 
-  /** Begins to count anew; windows that begin before do not count. */
+  /** Restarts the count; windows that began earlier are not counted. */
   void countFromNow() {
     countedFromMillis = peers.now();
     grantedFromMillis = peers.now();
@@ -145,18 +146,18 @@
     Arrays.fill(grantedByHost, 0);
   }
 
-  /** Counts from now on, also windows that began before. */
+  /** Restarts the count, including windows that began earlier. */
   void countAllFromNow() {
     countFromNow();
     countedFromMillis = peers.now() - WINDOW_MILLIS;
   }
 
-  /** Returns the most that was granted in a window, as a part of what the operators accept. */
+  /** Returns the most that was granted in a window, as a part of the operators' bound. */
   double worstWindow() {
     return worstWindow;
   }
 
-  /** Returns the tokens that some of the hosts granted. */
+  /** Returns the tokens granted by the hosts whose number matches. */
   long grantedBy(IntPredicate hosts) {
     return IntStream.range(0, grantedByHost.length)
         .filter(hosts)
@@ -164,12 +165,12 @@
         .sum();
   }
 
-  /** Returns the part of the requests that was refused. */
+  /** Returns the share of the requests that was refused. */
   double refusedShare() {
     return askedCount == 0 ? 0 : (double) refusedCount / askedCount;
   }
 
-  /** Returns what was granted, as a part of the limit over the time counted. */
+  /** Returns the granted tokens as a part of the limit over the counted time. */
   double grantedShare() {
     double seconds = (peers.now() - grantedFromMillis) / 1_000.0;
     return grantedTokens / (workspace.allowance().perSecond() * seconds);
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/AllowanceTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/AllowanceTest.java
@@ -8,23 +8,22 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Symptom: a workspace gets several times what its allowance is, or far less.
+ * Guards against a workspace that is granted several times its allowance, or far less. It sends
+ * requests to all hosts, each of which sees one every few seconds, while hosts are isolated, killed
+ * and restarted.
  *
- * <p>Events: it asks at all hosts, each of which sees one of its requests every few seconds; hosts
- * are cut off, killed and started again meanwhile.
- *
- * <p>Cause looked for: hosts that each decide by their own part only. With equal shares a 77th of
- * an allowance is one long prompt in 24 s, so that nearly everything allowed is refused; without
- * sums nothing is.
+ * <p>The cause would be hosts that decide by their own part only. With equal shares, a 77th of an
+ * allowance is one long prompt in 24 s, so nearly all allowed requests are refused. Without sums,
+ * none is refused.
  */
 class AllowanceTest {
 
   private static final int JOIN_MILLIS = 12_000;
 
-  /** What a workspace usually asks for, as a part of its limit. */
+  /** What a workspace usually requests, as a part of its limit. */
   private static final double USUAL_LOAD = 1 / 1.8;
 
-  /** What one that asks seven and a half times its usual asks for. */
+  /** Seven and a half times the usual load, as a part of the limit. */
   private static final double OVERLOAD = 7.5 * USUAL_LOAD;
 
   private static AllowanceSimulation world(int hosts) {
@@ -32,7 +31,8 @@
   }
 
   private static AllowanceSimulation world(long seed, int hosts) {
-    AllowanceSimulation world = new AllowanceSimulation(seed, hosts, AllowanceSimulation.DELAYED_SUMS);
+    AllowanceSimulation world =
+        new AllowanceSimulation(seed, hosts, AllowanceSimulation.DELAYED_SUMS);
     world.peers.loseOneIn(20);
     world.offerLoad(JOIN_MILLIS, 0);
     return world;
@@ -71,7 +71,7 @@
 
   @Nested
   class Cuts {
-    /** Two parts that each granted the whole limit would grant it twice. */
+    /** Two parts that each grant the whole limit would grant it twice. */
     @ParameterizedTest
     @ValueSource(ints = {7, 77})
     void disconnectedPartsStayWithinTheBoundTogether(int hosts) {
@@ -84,7 +84,7 @@
       assertThat(world.worstWindow()).isAtMost(1.0);
     }
 
-    /** A third of the hosts hear nobody at all, each for itself. */
+    /** A third of the hosts receive nothing from any other host. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 7})
     void isolatedHostsStayWithinTheBoundTogether(long seed) {
@@ -110,7 +110,7 @@
 
   @Nested
   class Restarts {
-    /** Their part of the window's sum goes with them. */
+    /** Their part of the window's sum is lost with them. */
     @Test
     void halfOfTheHostsRestartUnderLoad() {
       AllowanceSimulation world = world(77);
@@ -129,7 +129,7 @@
       assertThat(world.grantedShare()).isGreaterThan(0.7);
     }
 
-    /** Nobody knows the window any more: it must not be granted a second time. */
+    /** No host remembers the window, which must not be granted a second time. */
     @ParameterizedTest
     @ValueSource(ints = {7, 77})
     void allHostsRestartUnderLoad(int hosts) {
@@ -149,7 +149,7 @@
     }
   }
 
-  /** It binds one window after it is known. */
+  /** A lowered limit is in force one window after it is known. */
   @Test
   void loweredLimitHolds() {
     AllowanceSimulation world = world(77);
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/AlternativePolicies.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/AlternativePolicies.java
@@ -8,17 +8,18 @@
 import org.sequoiahub.core.workspace.Workspace;
 
 /**
- * Ways of keeping to an allowance that were weighed against the product's. They are given what is
- * best for them: nothing that they tell each other is lost, and leases cost no time.
+ * Allowance policies that are compared with the product's. They run under the most favorable
+ * conditions: their hosts lose no message, and leases take no time.
  */
 final class AlternativePolicies {
 
-  /** How late hosts know of each other (ms), and how long they take to believe in silence. */
+  /** Delay after which a host knows of requests at another one (ms). */
   private static final long PROPAGATION_MILLIS = 300;
 
+  /** Time after which a silent host is suspected (ms). */
   private static final long SUSPICION_MILLIS = 1_000;
 
-  /** Over which time a host's part of the demand is taken (ms). */
+  /** Window over which a host's share of the demand is taken (ms). */
   private static final long DEMAND_WINDOW_MILLIS = 2_000;
 
   private AlternativePolicies() {}
@@ -43,7 +44,7 @@
     }
   }
 
-  /** Each host may spend an equal part. */
+  /** Each host may spend an equal share. */
   static AllowanceSimulation.Policy equalShares() {
     Map<PeerSimulation.Host, Bucket> buckets = new HashMap<>();
     return (world, host, workspace, cost) -> {
@@ -55,7 +56,7 @@
     };
   }
 
-  /** Each host may spend the part that its callers lately had of what all asked for. */
+  /** Each host may spend its callers' share of the recent demand. */
   static AllowanceSimulation.Policy demandShares() {
     Deque<long[]> asked = new ArrayDeque<>();
     Map<PeerSimulation.Host, Bucket> buckets = new HashMap<>();
@@ -82,19 +83,20 @@
     };
   }
 
-  /** The first living host that can be reached keeps the bucket; the others ask it. */
+  /** The first live host that is reachable holds the bucket, and the others ask it. */
   static AllowanceSimulation.Policy homeLeases() {
     Map<PeerSimulation.Host, Bucket> homes = new HashMap<>();
     return new AllowanceSimulation.Policy() {
       @Override
-      public boolean take(PeerSimulation world, PeerSimulation.Host host, Workspace workspace, long cost) {
+      public boolean take(
+          PeerSimulation world, PeerSimulation.Host host, Workspace workspace, long cost) {
         PeerSimulation.Host home = homeOf(world, host);
         long now = world.now();
         double part = reachableShare(world, home);
         double rate = workspace.allowance().perSecond() * part;
         double burst = workspace.allowance().burst() * part;
-        // A home that is new knows nothing of what the one before granted: it begins when that
-        // one's grants are a second old, without a burst.
+        // A new home does not know what its predecessor granted. It starts without a burst once
+        // those grants are a second old.
         Bucket bucket = homes.computeIfAbsent(home, h -> new Bucket(0, now + SUSPICION_MILLIS));
         return now >= bucket.atMillis && bucket.take(rate, burst, cost, now);
       }
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/CallerAddressesTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/CallerAddressesTest.java
@@ -47,7 +47,7 @@
         AllowanceSettings.DEFAULT);
   }
 
-  /** Hosts 1 to {@code count}, the first eight of which are strong, tell their state. */
+  /** Reports the states of hosts 1 to {@code count}, the first eight of which are strong. */
   private void reportStates(int count, int requestsPerSecond, boolean ready, long nowMillis) {
     for (int number = 1; number <= count; number++) {
       HostState state =
@@ -91,7 +91,7 @@
       assertThat(addresses.advertised(true, NOW)).hasSize(64);
     }
 
-    /** After the loss of all hosts each knows only itself for a while. */
+    /** After the loss of all hosts, each knows only itself for a while. */
     @Test
     void advertiseThisHostWhenNoOtherIsReady() {
       reportStates(76, 2, false, NOW);
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/ConfigurationBoundTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/ConfigurationBoundTest.java
@@ -14,7 +14,10 @@
 import org.sequoiahub.node.peer.RecordTrouble.Kind;
 import org.sequoiahub.usersplatform.standin.VirtualStore.Fault;
 
-/** Each host that is in touch has a change in force in time, and none goes back in one life. */
+/**
+ * Each connected host has a change in force within the bound, and no process goes back to an older
+ * configuration.
+ */
 class ConfigurationBoundTest {
 
   private static final int HOSTS = 7;
@@ -38,17 +41,19 @@
       @ForAll("troubles") List<RecordTrouble> troubles,
       @ForAll("sizes") int hosts,
       @ForAll long seed) {
-    RecordBoundsChecker bounds = new RecordBoundsChecker(new RecordSimulation(seed, hosts, DOMAINS), seed);
+    RecordBoundsChecker bounds =
+        new RecordBoundsChecker(new RecordSimulation(seed, hosts, DOMAINS), seed);
     bounds.advance(JOIN_MILLIS);
     troubles.forEach(bounds::inject);
     bounds.advance(RecordBoundsChecker.SETTLED_MILLIS);
   }
 
-  /** Guards against a host that relies on its lost watch though others know of a change. */
+  /** Guards against a host that relies on its lost watch although others know of a change. */
   @Test
   void leavingRunnerIsKnownWhereTheStoreIsSilent() {
     long seed = 1_028;
-    RecordBoundsChecker bounds = new RecordBoundsChecker(new RecordSimulation(seed, 2, DOMAINS), seed);
+    RecordBoundsChecker bounds =
+        new RecordBoundsChecker(new RecordSimulation(seed, 2, DOMAINS), seed);
     bounds.advance(JOIN_MILLIS);
     bounds.inject(new RecordTrouble(Kind.STORE_SILENT, 1, 2_141, 91));
     bounds.advance(RecordBoundsChecker.SETTLED_MILLIS);
@@ -62,7 +67,9 @@
   @Nested
   class StoreSilentForAll {
 
-    /** Guards against a watch that the store lost and that hides later changes until it is late. */
+    /**
+     * Guards against a watch that the store lost and that hides later changes until it times out.
+     */
     @Test
     void changeAfterRecoveryIsInForceWithinTheBound() {
       for (int outage = 3_000; outage <= 9_000; outage += 250) {
@@ -89,8 +96,8 @@
     private static final int ADAPTERS = 80;
 
     /**
-     * Guards against a host that tells a newer number than that of a record which it lacks: those
-     * that take its records would never ask for that one.
+     * Guards against a host that reports a newer revision than that of a record that it lacks:
+     * hosts that pull its records would never request that one.
      */
     @Test
     void laterRecordIsPulledToo() {
@@ -103,14 +110,15 @@
       world.store.faults(host -> host == 0 ? Fault.SLOW : Fault.REFUSING);
       world.start(0);
       world.advance(100);
-      // Between its two pages: the first lacks the configuration, the second has a later record.
+      // Written between its two pages: the first lacks the configuration, the second has a later
+      // record.
       long version = world.configure();
       world.store.publishVersion(adapterName(ADAPTERS - 1), 2);
       world.advance(JOIN_MILLIS);
       assertWithMessage("at the host that reads the store")
           .that(world.host(0).versionInForce())
           .isEqualTo(version);
-      assertWithMessage("at the host that is turned away")
+      assertWithMessage("at the host that the store rejects")
           .that(world.host(1).versionInForce())
           .isEqualTo(version);
     }
@@ -123,7 +131,7 @@
   @Nested
   class Start {
 
-    /** Guards against a host that begins with the configuration of one that is cut off. */
+    /** Guards against a host that starts with the configuration of an isolated host. */
     @Test
     void configurationOfIsolatedHostIsNotUsedWhileItMayBeOutdated() {
       RecordSimulation world = new RecordSimulation(3, 3, 3);
@@ -136,16 +144,16 @@
       world.kill(2);
       world.start(2);
       world.advance(1_000);
-      assertWithMessage("version while it may be old")
+      assertWithMessage("version while it may be outdated")
           .that(world.host(2).versionInForce())
           .isEqualTo(-1);
       world.advance(RecordSimulation.BOUND_MILLIS);
-      assertWithMessage("version when no better one can be had")
+      assertWithMessage("version when no better one is available")
           .that(world.host(2).versionInForce())
           .isEqualTo(1);
     }
 
-    /** Guards against a host that does not serve because the store turns it away. */
+    /** Guards against a host that does not serve because the store rejects it. */
     @Test
     void configurationOfConnectedHostsIsUsedAtOnce() {
       RecordSimulation world = new RecordSimulation(4, 3, 3);
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/LargeFleetTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/LargeFleetTest.java
@@ -8,14 +8,14 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-/** A fleet of 40 hosts in 4 failure domains, in which delegates pass everything on. */
+/** A fleet of 40 hosts in 4 failure domains, in which delegates forward all states. */
 class LargeFleetTest {
 
   private static final int HOSTS = 40;
   private static final int DOMAINS = 4;
   private static final String RUNNER = "i-1";
 
-  /** A change at a host (100 ms), two digests (150 ms each), one of them lost (150 ms). */
+  /** A change at a host (100 ms), two digests (150 ms each), one of which is lost (150 ms). */
   private static final long PROPAGATION_MILLIS = 600;
 
   private final PeerSimulation world = new PeerSimulation(5, HOSTS, DOMAINS);
@@ -70,11 +70,9 @@
     }
 
     /**
-     * Symptom: some runners get far more requests than others in a large fleet.
-     *
-     * <p>Events: three hosts of different domains each send two requests to one runner.
-     *
-     * <p>Cause looked for: sums that leave a domain out or count one twice.
+     * Guards against some runners getting far more requests than others in a large fleet, because
+     * the sums leave a failure domain out or count one twice. Hosts of different domains each send
+     * two requests to one runner.
      */
     @Test
     void loadsAreSummedOnceOverTheFleet() {
@@ -96,11 +94,8 @@
   @Nested
   class Failures {
     /**
-     * Symptom: the hosts of a domain take the rest of the fleet for dead.
-     *
-     * <p>Events: both delegates of each domain die at once.
-     *
-     * <p>Cause looked for: hosts that speak to dead delegates only.
+     * Guards against the hosts of a failure domain considering the rest of the fleet dead. Both
+     * delegates of each domain die at once, and hosts must not address dead delegates only.
      */
     @Test
     void deadDelegatesAreReplaced() {
@@ -118,12 +113,10 @@
     }
 
     /**
-     * Symptom: after a cut between two domains each takes the other for dead for good.
-     *
-     * <p>Events: the halves of the fleet are cut off from each other for 10 s, then again for 25 s,
-     * after which they have forgotten each other.
-     *
-     * <p>Cause: delegates that tell living delegates only; nobody is left to begin.
+     * Guards against two failure domains that consider each other dead forever after a network
+     * partition. The halves of the fleet are disconnected for 10 s, then again for 25 s, after
+     * which they have forgotten each other. If delegates addressed live delegates only, no host
+     * would start.
      */
     @Test
     void halvesFindEachOtherAfterCuts() {
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/PeerCostTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/PeerCostTest.java
@@ -4,7 +4,7 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What it costs a host to know the others, at three sizes of the fleet, in virtual time. */
+/** Measures a host's cost of knowing the others at three fleet sizes, in virtual time. */
 class PeerCostTest {
 
   private static final int JOIN_MILLIS = 12_000;
@@ -23,13 +23,10 @@
   }
 
   /**
-   * Symptom: hosts of a large fleet spend their link and processor on telling each other that they
-   * live; or some of them never learn of each other.
-   *
-   * <p>Events: none; all start within 20 ms and the fleet is idle.
-   *
-   * <p>Cause looked for: heartbeats to everybody at a fixed period; delegates that are told of
-   * other groups by these groups' delegates only, which may not know them.
+   * Guards against hosts of a large fleet that spend their network and processor on heartbeats, or
+   * that never learn of each other. All start within 20 ms and the fleet is idle. The causes would
+   * be heartbeats to all hosts at a fixed period, and delegates that receive other groups only from
+   * the delegates of these groups, which may not know them.
    */
   @Test
   void doesNotGrowWithLargeFleets() {
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/PeerSimulation.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/PeerSimulation.java
@@ -28,16 +28,16 @@
 import org.sequoiahub.schema.peer.PeerDatagram;
 import org.sequoiahub.usersplatform.HostSettings;
 
-/** Hosts that tell each other of themselves, in virtual time; datagrams are late and get lost. */
+/** Simulates, in virtual time, hosts that exchange states over a network with delay and loss. */
 final class PeerSimulation {
 
-  /** The users' figure. */
+  /** With the window of the users' deployments. */
   static final AllowanceSettings ALLOWANCES = new AllowanceSettings(8_000);
 
   private static final int TICK_MILLIS = 10;
   private static final int MAX_DELAY_MILLIS = 5;
 
-  /** One datagram in so many is lost. */
+  /** By default one datagram in this many is lost. */
   private static final int DEFAULT_LOSS_ONE_IN = 100;
 
   private int lossOneIn = DEFAULT_LOSS_ONE_IN;
@@ -63,22 +63,22 @@
     }
   }
 
-  /** What a host knows of the store's records. */
+  /** A host's view of the store's records. */
   interface Records {
     long operatorRevision();
 
     long runnersRevision();
 
-    /** Takes in another host's state. */
+    /** Applies another host's state. */
     void stateReceived(String from, HostState state);
 
-    /** Told that a datagram of another host came. */
+    /** Called when a datagram of another host was received. */
     default void datagramReceived(String from) {}
 
     void tick(long nowMillis);
   }
 
-  /** Numbers only: a host that is behind another takes its records at once. */
+  /** Tracks revisions only: a host that is behind another has its records at once. */
   private static final class RevisionsOnly implements Records {
     private final Host host;
 
@@ -103,7 +103,7 @@
 
     @Override
     public void tick(long nowMillis) {
-      // Nothing is asked for.
+      // Nothing is pulled.
     }
   }
 
@@ -175,7 +175,7 @@
       reportReceived(from, state);
     }
 
-    /** A runner ends under a request of this host's; the others are told. */
+    /** Terminates a runner that processes a request of this host, and informs the other hosts. */
     void runnerTerminated(long request, long runner, long startedMillis, long endedMillis) {
       RunnerEnd end = new RunnerEnd(request, runner, startedMillis, endedMillis, false, true);
       if (quarantine.ended(end, now)) {
@@ -183,7 +183,7 @@
       }
     }
 
-    /** A request of this host's has a good answer. */
+    /** Records a successful response to a request of this host, and informs the other hosts. */
     void requestSucceeded(long request) {
       if (quarantine.cleared(request, now)) {
         terminations.cleared(request, now, now);
@@ -206,7 +206,7 @@
   /**
    * Creates a fleet.
    *
-   * @param recordsOf makes what each process knows of the store's records
+   * @param recordsOf creates the view that each process has of the store's records
    */
   PeerSimulation(long seed, int count, int domains, Function<Host, Records> recordsOf) {
     this.recordsOf = recordsOf;
@@ -250,12 +250,12 @@
     return now;
   }
 
-  /** Returns the bytes that were sent so far. */
+  /** Returns the bytes sent so far. */
   long bytes() {
     return bytes;
   }
 
-  /** Returns the hosts that run. */
+  /** Returns the running hosts. */
   List<Host> running() {
     List<Host> running = new ArrayList<>();
     for (Host host : hosts) {
@@ -274,7 +274,7 @@
     hosts.set(host, new Host(host));
   }
 
-  /** Stops a host's process until a moment; what comes for it meanwhile waits. */
+  /** Suspends a host's process until the given time; datagrams for it are delivered then. */
   void freeze(int host, long untilMillis) {
     frozenUntil.put(host, untilMillis);
   }
@@ -283,17 +283,17 @@
     return frozenUntil.getOrDefault(host, 0L) > now;
   }
 
-  /** Loses all datagrams for which {@code lost} holds, until the next call. */
+  /** Drops all datagrams for which {@code lost} holds, until the next call. */
   void cut(BiPredicate<Integer, Integer> lost) {
     cut = lost;
   }
 
-  /** From now on one datagram in so many is lost. */
+  /** From now on one datagram in the given number is lost. */
   void loseOneIn(int datagrams) {
     lossOneIn = datagrams;
   }
 
-  /** Returns the host with a number, if it runs. */
+  /** Returns the host with the given number, if it is running. */
   @Nullable Host host(int number) {
     return hosts.get(number);
   }
@@ -302,7 +302,7 @@
     return size;
   }
 
-  /** Returns whether two hosts run and datagrams of one reach the other. */
+  /** Returns whether two hosts are running and datagrams of the first reach the second. */
   boolean reaches(int from, int to) {
     return hosts.get(from) != null && hosts.get(to) != null && !cut.test(from, to);
   }
@@ -330,7 +330,9 @@
     int to = Integer.parseInt(ip.substring("ip-".length()));
     boolean lost = cut.test(from, to) || random.nextInt(lossOneIn) == 0;
     if (to < hosts.size() && !lost) {
-      inTransit.add(new Delivery(now + 1 + random.nextInt(MAX_DELAY_MILLIS), deliveries++, from, to, datagram));
+      inTransit.add(
+          new Delivery(
+              now + 1 + random.nextInt(MAX_DELAY_MILLIS), deliveries++, from, to, datagram));
     }
   }
 
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/RecordBoundsChecker.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/RecordBoundsChecker.java
@@ -12,13 +12,13 @@
 import java.util.TreeMap;
 import org.sequoiahub.usersplatform.standin.VirtualStore.Fault;
 
-/** Plays troubles on a fleet and checks at each step which records its hosts have. */
+/** Injects faults into a fleet and checks at each step which records its hosts have. */
 final class RecordBoundsChecker {
 
-  /** A host or the store counts as in touch so long after its last trouble (ms). */
+  /** A host or the store counts as connected this long after its last fault (ms). */
   static final int RECOVERY_MILLIS = 3_000;
 
-  /** In this time a fleet is calm again and its last change is due (ms). */
+  /** Time after which a fleet has recovered and its last change is due (ms). */
   static final int SETTLED_MILLIS = RECOVERY_MILLIS + (int) RecordSimulation.BOUND_MILLIS + 500;
 
   private static final int VERSION_BOUND_MILLIS = 5_000;
@@ -26,7 +26,7 @@
   private static final int CHANGE_INTERVAL_MILLIS = 700;
   private static final int CHECK_PERIOD_MILLIS = 50;
 
-  /** Runners that left before this are not looked at any more (ms). */
+  /** How long runners that left are checked (ms). */
   private static final int LEFT_RUNNER_CHECK_MILLIS = 4_000;
 
   private static final String ADAPTER = "a1";
@@ -34,7 +34,7 @@
   private final RecordSimulation world;
   private final Random random;
 
-  /** When each version was confirmed. */
+  /** When each configuration version was confirmed. */
   private final TreeMap<Long, Long> confirmed = new TreeMap<>();
 
   private final TreeMap<Integer, Long> publishedVersions = new TreeMap<>();
@@ -42,7 +42,7 @@
   private final Map<Integer, Long> hostFaultyUntil = new HashMap<>();
   private final Map<Integer, Long> highestVersions = new HashMap<>();
 
-  /** How long each change took to each host in touch (ms), by the way that it came. */
+  /** How long each change took to reach each connected host (ms), by its source. */
   private final List<Long> storeLatencies = new ArrayList<>();
 
   private final List<Long> peerLatencies = new ArrayList<>();
@@ -58,7 +58,7 @@
     confirmed.put(world.version(), world.now());
   }
 
-  /** Lets time pass with changes now and then. */
+  /** Advances the time while changes are made at intervals. */
   void advance(long millis) {
     for (long end = world.now() + millis; world.now() < end; ) {
       if (world.now() - changedMillis >= intervalMillis) {
@@ -71,20 +71,20 @@
     }
   }
 
-  void inject(RecordTrouble trouble) {
-    currentFault = trouble + " from " + world.now();
-    advance(trouble.pauseMillis());
-    Set<Integer> struck = drawHosts(trouble.tenths());
-    switch (trouble.kind()) {
-      case STORE_SILENT -> injectStoreFault(Fault.SILENT, struck, trouble);
-      case STORE_REFUSES -> injectStoreFault(Fault.REFUSING, struck, trouble);
-      case STORE_RESETS -> injectStoreFault(Fault.RESETTING, struck, trouble);
-      case STORE_SLOW -> injectStoreFault(Fault.SLOW, struck, trouble);
-      case STORE_LOSES_ANSWERS -> injectStoreFault(Fault.LOSING, struck, trouble);
+  void inject(RecordTrouble fault) {
+    currentFault = fault + " from " + world.now();
+    advance(fault.pauseMillis());
+    Set<Integer> affected = drawHosts(fault.tenths());
+    switch (fault.kind()) {
+      case STORE_SILENT -> injectStoreFault(Fault.SILENT, affected, fault);
+      case STORE_REFUSES -> injectStoreFault(Fault.REFUSING, affected, fault);
+      case STORE_RESETS -> injectStoreFault(Fault.RESETTING, affected, fault);
+      case STORE_SLOW -> injectStoreFault(Fault.SLOW, affected, fault);
+      case STORE_LOSES_ANSWERS -> injectStoreFault(Fault.LOSING, affected, fault);
       case STORE_STALE -> {
-        world.store.stale(trouble.forMillis());
+        world.store.stale(fault.forMillis());
         world.store.dropHistory();
-        awaitStoreFault(trouble.forMillis());
+        awaitStoreFault(fault.forMillis());
         world.store.stale(0);
       }
       case WATCHES_QUIET_THEN_HISTORY_DROPPED -> {
@@ -98,53 +98,54 @@
         for (PeerSimulation.Host host : world.peers.running()) {
           hostFaultyUntil.put(host.number, world.now());
         }
-        advance(trouble.forMillis());
+        advance(fault.forMillis());
       }
       case PEER_CONNECTIONS_SILENT -> {
-        world.silenceConnections((from, to) -> struck.contains(to));
-        advance(trouble.forMillis());
+        world.silenceConnections((from, to) -> affected.contains(to));
+        advance(fault.forMillis());
         world.silenceConnections((from, to) -> false);
       }
-      case HOSTS_RESTART -> restart(struck, trouble);
+      case HOSTS_RESTART -> restart(affected, fault);
       case HOSTS_FREEZE -> {
-        long until = world.now() + trouble.forMillis();
-        for (int host : struck) {
+        long until = world.now() + fault.forMillis();
+        for (int host : affected) {
           world.peers.freeze(host, until);
           hostFaultyUntil.put(host, until);
         }
-        advance(trouble.forMillis());
+        advance(fault.forMillis());
       }
       case HOSTS_CUT_ONE_WAY -> {
-        world.cut((from, to) -> struck.contains(from) && !struck.contains(to));
-        advance(trouble.forMillis());
+        world.cut((from, to) -> affected.contains(from) && !affected.contains(to));
+        advance(fault.forMillis());
         world.cut((from, to) -> false);
       }
       case CHANGES_IN_STORM -> {
         intervalMillis = STORM_INTERVAL_MILLIS;
-        advance(trouble.forMillis());
+        advance(fault.forMillis());
         intervalMillis = CHANGE_INTERVAL_MILLIS;
       }
-      default -> throw new AssertionError(trouble.kind());
+      default -> throw new AssertionError(fault.kind());
     }
   }
 
   private Set<Integer> drawHosts(int tenths) {
-    Set<Integer> struck = new HashSet<>();
+    Set<Integer> affected = new HashSet<>();
     int wanted = Math.max(1, world.peers.size() * tenths / 10);
-    while (struck.size() < wanted) {
-      struck.add(random.nextInt(world.peers.size()));
+    while (affected.size() < wanted) {
+      affected.add(random.nextInt(world.peers.size()));
     }
-    return struck;
+    return affected;
   }
 
-  /** Strikes the store for some hosts; the operator is served unless it strikes all of them. */
-  private void injectStoreFault(Fault kind, Set<Integer> struck, RecordTrouble trouble) {
-    world.store.fault(kind, struck::contains);
-    boolean turnsAway = kind == Fault.SILENT || kind == Fault.REFUSING || kind == Fault.RESETTING;
-    if (turnsAway && struck.size() < world.peers.size()) {
-      advance(trouble.forMillis());
+  /** Injects a store fault for some hosts; the operator is served unless it affects all of them. */
+  private void injectStoreFault(Fault kind, Set<Integer> affected, RecordTrouble fault) {
+    world.store.fault(kind, affected::contains);
+    boolean rejectsHosts =
+        kind == Fault.SILENT || kind == Fault.REFUSING || kind == Fault.RESETTING;
+    if (rejectsHosts && affected.size() < world.peers.size()) {
+      advance(fault.forMillis());
     } else {
-      awaitStoreFault(trouble.forMillis());
+      awaitStoreFault(fault.forMillis());
     }
     world.store.fault(Fault.NONE, host -> false);
   }
@@ -154,21 +155,21 @@
     advance(millis);
   }
 
-  private void restart(Set<Integer> struck, RecordTrouble trouble) {
-    for (int host : struck) {
+  private void restart(Set<Integer> affected, RecordTrouble fault) {
+    for (int host : affected) {
       world.kill(host);
       highestVersions.remove(host);
       hostFaultyUntil.put(host, Long.MAX_VALUE / 2);
     }
-    advance(Math.min(trouble.forMillis(), 2_000));
-    for (int host : struck) {
+    advance(Math.min(fault.forMillis(), 2_000));
+    for (int host : affected) {
       world.start(host);
       hostFaultyUntil.put(host, world.now());
     }
     advance(500);
   }
 
-  /** An operator or a runner changes something; nothing is confirmed while all is down. */
+  /** Makes a change of an operator or a runner; none is confirmed while all is down. */
   private void change() {
     changedMillis = world.now();
     switch (random.nextInt(3)) {
@@ -202,18 +203,18 @@
     long before = highestVersions.getOrDefault(host, -1L);
     assertWithMessage("version at host %s", host).that(version).isAtLeast(before);
     if (before >= 0 && isConnected(host)) {
-      List<Long> taken = records.registry.status().fromPeer() ? peerLatencies : storeLatencies;
+      List<Long> latencies = records.registry.status().fromPeer() ? peerLatencies : storeLatencies;
       confirmed
           .subMap(before, false, version, true)
           .values()
-          .forEach(at -> taken.add(world.now() - at));
+          .forEach(at -> latencies.add(world.now() - at));
     }
     highestVersions.put(host, version);
     if (!isConnected(host)) {
       return;
     }
     long due = latestDue(confirmed, RecordSimulation.BOUND_MILLIS, -1L);
-    assertWithMessage("version at host %s in touch at %s, %s", host, world.now(), currentFault)
+    assertWithMessage("version at connected host %s at %s, %s", host, world.now(), currentFault)
         .that(version)
         .isAtLeast(due);
     int adapter = latestDue(publishedVersions, VERSION_BOUND_MILLIS, 0);
@@ -222,7 +223,8 @@
         .isAtLeast(adapter);
     long latest = world.now() - RecordSimulation.DRAIN_MILLIS;
     for (String runner : leaving.subMap(latest - LEFT_RUNNER_CHECK_MILLIS, latest).values()) {
-      assertWithMessage("use of runner %s at host %s at %s, %s", runner, host, world.now(), currentFault)
+      assertWithMessage(
+              "use of runner %s at host %s at %s, %s", runner, host, world.now(), currentFault)
           .that(records.isUsable(runner))
           .isFalse();
     }
@@ -238,13 +240,13 @@
     return due;
   }
 
-  /** Returns how long changes took to hosts in touch. */
+  /** Returns how long changes took to reach connected hosts. */
   String summary() {
     return "own watch: " + summary(storeLatencies) + "; a peer: " + summary(peerLatencies);
   }
 
-  private static String summary(List<Long> taken) {
-    long[] sorted = taken.stream().mapToLong(t -> t).sorted().toArray();
+  private static String summary(List<Long> latencies) {
+    long[] sorted = latencies.stream().mapToLong(t -> t).sorted().toArray();
     if (sorted.length == 0) {
       return "no change";
     }
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/RecordSimulation.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/RecordSimulation.java
@@ -26,19 +26,19 @@
 import org.sequoiahub.usersplatform.standin.VirtualStore;
 
 /**
- * A fleet that follows a store, in virtual time: the real follower, registry and exchange of each
- * host over a store and a network that fail.
+ * Simulates, in virtual time, a fleet that follows a store: each host's real follower, registry and
+ * exchange run on a simulated store and network with faults.
  */
 final class RecordSimulation {
 
   static final int TICK_MILLIS = 10;
 
-  /** What the users' deployments give for a configuration. */
+  /** The propagation bound of a configuration in the users' deployments (ms). */
   static final long BOUND_MILLIS = 2_000;
 
   static final long DRAIN_MILLIS = 2_000;
 
-  /** When {@link PeerSimulation} begins. */
+  /** When {@link PeerSimulation} starts. */
   private static final long START_MILLIS = 1_000_000;
 
   private static final int MAX_DELAY_MILLIS = 4;
@@ -57,7 +57,8 @@
   private long heartbeatMillis;
   private long version;
 
-  private record Delivery(long atMillis, long number, Runnable work) implements Comparable<Delivery> {
+  private record Delivery(long atMillis, long number, Runnable work)
+      implements Comparable<Delivery> {
     @Override
     public int compareTo(Delivery other) {
       int byTime = Long.compare(atMillis, other.atMillis);
@@ -113,7 +114,7 @@
           reader, prefix, timing, registry, this::decide, RecordSimulation.this::now);
     }
 
-    /** A frozen process decides when it wakes up. */
+    /** Queues work for the decision thread; a frozen process runs it once it resumes. */
     private void decide(Runnable work) {
       decisions.add(work);
     }
@@ -196,12 +197,12 @@
     peers.start(host);
   }
 
-  /** Loses all that passes between hosts for which {@code lost} holds, until the next call. */
+  /** Drops all traffic between hosts for which {@code lost} holds, until the next call. */
   void cut(BiPredicate<Integer, Integer> lost) {
     peers.cut(lost);
   }
 
-  /** Loses all on connections between hosts for which {@code lost} holds; datagrams still pass. */
+  /** Drops traffic on connections for which {@code lost} holds; datagrams are delivered. */
   void silenceConnections(BiPredicate<Integer, Integer> lost) {
     silent = lost;
   }
@@ -235,7 +236,7 @@
     return "i-" + runner + "-" + starts.getOrDefault(runner, 0);
   }
 
-  /** A runner says that it leaves, another one starts; returns the id of the one that leaves. */
+  /** Lets a runner announce that it leaves and another one start; returns the leaving one's id. */
   String replaceRunner() {
     int runner = random.nextInt(RUNNERS);
     String id = runnerId(runner);
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/RecordTrouble.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/RecordTrouble.java
@@ -1,11 +1,11 @@
 package org.sequoiahub.node.peer;
 
 /**
- * One trouble of a fleet that follows the store.
+ * One fault in a fleet that follows the store.
  *
- * @param tenths how much of the fleet it strikes
- * @param forMillis how long it lasts
- * @param pauseMillis how long it is calm before
+ * @param tenths tenths of the fleet that are affected
+ * @param forMillis duration of the fault (ms)
+ * @param pauseMillis fault-free time before it (ms)
  */
 record RecordTrouble(Kind kind, int tenths, int forMillis, int pauseMillis) {
 
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/RunnerTerminationExchangeTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/RunnerTerminationExchangeTest.java
@@ -8,22 +8,20 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Symptom: one host goes on sending a request that ends runners after the others hold it back.
+ * Guards against a host that keeps sending a request that terminates runners after the other hosts
+ * have quarantined it. Three runners terminate while processing it for three hosts, while the fleet
+ * loses datagrams, delegates or the links of a failure domain, or while hosts start. The cause
+ * would be changes that are sent only once, or only by hosts that have died.
  *
- * <p>Events: three runners end under it at three hosts while the fleet loses datagrams, delegates,
- * a failure domain's links, or while hosts start.
- *
- * <p>Cause looked for: news that is told once, or by hosts that are gone.
- *
- * <p>The aim is the users' bound: 3 s after the third end all hosts in touch hold it back. One
- * datagram in a hundred is lost.
+ * <p>The bound is the users': 3 s after the third termination, all connected hosts quarantine the
+ * request. One datagram in a hundred is lost.
  */
 class RunnerTerminationExchangeTest {
 
   private static final long REQUEST = 77;
   private static final long BOUND_MILLIS = 3_000;
 
-  /** A host that has just started, or come back, is to know it this soon (ms). */
+  /** A host that has just started must quarantine the request within this time (ms). */
   private static final long JOIN_BOUND_MILLIS = 1_000;
 
   private static PeerSimulation joined(long seed, int hosts) {
@@ -32,7 +30,7 @@
     return world;
   }
 
-  /** Three ends, each at another host. */
+  /** Terminates three runners, one after another, at the given hosts in turn. */
   private static void threeTerminations(PeerSimulation world, List<PeerSimulation.Host> at) {
     for (int i = 0; i < 3; i++) {
       world.advance(400);
@@ -47,7 +45,7 @@
 
   private static void assertQuarantinedEverywhere(PeerSimulation world) {
     for (PeerSimulation.Host host : world.running()) {
-      assertWithMessage("host %s holds it back", host.number)
+      assertWithMessage("host %s quarantines the request", host.number)
           .that(host.isQuarantined(REQUEST))
           .isTrue();
     }
@@ -123,7 +121,8 @@
           PeerSimulation world = joined(seed, hosts);
           world.cut((from, to) -> (from % 4 == 0) != (to % 4 == 0));
           world.advance(1_000);
-          threeTerminations(world, nonDelegates(world).stream().filter(host -> host.number % 4 == 1).toList());
+          threeTerminations(
+              world, nonDelegates(world).stream().filter(host -> host.number % 4 == 1).toList());
           world.advance(10_000);
           world.cut((from, to) -> false);
           world.advance(BOUND_MILLIS);
@@ -132,7 +131,7 @@
       }
     }
 
-    /** Whoever remembers is lost with all hosts but one. */
+    /** All hosts but one lose what they remember. */
     @Test
     void soleSurvivorInformsAllOthers() {
       PeerSimulation world = joined(4, 7);
@@ -150,7 +149,7 @@
     }
   }
 
-  /** What a host sends: nothing while nothing is held back; little for what is. */
+  /** The bytes that a host sends: none while nothing is quarantined, and few otherwise. */
   @Nested
   class Cost {
     private static final int MEASURED_MILLIS = 10_000;
@@ -161,24 +160,24 @@
       return (world.bytes() - before) * 1_000 / MEASURED_MILLIS / world.running().size();
     }
 
-    /** The aim: a tenth of the 3 KB/s that a host may spend on control. */
+    /** The bound is a tenth of the 3 KB/s that a host may spend on control traffic. */
     @Test
     void quarantinedRequestCostsLittle() {
       for (int hosts : new int[] {7, 95}) {
-        PeerSimulation calm = joined(6, hosts);
-        calm.advance(10_000);
+        PeerSimulation idle = joined(6, hosts);
+        idle.advance(10_000);
         PeerSimulation holding = joined(6, hosts);
         threeTerminations(holding, nonDelegates(holding));
         holding.advance(8_800);
-        long more = bytesPerSecond(holding) - bytesPerSecond(calm);
+        long more = bytesPerSecond(holding) - bytesPerSecond(idle);
         assertWithMessage("bytes/s a host more, of %s", hosts).that(more).isAtMost(300);
       }
     }
 
     /**
-     * The loss of a failure domain: 1,500 requests lose their runner at one host within a second.
-     * What goes out is bounded, 512 items in datagrams of 32, 20 ms apart; the request under which
-     * three runners ended is known everywhere all the same.
+     * On the loss of a failure domain, 1,500 requests lose their runner at one host within a
+     * second. The traffic is bounded to 512 items in datagrams of 32, 20 ms apart. The request with
+     * three terminations must still become known everywhere.
      */
     @Test
     void lossOfDomainDoesNotDisplaceQuarantinedRequests() {
