--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/RecordSync.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/RecordSync.java
@@ -17,8 +17,8 @@
 public final class RecordSync {
 
   /**
-   * Divisor of the propagation bound. For this part of it, this host relies on other hosts before it
-   * queries the store itself.
+   * Divisor of the propagation bound. For this part of it, this host relies on other hosts before
+   * it queries the store itself.
    */
   private static final int PEER_WAIT_DIVISOR = 2;
 
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/RunnerTerminationExchange.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/RunnerTerminationExchange.java
@@ -20,7 +20,8 @@
 import org.sequoiahub.schema.peer.RunnerEnds;
 
 /**
- * Exchanges with the other hosts the requests during which runners terminated. Decision thread only.
+ * Exchanges with the other hosts the requests during which runners terminated. Decision thread
+ * only.
  *
  * <p>A change is sent at once and repeated, as datagrams may be lost and a delegate may have died
  * undetected; in a large fleet the delegates forward it. A host that starts, or that reconnects
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/AllowancePoliciesTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/AllowancePoliciesTest.java
@@ -34,52 +34,52 @@
       double restart) {}
 
   private static Result measure(Supplier<AllowanceSimulation.Policy> policy) {
-    AllowanceSimulation usual = atUsualLoad(policy.get());
-    usual.countFromNow();
-    usual.offerLoad(20_000, USUAL_LOAD);
-    AllowanceSimulation hot = atUsualLoad(policy.get());
-    hot.countAllFromNow();
-    hot.offerLoad(12_000, OVERLOAD);
+    AllowanceSimulation usualLoad = atUsualLoad(policy.get());
+    usualLoad.countFromNow();
+    usualLoad.offerLoad(20_000, USUAL_LOAD);
+    AllowanceSimulation overload = atUsualLoad(policy.get());
+    overload.countAllFromNow();
+    overload.offerLoad(12_000, OVERLOAD);
     return new Result(
-        usual.refusedShare(),
-        hot.worstWindow(),
-        hot.grantedShare(),
+        usualLoad.refusedShare(),
+        overload.worstWindow(),
+        overload.grantedShare(),
         cut(policy.get(), 2),
         cut(policy.get(), 0),
         restart(policy.get()));
   }
 
   private static AllowanceSimulation atUsualLoad(AllowanceSimulation.Policy policy) {
-    AllowanceSimulation world = new AllowanceSimulation(11, HOSTS, policy);
-    world.offerLoad(JOIN_MILLIS, 0);
-    world.offerLoad(10_000, USUAL_LOAD);
-    return world;
+    AllowanceSimulation simulation = new AllowanceSimulation(11, HOSTS, policy);
+    simulation.offerLoad(JOIN_MILLIS, 0);
+    simulation.offerLoad(10_000, USUAL_LOAD);
+    return simulation;
   }
 
-  /** Splits the fleet into {@code parts}, or isolates result host of a third of it if that is 0. */
+  /** Splits the fleet into {@code parts}, or isolates each host of a third of it if that is 0. */
   private static double cut(AllowanceSimulation.Policy policy, int parts) {
-    AllowanceSimulation world = atUsualLoad(policy);
-    world.peers.cut(
+    AllowanceSimulation simulation = atUsualLoad(policy);
+    simulation.peers.cut(
         (from, to) -> parts == 0 ? from % 3 == 0 || to % 3 == 0 : from % parts != to % parts);
-    world.offerLoad(1_500, USUAL_LOAD);
-    world.countAllFromNow();
-    world.offerLoad(8_000, OVERLOAD);
-    return world.worstWindow();
+    simulation.offerLoad(1_500, USUAL_LOAD);
+    simulation.countAllFromNow();
+    simulation.offerLoad(8_000, OVERLOAD);
+    return simulation.worstWindow();
   }
 
   private static double restart(AllowanceSimulation.Policy policy) {
-    AllowanceSimulation world = atUsualLoad(policy);
-    world.countAllFromNow();
-    world.offerLoad(4_000, OVERLOAD);
+    AllowanceSimulation simulation = atUsualLoad(policy);
+    simulation.countAllFromNow();
+    simulation.offerLoad(4_000, OVERLOAD);
     for (int number = 0; number < HOSTS; number++) {
-      world.peers.kill(number);
+      simulation.peers.kill(number);
     }
-    world.peers.advance(700);
+    simulation.peers.advance(700);
     for (int number = 0; number < HOSTS; number++) {
-      world.restart(number);
+      simulation.restart(number);
     }
-    world.offerLoad(8_000, OVERLOAD);
-    return world.worstWindow();
+    simulation.offerLoad(8_000, OVERLOAD);
+    return simulation.worstWindow();
   }
 
   @Test
@@ -95,8 +95,9 @@
         (name, result) ->
             System.out.printf(
                 Locale.ROOT,
-                "%-26s refused of the usual %.3f; of the bound: hot %.2f (granted %.2f of the"
-                    + " limit), halves %.2f, one by one %.2f, all restarted %.2f%n",
+                "%-26s refused at the usual load %.3f; part of the bound: overload %.2f (granted"
+                    + " %.2f of the limit), split in halves %.2f, isolated hosts %.2f,"
+                    + " all restarted %.2f%n",
                 name,
                 result.refusedAtUsualLoad,
                 result.overload,
@@ -104,13 +105,13 @@
                 result.splitInHalves,
                 result.isolatedHosts,
                 result.restart));
-    Result kept = requireNonNull(results.get("delayed sums"));
-    assertThat(kept.refusedAtUsualLoad).isLessThan(0.01);
+    Result delayedSums = requireNonNull(results.get("delayed sums"));
+    assertThat(delayedSums.refusedAtUsualLoad).isLessThan(0.01);
     assertWithMessage("the worst window")
         .that(
             Math.max(
-                Math.max(kept.overload, kept.splitInHalves),
-                Math.max(kept.isolatedHosts, kept.restart)))
+                Math.max(delayedSums.overload, delayedSums.splitInHalves),
+                Math.max(delayedSums.isolatedHosts, delayedSums.restart)))
         .isAtMost(1.0);
   }
 }
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/AllowanceSimulation.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/AllowanceSimulation.java
@@ -21,7 +21,9 @@
 
   static final double LIMIT_PER_SECOND = 29_000;
 
-  /** The operators' bound is a window's allowance times this factor, plus the tokens below. */
+  /**
+   * The operators' bound is a window's allowance times this factor, plus {@link #TOLERANCE_TOKENS}.
+   */
   private static final double TOLERANCE_FACTOR = 1.25;
 
   private static final double TOLERANCE_TOKENS = 110_000;
@@ -30,13 +32,14 @@
 
   /** Decides whether a host may serve a request. */
   interface Policy {
-    boolean take(PeerSimulation world, PeerSimulation.Host host, Workspace workspace, long cost);
+    boolean take(
+        PeerSimulation simulation, PeerSimulation.Host host, Workspace workspace, long cost);
   }
 
   /** The policy of the product: sums of all hosts' spending, which arrive with a delay. */
   static final Policy DELAYED_SUMS =
-      (world, host, workspace, cost) ->
-          host.allowances.take(workspace, cost, world.now()).granted();
+      (simulation, host, workspace, cost) ->
+          host.allowances.take(workspace, cost, simulation.now()).granted();
 
   final PeerSimulation peers;
   private final Policy policy;
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/AllowanceTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/AllowanceTest.java
@@ -26,47 +26,47 @@
   /** Seven and a half times the usual load, as a part of the limit. */
   private static final double OVERLOAD = 7.5 * USUAL_LOAD;
 
-  private static AllowanceSimulation world(int hosts) {
-    return world(7, hosts);
+  private static AllowanceSimulation simulation(int hosts) {
+    return simulation(7, hosts);
   }
 
-  private static AllowanceSimulation world(long seed, int hosts) {
-    AllowanceSimulation world =
+  private static AllowanceSimulation simulation(long seed, int hosts) {
+    AllowanceSimulation simulation =
         new AllowanceSimulation(seed, hosts, AllowanceSimulation.DELAYED_SUMS);
-    world.peers.loseOneIn(20);
-    world.offerLoad(JOIN_MILLIS, 0);
-    return world;
+    simulation.peers.loseOneIn(20);
+    simulation.offerLoad(JOIN_MILLIS, 0);
+    return simulation;
   }
 
   @ParameterizedTest
   @ValueSource(ints = {1, 7, 77})
   void usualLoadIsNotRefused(int hosts) {
-    AllowanceSimulation world = world(hosts);
-    world.countFromNow();
-    world.offerLoad(30_000, USUAL_LOAD);
-    assertThat(world.refusedShare()).isLessThan(0.01);
+    AllowanceSimulation simulation = simulation(hosts);
+    simulation.countFromNow();
+    simulation.offerLoad(30_000, USUAL_LOAD);
+    assertThat(simulation.refusedShare()).isLessThan(0.01);
   }
 
   @ParameterizedTest
   @ValueSource(ints = {7, 77})
   void suddenLoadAtAllHostsStaysWithinTheBoundAndGetsItsAllowance(int hosts) {
-    AllowanceSimulation world = world(hosts);
-    world.offerLoad(10_000, USUAL_LOAD);
-    world.countAllFromNow();
-    world.offerLoad(15_000, OVERLOAD);
-    assertThat(world.worstWindow()).isAtMost(1.0);
-    assertThat(world.grantedShare()).isGreaterThan(0.95);
+    AllowanceSimulation simulation = simulation(hosts);
+    simulation.offerLoad(10_000, USUAL_LOAD);
+    simulation.countAllFromNow();
+    simulation.offerLoad(15_000, OVERLOAD);
+    assertThat(simulation.worstWindow()).isAtMost(1.0);
+    assertThat(simulation.grantedShare()).isGreaterThan(0.95);
   }
 
   @ParameterizedTest
   @ValueSource(ints = {7, 77})
   void suddenLoadAtOneHostStaysWithinTheBoundAndGetsItsAllowance(int hosts) {
-    AllowanceSimulation world = world(hosts);
-    world.offerLoad(10_000, USUAL_LOAD);
-    world.countAllFromNow();
-    world.offerLoad(15_000, OVERLOAD, hosts - 1);
-    assertThat(world.worstWindow()).isAtMost(1.0);
-    assertThat(world.grantedShare()).isGreaterThan(0.95);
+    AllowanceSimulation simulation = simulation(hosts);
+    simulation.offerLoad(10_000, USUAL_LOAD);
+    simulation.countAllFromNow();
+    simulation.offerLoad(15_000, OVERLOAD, hosts - 1);
+    assertThat(simulation.worstWindow()).isAtMost(1.0);
+    assertThat(simulation.grantedShare()).isGreaterThan(0.95);
   }
 
   @Nested
@@ -75,36 +75,36 @@
     @ParameterizedTest
     @ValueSource(ints = {7, 77})
     void disconnectedPartsStayWithinTheBoundTogether(int hosts) {
-      AllowanceSimulation world = world(hosts);
-      world.offerLoad(10_000, USUAL_LOAD);
-      world.peers.cut((from, to) -> from % 2 != to % 2);
-      world.offerLoad(1_500, USUAL_LOAD);
-      world.countAllFromNow();
-      world.offerLoad(8_000, OVERLOAD);
-      assertThat(world.worstWindow()).isAtMost(1.0);
+      AllowanceSimulation simulation = simulation(hosts);
+      simulation.offerLoad(10_000, USUAL_LOAD);
+      simulation.peers.cut((from, to) -> from % 2 != to % 2);
+      simulation.offerLoad(1_500, USUAL_LOAD);
+      simulation.countAllFromNow();
+      simulation.offerLoad(8_000, OVERLOAD);
+      assertThat(simulation.worstWindow()).isAtMost(1.0);
     }
 
     /** A third of the hosts receive nothing from any other host. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 7})
     void isolatedHostsStayWithinTheBoundTogether(long seed) {
-      AllowanceSimulation world = world(seed, 77);
-      world.offerLoad(10_000, USUAL_LOAD);
-      world.peers.cut((from, to) -> from % 3 == 0 || to % 3 == 0);
-      world.offerLoad(1_500, USUAL_LOAD);
-      world.countAllFromNow();
-      world.offerLoad(8_000, OVERLOAD);
-      assertThat(world.worstWindow()).isAtMost(1.0);
+      AllowanceSimulation simulation = simulation(seed, 77);
+      simulation.offerLoad(10_000, USUAL_LOAD);
+      simulation.peers.cut((from, to) -> from % 3 == 0 || to % 3 == 0);
+      simulation.offerLoad(1_500, USUAL_LOAD);
+      simulation.countAllFromNow();
+      simulation.offerLoad(8_000, OVERLOAD);
+      assertThat(simulation.worstWindow()).isAtMost(1.0);
     }
 
     @Test
     void usualLoadIsMostlyServedDuringCuts() {
-      AllowanceSimulation world = world(77);
-      world.offerLoad(10_000, USUAL_LOAD);
-      world.peers.cut((from, to) -> from % 2 != to % 2);
-      world.countFromNow();
-      world.offerLoad(8_000, USUAL_LOAD);
-      assertThat(world.refusedShare()).isLessThan(0.2);
+      AllowanceSimulation simulation = simulation(77);
+      simulation.offerLoad(10_000, USUAL_LOAD);
+      simulation.peers.cut((from, to) -> from % 2 != to % 2);
+      simulation.countFromNow();
+      simulation.offerLoad(8_000, USUAL_LOAD);
+      assertThat(simulation.refusedShare()).isLessThan(0.2);
     }
   }
 
@@ -113,51 +113,51 @@
     /** Their part of the window's sum is lost with them. */
     @Test
     void halfOfTheHostsRestartUnderLoad() {
-      AllowanceSimulation world = world(77);
-      world.offerLoad(10_000, USUAL_LOAD);
-      world.countAllFromNow();
-      world.offerLoad(4_000, OVERLOAD);
+      AllowanceSimulation simulation = simulation(77);
+      simulation.offerLoad(10_000, USUAL_LOAD);
+      simulation.countAllFromNow();
+      simulation.offerLoad(4_000, OVERLOAD);
       for (int number = 0; number < 77; number += 2) {
-        world.peers.kill(number);
+        simulation.peers.kill(number);
       }
-      world.offerLoad(1_500, OVERLOAD);
+      simulation.offerLoad(1_500, OVERLOAD);
       for (int number = 0; number < 77; number += 2) {
-        world.restart(number);
+        simulation.restart(number);
       }
-      world.offerLoad(10_000, OVERLOAD);
-      assertThat(world.worstWindow()).isAtMost(1.0);
-      assertThat(world.grantedShare()).isGreaterThan(0.7);
+      simulation.offerLoad(10_000, OVERLOAD);
+      assertThat(simulation.worstWindow()).isAtMost(1.0);
+      assertThat(simulation.grantedShare()).isGreaterThan(0.7);
     }
 
     /** No host remembers the window, which must not be granted a second time. */
     @ParameterizedTest
     @ValueSource(ints = {7, 77})
     void allHostsRestartUnderLoad(int hosts) {
-      AllowanceSimulation world = world(hosts);
-      world.offerLoad(10_000, USUAL_LOAD);
-      world.countAllFromNow();
-      world.offerLoad(4_000, OVERLOAD);
+      AllowanceSimulation simulation = simulation(hosts);
+      simulation.offerLoad(10_000, USUAL_LOAD);
+      simulation.countAllFromNow();
+      simulation.offerLoad(4_000, OVERLOAD);
       for (int number = 0; number < hosts; number++) {
-        world.peers.kill(number);
+        simulation.peers.kill(number);
       }
-      world.peers.advance(700);
+      simulation.peers.advance(700);
       for (int number = 0; number < hosts; number++) {
-        world.restart(number);
+        simulation.restart(number);
       }
-      world.offerLoad(10_000, OVERLOAD);
-      assertThat(world.worstWindow()).isAtMost(1.0);
+      simulation.offerLoad(10_000, OVERLOAD);
+      assertThat(simulation.worstWindow()).isAtMost(1.0);
     }
   }
 
   /** A lowered limit is in force one window after it is known. */
   @Test
   void loweredLimitHolds() {
-    AllowanceSimulation world = world(77);
-    world.offerLoad(10_000, USUAL_LOAD);
-    world.setLimit(AllowanceSimulation.LIMIT_PER_SECOND / 4);
-    world.countFromNow();
-    world.offerLoad(20_000, USUAL_LOAD);
-    assertThat(world.worstWindow()).isAtMost(1.0);
-    assertThat(world.grantedShare()).isGreaterThan(0.95);
+    AllowanceSimulation simulation = simulation(77);
+    simulation.offerLoad(10_000, USUAL_LOAD);
+    simulation.setLimit(AllowanceSimulation.LIMIT_PER_SECOND / 4);
+    simulation.countFromNow();
+    simulation.offerLoad(20_000, USUAL_LOAD);
+    assertThat(simulation.worstWindow()).isAtMost(1.0);
+    assertThat(simulation.grantedShare()).isGreaterThan(0.95);
   }
 }
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/AlternativePolicies.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/AlternativePolicies.java
@@ -47,12 +47,12 @@
   /** Each host may spend an equal share. */
   static AllowanceSimulation.Policy equalShares() {
     Map<PeerSimulation.Host, Bucket> buckets = new HashMap<>();
-    return (world, host, workspace, cost) -> {
-      double rate = workspace.allowance().perSecond() / world.size();
-      double burst = workspace.allowance().burst() / world.size();
+    return (simulation, host, workspace, cost) -> {
+      double rate = workspace.allowance().perSecond() / simulation.size();
+      double burst = workspace.allowance().burst() / simulation.size();
       return buckets
-          .computeIfAbsent(host, h -> new Bucket(burst, world.now()))
-          .take(rate, burst, cost, world.now());
+          .computeIfAbsent(host, h -> new Bucket(burst, simulation.now()))
+          .take(rate, burst, cost, simulation.now());
     };
   }
 
@@ -60,8 +60,8 @@
   static AllowanceSimulation.Policy demandShares() {
     Deque<long[]> asked = new ArrayDeque<>();
     Map<PeerSimulation.Host, Bucket> buckets = new HashMap<>();
-    return (world, host, workspace, cost) -> {
-      long now = world.now();
+    return (simulation, host, workspace, cost) -> {
+      long now = simulation.now();
       while (!asked.isEmpty() && asked.element()[0] < now - DEMAND_WINDOW_MILLIS) {
         asked.remove();
       }
@@ -73,7 +73,7 @@
         boolean mine = one[1] == host.number;
         boolean known = mine || one[0] <= now - PROPAGATION_MILLIS;
         own += mine ? 1 : 0;
-        all += known && (mine || world.reaches((int) one[1], host.number)) ? 1 : 0;
+        all += known && (mine || simulation.reaches((int) one[1], host.number)) ? 1 : 0;
       }
       double rate = workspace.allowance().perSecond() * own / all;
       double burst = workspace.allowance().burst() * own / all;
@@ -89,10 +89,10 @@
     return new AllowanceSimulation.Policy() {
       @Override
       public boolean take(
-          PeerSimulation world, PeerSimulation.Host host, Workspace workspace, long cost) {
-        PeerSimulation.Host home = homeOf(world, host);
-        long now = world.now();
-        double part = reachableShare(world, home);
+          PeerSimulation simulation, PeerSimulation.Host host, Workspace workspace, long cost) {
+        PeerSimulation.Host home = homeOf(simulation, host);
+        long now = simulation.now();
+        double part = reachableShare(simulation, home);
         double rate = workspace.allowance().perSecond() * part;
         double burst = workspace.allowance().burst() * part;
         // A new home does not know what its predecessor granted. It starts without a burst once
@@ -103,21 +103,21 @@
     };
   }
 
-  private static PeerSimulation.Host homeOf(PeerSimulation world, PeerSimulation.Host host) {
-    for (int number = 0; number < world.size(); number++) {
-      PeerSimulation.Host other = world.host(number);
-      if (other != null && (other == host || world.reaches(number, host.number))) {
+  private static PeerSimulation.Host homeOf(PeerSimulation simulation, PeerSimulation.Host host) {
+    for (int number = 0; number < simulation.size(); number++) {
+      PeerSimulation.Host other = simulation.host(number);
+      if (other != null && (other == host || simulation.reaches(number, host.number))) {
         return other;
       }
     }
     return host;
   }
 
-  private static double reachableShare(PeerSimulation world, PeerSimulation.Host home) {
+  private static double reachableShare(PeerSimulation simulation, PeerSimulation.Host home) {
     int reached = 1;
-    for (int number = 0; number < world.size(); number++) {
-      reached += number != home.number && world.reaches(number, home.number) ? 1 : 0;
+    for (int number = 0; number < simulation.size(); number++) {
+      reached += number != home.number && simulation.reaches(number, home.number) ? 1 : 0;
     }
-    return (double) reached / world.size();
+    return (double) reached / simulation.size();
   }
 }
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/ConfigurationBoundTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/ConfigurationBoundTest.java
@@ -73,17 +73,17 @@
     @Test
     void changeAfterRecoveryIsInForceWithinTheBound() {
       for (int outage = 3_000; outage <= 9_000; outage += 250) {
-        RecordSimulation world = new RecordSimulation(outage, HOSTS, DOMAINS);
-        world.advance(JOIN_MILLIS);
-        world.store.fault(Fault.SILENT, host -> true);
-        world.advance(outage);
-        world.store.fault(Fault.NONE, host -> false);
-        world.advance(1_000);
-        long version = world.configure();
-        world.advance(RecordSimulation.BOUND_MILLIS);
-        for (PeerSimulation.Host host : world.peers.running()) {
+        RecordSimulation simulation = new RecordSimulation(outage, HOSTS, DOMAINS);
+        simulation.advance(JOIN_MILLIS);
+        simulation.store.fault(Fault.SILENT, host -> true);
+        simulation.advance(outage);
+        simulation.store.fault(Fault.NONE, host -> false);
+        simulation.advance(1_000);
+        long version = simulation.configure();
+        simulation.advance(RecordSimulation.BOUND_MILLIS);
+        for (PeerSimulation.Host host : simulation.peers.running()) {
           assertWithMessage("version at host %s after an outage of %s ms", host.number, outage)
-              .that(world.host(host.number).versionInForce())
+              .that(simulation.host(host.number).versionInForce())
               .isEqualTo(version);
         }
       }
@@ -101,25 +101,25 @@
      */
     @Test
     void laterRecordIsPulledToo() {
-      RecordSimulation world = new RecordSimulation(1, 2, 2);
+      RecordSimulation simulation = new RecordSimulation(1, 2, 2);
       for (int adapter = 0; adapter < ADAPTERS; adapter++) {
-        world.store.publishVersion(adapterName(adapter), 1);
+        simulation.store.publishVersion(adapterName(adapter), 1);
       }
-      world.advance(JOIN_MILLIS);
-      world.kill(0);
-      world.store.faults(host -> host == 0 ? Fault.SLOW : Fault.REFUSING);
-      world.start(0);
-      world.advance(100);
+      simulation.advance(JOIN_MILLIS);
+      simulation.kill(0);
+      simulation.store.faults(host -> host == 0 ? Fault.SLOW : Fault.REFUSING);
+      simulation.start(0);
+      simulation.advance(100);
       // Written between its two pages: the first lacks the configuration, the second has a later
       // record.
-      long version = world.configure();
-      world.store.publishVersion(adapterName(ADAPTERS - 1), 2);
-      world.advance(JOIN_MILLIS);
+      long version = simulation.configure();
+      simulation.store.publishVersion(adapterName(ADAPTERS - 1), 2);
+      simulation.advance(JOIN_MILLIS);
       assertWithMessage("at the host that reads the store")
-          .that(world.host(0).versionInForce())
+          .that(simulation.host(0).versionInForce())
           .isEqualTo(version);
       assertWithMessage("at the host that the store rejects")
-          .that(world.host(1).versionInForce())
+          .that(simulation.host(1).versionInForce())
           .isEqualTo(version);
     }
 
@@ -134,39 +134,39 @@
     /** Guards against a host that starts with the configuration of an isolated host. */
     @Test
     void configurationOfIsolatedHostIsNotUsedWhileItMayBeOutdated() {
-      RecordSimulation world = new RecordSimulation(3, 3, 3);
-      world.advance(JOIN_MILLIS);
-      world.store.fault(Fault.REFUSING, host -> host > 0);
-      world.cut((from, to) -> from == 0 || to == 0);
-      world.advance(RecordSimulation.BOUND_MILLIS);
-      world.configure();
-      world.advance(JOIN_MILLIS);
-      world.kill(2);
-      world.start(2);
-      world.advance(1_000);
+      RecordSimulation simulation = new RecordSimulation(3, 3, 3);
+      simulation.advance(JOIN_MILLIS);
+      simulation.store.fault(Fault.REFUSING, host -> host > 0);
+      simulation.cut((from, to) -> from == 0 || to == 0);
+      simulation.advance(RecordSimulation.BOUND_MILLIS);
+      simulation.configure();
+      simulation.advance(JOIN_MILLIS);
+      simulation.kill(2);
+      simulation.start(2);
+      simulation.advance(1_000);
       assertWithMessage("version while it may be outdated")
-          .that(world.host(2).versionInForce())
+          .that(simulation.host(2).versionInForce())
           .isEqualTo(-1);
-      world.advance(RecordSimulation.BOUND_MILLIS);
+      simulation.advance(RecordSimulation.BOUND_MILLIS);
       assertWithMessage("version when no better one is available")
-          .that(world.host(2).versionInForce())
+          .that(simulation.host(2).versionInForce())
           .isEqualTo(1);
     }
 
     /** Guards against a host that does not serve because the store rejects it. */
     @Test
     void configurationOfConnectedHostsIsUsedAtOnce() {
-      RecordSimulation world = new RecordSimulation(4, 3, 3);
-      world.advance(JOIN_MILLIS);
-      world.store.fault(Fault.REFUSING, host -> host == 2);
-      final long version = world.configure();
-      world.kill(2);
-      world.start(2);
-      world.advance(1_000);
+      RecordSimulation simulation = new RecordSimulation(4, 3, 3);
+      simulation.advance(JOIN_MILLIS);
+      simulation.store.fault(Fault.REFUSING, host -> host == 2);
+      final long version = simulation.configure();
+      simulation.kill(2);
+      simulation.start(2);
+      simulation.advance(1_000);
       assertWithMessage("version of the other hosts")
-          .that(world.host(2).versionInForce())
+          .that(simulation.host(2).versionInForce())
           .isEqualTo(version);
-      assertWithMessage("is ready").that(world.host(2).registry.isInitialized()).isTrue();
+      assertWithMessage("is ready").that(simulation.host(2).registry.isInitialized()).isTrue();
     }
   }
 
@@ -176,14 +176,14 @@
     private static final int IDLE_MILLIS = 3_000;
 
     private void injectEach(int hosts, int forMillis, List<Kind> kinds) {
-      RecordSimulation world = new RecordSimulation(hosts, hosts, 4);
-      RecordBoundsChecker bounds = new RecordBoundsChecker(world, hosts);
+      RecordSimulation simulation = new RecordSimulation(hosts, hosts, 4);
+      RecordBoundsChecker bounds = new RecordBoundsChecker(simulation, hosts);
       bounds.advance(2 * JOIN_MILLIS);
-      long callsBefore = world.store.calls();
-      world.advance(IDLE_MILLIS);
+      long callsBefore = simulation.store.calls();
+      simulation.advance(IDLE_MILLIS);
       System.out.printf(
-          "calls to the store of a calm fleet of %d: %.1f a second%n",
-          hosts, (world.store.calls() - callsBefore) * 1_000.0 / IDLE_MILLIS);
+          "store calls of an idle fleet of %d hosts: %.1f per second%n",
+          hosts, (simulation.store.calls() - callsBefore) * 1_000.0 / IDLE_MILLIS);
       for (Kind kind : kinds) {
         bounds.inject(new RecordTrouble(kind, 4, forMillis, 500));
       }
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/LargeFleetTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/LargeFleetTest.java
@@ -18,27 +18,30 @@
   /** A change at a host (100 ms), two digests (150 ms each), one of which is lost (150 ms). */
   private static final long PROPAGATION_MILLIS = 600;
 
-  private final PeerSimulation world = new PeerSimulation(5, HOSTS, DOMAINS);
+  private final PeerSimulation simulation = new PeerSimulation(5, HOSTS, DOMAINS);
 
   @BeforeEach
   void join() {
-    world.advance(4_000);
+    simulation.advance(4_000);
   }
 
   private void assertAllAlive(int hosts) {
-    for (PeerSimulation.Host host : world.running()) {
+    for (PeerSimulation.Host host : simulation.running()) {
       assertWithMessage("hosts that host %s knows", host.number)
-          .that(host.members.alive(world.now()))
+          .that(host.members.alive(simulation.now()))
           .hasSize(hosts - 1);
     }
   }
 
   private PeerSimulation.Host anyNonDelegate() {
-    return world.running().stream().filter(host -> !host.topology.isDelegate()).findFirst().get();
+    return simulation.running().stream()
+        .filter(host -> !host.topology.isDelegate())
+        .findFirst()
+        .get();
   }
 
   private List<Integer> delegates() {
-    return world.running().stream()
+    return simulation.running().stream()
         .filter(host -> host.topology.isDelegate())
         .map(host -> host.number)
         .toList();
@@ -47,8 +50,8 @@
   private void assertChangeReachesAll(PeerSimulation.Host host) {
     host.configRevision++;
     host.heartbeats.changed();
-    world.advance(PROPAGATION_MILLIS);
-    for (PeerSimulation.Host other : world.running()) {
+    simulation.advance(PROPAGATION_MILLIS);
+    for (PeerSimulation.Host other : simulation.running()) {
       assertWithMessage("revision at host %s", other.number)
           .that(other.configRevision)
           .isEqualTo(host.configRevision);
@@ -77,16 +80,16 @@
     @Test
     void loadsAreSummedOnceOverTheFleet() {
       for (int host : List.of(1, 2, 3, 5)) {
-        PeerSimulation.Host sender = world.running().get(host);
+        PeerSimulation.Host sender = simulation.running().get(host);
         sender.loads.add(RUNNER, 2, 100, 0, "m/a1");
         sender.heartbeats.changed();
       }
-      world.advance(PROPAGATION_MILLIS);
-      for (PeerSimulation.Host host : world.running()) {
+      simulation.advance(PROPAGATION_MILLIS);
+      for (PeerSimulation.Host host : simulation.running()) {
         assertWithMessage("requests that host %s counts", host.number)
-            .that(host.loads.requests(RUNNER, world.now()))
+            .that(host.loads.requests(RUNNER, simulation.now()))
             .isEqualTo(8);
-        assertThat(host.loads.unreadTokens(RUNNER, world.now())).isEqualTo(400);
+        assertThat(host.loads.unreadTokens(RUNNER, simulation.now())).isEqualTo(400);
       }
     }
   }
@@ -99,16 +102,16 @@
      */
     @Test
     void deadDelegatesAreReplaced() {
-      delegates().forEach(world::kill);
-      world.advance(4_000);
+      delegates().forEach(simulation::kill);
+      simulation.advance(4_000);
       assertAllAlive(HOSTS - 2 * DOMAINS);
       assertChangeReachesAll(anyNonDelegate());
     }
 
     @Test
     void deadHostIsDetectedByAll() {
-      world.kill(anyNonDelegate().number);
-      world.advance(4_000);
+      simulation.kill(anyNonDelegate().number);
+      simulation.advance(4_000);
       assertAllAlive(HOSTS - 1);
     }
 
@@ -121,10 +124,10 @@
     @Test
     void halvesFindEachOtherAfterCuts() {
       for (long millis : new long[] {10_000, 25_000}) {
-        world.cut((from, to) -> from % 2 != to % 2);
-        world.advance(millis);
-        world.cut((from, to) -> false);
-        world.advance(5_000);
+        simulation.cut((from, to) -> from % 2 != to % 2);
+        simulation.advance(millis);
+        simulation.cut((from, to) -> false);
+        simulation.advance(5_000);
         assertAllAlive(HOSTS);
       }
     }
@@ -132,14 +135,14 @@
     @Test
     void allFindEachOtherAfterLossOfPower() {
       for (int host = 0; host < HOSTS; host++) {
-        world.kill(host);
+        simulation.kill(host);
       }
-      world.advance(1_400);
+      simulation.advance(1_400);
       for (int host = 0; host < HOSTS; host++) {
-        world.start(host);
-        world.advance(20);
+        simulation.start(host);
+        simulation.advance(20);
       }
-      world.advance(2_500);
+      simulation.advance(2_500);
       assertAllAlive(HOSTS);
       assertThat(delegates()).hasSize(2 * DOMAINS);
     }
@@ -147,11 +150,11 @@
     @Test
     void hostThatIsCutOffBecomesItsOwnDelegate() {
       PeerSimulation.Host alone = anyNonDelegate();
-      world.cut((from, to) -> from == alone.number || to == alone.number);
-      world.advance(4_000);
+      simulation.cut((from, to) -> from == alone.number || to == alone.number);
+      simulation.advance(4_000);
       assertThat(alone.topology.isDelegate()).isTrue();
-      world.cut((from, to) -> false);
-      world.advance(3_000);
+      simulation.cut((from, to) -> false);
+      simulation.advance(3_000);
       assertAllAlive(HOSTS);
       assertThat(alone.topology.isDelegate()).isFalse();
     }
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/PeerCostTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/PeerCostTest.java
@@ -12,14 +12,14 @@
 
   /** Returns the bytes that one idle host sends in a second. */
   private static long bytesPerSecond(int hosts) {
-    PeerSimulation world = new PeerSimulation(3, hosts, 4);
-    world.advance(JOIN_MILLIS);
-    long before = world.bytes();
-    world.advance(MEASURED_MILLIS);
-    for (PeerSimulation.Host host : world.running()) {
-      assertThat(host.members.alive(world.now())).hasSize(hosts - 1);
+    PeerSimulation simulation = new PeerSimulation(3, hosts, 4);
+    simulation.advance(JOIN_MILLIS);
+    long before = simulation.bytes();
+    simulation.advance(MEASURED_MILLIS);
+    for (PeerSimulation.Host host : simulation.running()) {
+      assertThat(host.members.alive(simulation.now())).hasSize(hosts - 1);
     }
-    return (world.bytes() - before) * 1_000 / MEASURED_MILLIS / hosts;
+    return (simulation.bytes() - before) * 1_000 / MEASURED_MILLIS / hosts;
   }
 
   /**
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/RecordBoundsChecker.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/RecordBoundsChecker.java
@@ -31,7 +31,7 @@
 
   private static final String ADAPTER = "a1";
 
-  private final RecordSimulation world;
+  private final RecordSimulation simulation;
   private final Random random;
 
   /** When each configuration version was confirmed. */
@@ -52,27 +52,27 @@
   private int intervalMillis = CHANGE_INTERVAL_MILLIS;
   private String currentFault = "joining";
 
-  RecordBoundsChecker(RecordSimulation world, long seed) {
-    this.world = world;
+  RecordBoundsChecker(RecordSimulation simulation, long seed) {
+    this.simulation = simulation;
     this.random = new Random(seed);
-    confirmed.put(world.version(), world.now());
+    confirmed.put(simulation.version(), simulation.now());
   }
 
   /** Advances the time while changes are made at intervals. */
   void advance(long millis) {
-    for (long end = world.now() + millis; world.now() < end; ) {
-      if (world.now() - changedMillis >= intervalMillis) {
+    for (long end = simulation.now() + millis; simulation.now() < end; ) {
+      if (simulation.now() - changedMillis >= intervalMillis) {
         change();
       }
-      world.step();
-      if (world.now() % CHECK_PERIOD_MILLIS == 0) {
+      simulation.step();
+      if (simulation.now() % CHECK_PERIOD_MILLIS == 0) {
         check();
       }
     }
   }
 
   void inject(RecordTrouble fault) {
-    currentFault = fault + " from " + world.now();
+    currentFault = fault + " from " + simulation.now();
     advance(fault.pauseMillis());
     Set<Integer> affected = drawHosts(fault.tenths());
     switch (fault.kind()) {
@@ -82,42 +82,42 @@
       case STORE_SLOW -> injectStoreFault(Fault.SLOW, affected, fault);
       case STORE_LOSES_ANSWERS -> injectStoreFault(Fault.LOSING, affected, fault);
       case STORE_STALE -> {
-        world.store.stale(fault.forMillis());
-        world.store.dropHistory();
+        simulation.store.stale(fault.forMillis());
+        simulation.store.dropHistory();
         awaitStoreFault(fault.forMillis());
-        world.store.stale(0);
+        simulation.store.stale(0);
       }
       case WATCHES_QUIET_THEN_HISTORY_DROPPED -> {
-        world.store.quietWatches();
+        simulation.store.quietWatches();
         awaitStoreFault(1_000);
-        world.store.dropHistory();
-        storeFaultyUntil = world.now();
+        simulation.store.dropHistory();
+        storeFaultyUntil = simulation.now();
       }
       case CONNECTIONS_SILENT -> {
-        world.store.silenceConnections();
-        for (PeerSimulation.Host host : world.peers.running()) {
-          hostFaultyUntil.put(host.number, world.now());
+        simulation.store.silenceConnections();
+        for (PeerSimulation.Host host : simulation.peers.running()) {
+          hostFaultyUntil.put(host.number, simulation.now());
         }
         advance(fault.forMillis());
       }
       case PEER_CONNECTIONS_SILENT -> {
-        world.silenceConnections((from, to) -> affected.contains(to));
+        simulation.silenceConnections((from, to) -> affected.contains(to));
         advance(fault.forMillis());
-        world.silenceConnections((from, to) -> false);
+        simulation.silenceConnections((from, to) -> false);
       }
       case HOSTS_RESTART -> restart(affected, fault);
       case HOSTS_FREEZE -> {
-        long until = world.now() + fault.forMillis();
+        long until = simulation.now() + fault.forMillis();
         for (int host : affected) {
-          world.peers.freeze(host, until);
+          simulation.peers.freeze(host, until);
           hostFaultyUntil.put(host, until);
         }
         advance(fault.forMillis());
       }
       case HOSTS_CUT_ONE_WAY -> {
-        world.cut((from, to) -> affected.contains(from) && !affected.contains(to));
+        simulation.cut((from, to) -> affected.contains(from) && !affected.contains(to));
         advance(fault.forMillis());
-        world.cut((from, to) -> false);
+        simulation.cut((from, to) -> false);
       }
       case CHANGES_IN_STORM -> {
         intervalMillis = STORM_INTERVAL_MILLIS;
@@ -130,75 +130,76 @@
 
   private Set<Integer> drawHosts(int tenths) {
     Set<Integer> affected = new HashSet<>();
-    int wanted = Math.max(1, world.peers.size() * tenths / 10);
+    int wanted = Math.max(1, simulation.peers.size() * tenths / 10);
     while (affected.size() < wanted) {
-      affected.add(random.nextInt(world.peers.size()));
+      affected.add(random.nextInt(simulation.peers.size()));
     }
     return affected;
   }
 
   /** Injects a store fault for some hosts; the operator is served unless it affects all of them. */
   private void injectStoreFault(Fault kind, Set<Integer> affected, RecordTrouble fault) {
-    world.store.fault(kind, affected::contains);
+    simulation.store.fault(kind, affected::contains);
     boolean rejectsHosts =
         kind == Fault.SILENT || kind == Fault.REFUSING || kind == Fault.RESETTING;
-    if (rejectsHosts && affected.size() < world.peers.size()) {
+    if (rejectsHosts && affected.size() < simulation.peers.size()) {
       advance(fault.forMillis());
     } else {
       awaitStoreFault(fault.forMillis());
     }
-    world.store.fault(Fault.NONE, host -> false);
+    simulation.store.fault(Fault.NONE, host -> false);
   }
 
   private void awaitStoreFault(long millis) {
-    storeFaultyUntil = world.now() + millis;
+    storeFaultyUntil = simulation.now() + millis;
     advance(millis);
   }
 
   private void restart(Set<Integer> affected, RecordTrouble fault) {
     for (int host : affected) {
-      world.kill(host);
+      simulation.kill(host);
       highestVersions.remove(host);
       hostFaultyUntil.put(host, Long.MAX_VALUE / 2);
     }
     advance(Math.min(fault.forMillis(), 2_000));
     for (int host : affected) {
-      world.start(host);
-      hostFaultyUntil.put(host, world.now());
+      simulation.start(host);
+      hostFaultyUntil.put(host, simulation.now());
     }
     advance(500);
   }
 
   /** Makes a change of an operator or a runner; none is confirmed while all is down. */
   private void change() {
-    changedMillis = world.now();
+    changedMillis = simulation.now();
     switch (random.nextInt(3)) {
       case 0 -> {
         int version = publishedVersions.isEmpty() ? 1 : publishedVersions.lastKey() + 1;
-        world.store.publishVersion(ADAPTER, version);
-        publishedVersions.put(version, world.now());
+        simulation.store.publishVersion(ADAPTER, version);
+        publishedVersions.put(version, simulation.now());
       }
-      case 1 -> leaving.put(world.now(), world.replaceRunner());
-      default -> confirmed.put(world.configure(), world.now());
+      case 1 -> leaving.put(simulation.now(), simulation.replaceRunner());
+      default -> confirmed.put(simulation.configure(), simulation.now());
     }
   }
 
   private boolean isConnected(int host) {
-    return hostFaultyUntil.getOrDefault(host, world.now() - 2 * RECOVERY_MILLIS) + RECOVERY_MILLIS
-            <= world.now()
-        && storeFaultyUntil + RECOVERY_MILLIS <= world.now();
+    return hostFaultyUntil.getOrDefault(host, simulation.now() - 2 * RECOVERY_MILLIS)
+                + RECOVERY_MILLIS
+            <= simulation.now()
+        && storeFaultyUntil + RECOVERY_MILLIS <= simulation.now();
   }
 
   private void check() {
-    for (PeerSimulation.Host host : world.peers.running()) {
-      if (!world.peers.isFrozen(host.number)) {
+    for (PeerSimulation.Host host : simulation.peers.running()) {
+      if (!simulation.peers.isFrozen(host.number)) {
         check(host.number);
       }
     }
   }
 
   private void check(int host) {
-    RecordSimulation.HostRecords records = world.host(host);
+    RecordSimulation.HostRecords records = simulation.host(host);
     long version = records.versionInForce();
     long before = highestVersions.getOrDefault(host, -1L);
     assertWithMessage("version at host %s", host).that(version).isAtLeast(before);
@@ -207,24 +208,25 @@
       confirmed
           .subMap(before, false, version, true)
           .values()
-          .forEach(at -> latencies.add(world.now() - at));
+          .forEach(at -> latencies.add(simulation.now() - at));
     }
     highestVersions.put(host, version);
     if (!isConnected(host)) {
       return;
     }
     long due = latestDue(confirmed, RecordSimulation.BOUND_MILLIS, -1L);
-    assertWithMessage("version at connected host %s at %s, %s", host, world.now(), currentFault)
+    assertWithMessage(
+            "version at connected host %s at %s, %s", host, simulation.now(), currentFault)
         .that(version)
         .isAtLeast(due);
     int adapter = latestDue(publishedVersions, VERSION_BOUND_MILLIS, 0);
-    assertWithMessage("adapter version at host %s at %s, %s", host, world.now(), currentFault)
+    assertWithMessage("adapter version at host %s at %s, %s", host, simulation.now(), currentFault)
         .that(records.registry.newestVersion("m/" + ADAPTER))
         .isAtLeast(adapter);
-    long latest = world.now() - RecordSimulation.DRAIN_MILLIS;
+    long latest = simulation.now() - RecordSimulation.DRAIN_MILLIS;
     for (String runner : leaving.subMap(latest - LEFT_RUNNER_CHECK_MILLIS, latest).values()) {
       assertWithMessage(
-              "use of runner %s at host %s at %s, %s", runner, host, world.now(), currentFault)
+              "use of runner %s at host %s at %s, %s", runner, host, simulation.now(), currentFault)
           .that(records.isUsable(runner))
           .isFalse();
     }
@@ -233,7 +235,7 @@
   private <K extends Comparable<K>> K latestDue(TreeMap<K, Long> changes, long bound, K none) {
     K due = none;
     for (Map.Entry<K, Long> change : changes.entrySet()) {
-      if (change.getValue() + bound <= world.now()) {
+      if (change.getValue() + bound <= simulation.now()) {
         due = change.getKey();
       }
     }
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/RunnerTerminationExchangeTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/RunnerTerminationExchangeTest.java
@@ -25,26 +25,26 @@
   private static final long JOIN_BOUND_MILLIS = 1_000;
 
   private static PeerSimulation joined(long seed, int hosts) {
-    PeerSimulation world = new PeerSimulation(seed, hosts, 4);
-    world.advance(hosts > 16 ? 4_000 : 2_000);
-    return world;
+    PeerSimulation simulation = new PeerSimulation(seed, hosts, 4);
+    simulation.advance(hosts > 16 ? 4_000 : 2_000);
+    return simulation;
   }
 
   /** Terminates three runners, one after another, at the given hosts in turn. */
-  private static void threeTerminations(PeerSimulation world, List<PeerSimulation.Host> at) {
+  private static void threeTerminations(PeerSimulation simulation, List<PeerSimulation.Host> at) {
     for (int i = 0; i < 3; i++) {
-      world.advance(400);
-      long now = world.now();
+      simulation.advance(400);
+      long now = simulation.now();
       at.get(i % at.size()).runnerTerminated(REQUEST, 100 + i, now - 60, now);
     }
   }
 
-  private static List<PeerSimulation.Host> nonDelegates(PeerSimulation world) {
-    return world.running().stream().filter(host -> !host.topology.isDelegate()).toList();
+  private static List<PeerSimulation.Host> nonDelegates(PeerSimulation simulation) {
+    return simulation.running().stream().filter(host -> !host.topology.isDelegate()).toList();
   }
 
-  private static void assertQuarantinedEverywhere(PeerSimulation world) {
-    for (PeerSimulation.Host host : world.running()) {
+  private static void assertQuarantinedEverywhere(PeerSimulation simulation) {
+    for (PeerSimulation.Host host : simulation.running()) {
       assertWithMessage("host %s quarantines the request", host.number)
           .that(host.isQuarantined(REQUEST))
           .isTrue();
@@ -57,10 +57,10 @@
     void reachesAllHostsOfAnySize() {
       for (int hosts : new int[] {2, 7, 16, 17, 40, 95}) {
         for (long seed = 1; seed <= 5; seed++) {
-          PeerSimulation world = joined(seed, hosts);
-          threeTerminations(world, nonDelegates(world));
-          world.advance(BOUND_MILLIS);
-          assertQuarantinedEverywhere(world);
+          PeerSimulation simulation = joined(seed, hosts);
+          threeTerminations(simulation, nonDelegates(simulation));
+          simulation.advance(BOUND_MILLIS);
+          assertQuarantinedEverywhere(simulation);
         }
       }
     }
@@ -68,28 +68,28 @@
     @Test
     void reachesAllWhenBothDelegatesOfTheGroupDie() {
       for (long seed = 1; seed <= 10; seed++) {
-        PeerSimulation world = joined(seed, 40);
-        PeerSimulation.Host witness = nonDelegates(world).get(0);
-        threeTerminations(world, List.of(witness));
-        for (PeerSimulation.Host host : world.running()) {
+        PeerSimulation simulation = joined(seed, 40);
+        PeerSimulation.Host witness = nonDelegates(simulation).get(0);
+        threeTerminations(simulation, List.of(witness));
+        for (PeerSimulation.Host host : simulation.running()) {
           if (host.topology.isDelegate() && witness.topology.isInOwnGroup("host-" + host.number)) {
-            world.kill(host.number);
+            simulation.kill(host.number);
           }
         }
-        world.advance(BOUND_MILLIS);
-        assertQuarantinedEverywhere(world);
+        simulation.advance(BOUND_MILLIS);
+        assertQuarantinedEverywhere(simulation);
       }
     }
 
     @Test
     void successfulResponseReachesAll() {
       for (int hosts : new int[] {7, 40}) {
-        PeerSimulation world = joined(3, hosts);
-        threeTerminations(world, nonDelegates(world));
-        world.advance(BOUND_MILLIS);
-        nonDelegates(world).get(1).requestSucceeded(REQUEST);
-        world.advance(BOUND_MILLIS);
-        for (PeerSimulation.Host host : world.running()) {
+        PeerSimulation simulation = joined(3, hosts);
+        threeTerminations(simulation, nonDelegates(simulation));
+        simulation.advance(BOUND_MILLIS);
+        nonDelegates(simulation).get(1).requestSucceeded(REQUEST);
+        simulation.advance(BOUND_MILLIS);
+        for (PeerSimulation.Host host : simulation.running()) {
           assertThat(host.isQuarantined(REQUEST)).isFalse();
         }
       }
@@ -102,14 +102,14 @@
     void startedHostIsInformedAtOnce() {
       for (int hosts : new int[] {7, 40}) {
         for (long seed = 1; seed <= 10; seed++) {
-          PeerSimulation world = joined(seed, hosts);
-          threeTerminations(world, nonDelegates(world));
-          world.advance(30_000);
-          world.kill(hosts - 1);
-          world.advance(1_500);
-          world.start(hosts - 1);
-          world.advance(JOIN_BOUND_MILLIS);
-          assertQuarantinedEverywhere(world);
+          PeerSimulation simulation = joined(seed, hosts);
+          threeTerminations(simulation, nonDelegates(simulation));
+          simulation.advance(30_000);
+          simulation.kill(hosts - 1);
+          simulation.advance(1_500);
+          simulation.start(hosts - 1);
+          simulation.advance(JOIN_BOUND_MILLIS);
+          assertQuarantinedEverywhere(simulation);
         }
       }
     }
@@ -118,15 +118,16 @@
     void isolatedDomainIsInformedOnReconnection() {
       for (int hosts : new int[] {7, 40}) {
         for (long seed = 1; seed <= 10; seed++) {
-          PeerSimulation world = joined(seed, hosts);
-          world.cut((from, to) -> (from % 4 == 0) != (to % 4 == 0));
-          world.advance(1_000);
+          PeerSimulation simulation = joined(seed, hosts);
+          simulation.cut((from, to) -> (from % 4 == 0) != (to % 4 == 0));
+          simulation.advance(1_000);
           threeTerminations(
-              world, nonDelegates(world).stream().filter(host -> host.number % 4 == 1).toList());
-          world.advance(10_000);
-          world.cut((from, to) -> false);
-          world.advance(BOUND_MILLIS);
-          assertQuarantinedEverywhere(world);
+              simulation,
+              nonDelegates(simulation).stream().filter(host -> host.number % 4 == 1).toList());
+          simulation.advance(10_000);
+          simulation.cut((from, to) -> false);
+          simulation.advance(BOUND_MILLIS);
+          assertQuarantinedEverywhere(simulation);
         }
       }
     }
@@ -134,18 +135,18 @@
     /** All hosts but one lose what they remember. */
     @Test
     void soleSurvivorInformsAllOthers() {
-      PeerSimulation world = joined(4, 7);
-      threeTerminations(world, world.running());
-      world.advance(BOUND_MILLIS);
+      PeerSimulation simulation = joined(4, 7);
+      threeTerminations(simulation, simulation.running());
+      simulation.advance(BOUND_MILLIS);
       for (int host = 1; host < 7; host++) {
-        world.kill(host);
+        simulation.kill(host);
       }
-      world.advance(1_000);
+      simulation.advance(1_000);
       for (int host = 1; host < 7; host++) {
-        world.start(host);
+        simulation.start(host);
       }
-      world.advance(JOIN_BOUND_MILLIS);
-      assertQuarantinedEverywhere(world);
+      simulation.advance(JOIN_BOUND_MILLIS);
+      assertQuarantinedEverywhere(simulation);
     }
   }
 
@@ -154,10 +155,10 @@
   class Cost {
     private static final int MEASURED_MILLIS = 10_000;
 
-    private long bytesPerSecond(PeerSimulation world) {
-      long before = world.bytes();
-      world.advance(MEASURED_MILLIS);
-      return (world.bytes() - before) * 1_000 / MEASURED_MILLIS / world.running().size();
+    private long bytesPerSecond(PeerSimulation simulation) {
+      long before = simulation.bytes();
+      simulation.advance(MEASURED_MILLIS);
+      return (simulation.bytes() - before) * 1_000 / MEASURED_MILLIS / simulation.running().size();
     }
 
     /** The bound is a tenth of the 3 KB/s that a host may spend on control traffic. */
@@ -181,14 +182,14 @@
      */
     @Test
     void lossOfDomainDoesNotDisplaceQuarantinedRequests() {
-      PeerSimulation world = joined(7, 7);
-      PeerSimulation.Host witness = world.running().get(2);
-      threeTerminations(world, List.of(witness));
+      PeerSimulation simulation = joined(7, 7);
+      PeerSimulation.Host witness = simulation.running().get(2);
+      threeTerminations(simulation, List.of(witness));
       for (int i = 0; i < 1_500; i++) {
-        witness.runnerTerminated(1_000 + i, i % 10, world.now() - 500, world.now());
+        witness.runnerTerminated(1_000 + i, i % 10, simulation.now() - 500, simulation.now());
       }
-      world.advance(BOUND_MILLIS);
-      assertQuarantinedEverywhere(world);
+      simulation.advance(BOUND_MILLIS);
+      assertQuarantinedEverywhere(simulation);
     }
   }
 }
