--- a/sequoia-node/src/main/java/org/sequoiahub/node/store/ConfigurationStatus.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/store/ConfigurationStatus.java
@@ -1,13 +1,13 @@
 package org.sequoiahub.node.store;
 
 /**
- * Which configuration a host uses, for operators.
+ * The configuration that a host uses, as reported to operators.
  *
- * @param version the operator's number of it; -1 if none is in force
- * @param revision the store's revision of its record
- * @param fromPeer whether another host passed it on
- * @param inForceSinceMillis since when it is in force
- * @param confirmedMillis when the store, or a host that others rely on, last had nothing newer
+ * @param version the version that the operator assigned; -1 if no configuration is in force
+ * @param revision the store revision of its record
+ * @param fromPeer whether it was received from another host
+ * @param inForceSinceMillis when it came into force
+ * @param confirmedMillis when the store, or a host on which others rely, last had no newer record
  */
 public record ConfigurationStatus(
     long version, long revision, boolean fromPeer, long inForceSinceMillis, long confirmedMillis) {
--- a/sequoia-node/src/main/java/org/sequoiahub/node/store/StoreFollower.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/store/StoreFollower.java
@@ -9,41 +9,44 @@
 import org.sequoiahub.usersplatform.StoredItem;
 
 /**
- * Follows one prefix of the store: reads it whole, then watches it, and begins anew when the store
- * has dropped the history in between.
+ * Follows one prefix of the store: reads it completely, then watches it, and starts over when the
+ * store has dropped the history since the last answer.
  *
- * <p>Runs on the decision thread; answers are handed to it through {@code decisions}.
+ * <p>Runs on the decision thread, to which {@code decisionExecutor} passes the answers.
  */
 public final class StoreFollower {
 
-  /** First pause after a failed call (ms); doubles up to the longest. */
-  private static final long FIRST_PAUSE_MILLIS = 100;
+  /** Backoff after the first failed call (ms); doubles up to the maximum. */
+  private static final long INITIAL_BACKOFF_MILLIS = 100;
 
-  private static final long LONGEST_PAUSE_MILLIS = 400;
+  private static final long MAX_BACKOFF_MILLIS = 400;
 
-  /** The longest that an answer may take beyond the hold (ms), for a store that is slow. */
-  private static final long LONGEST_PATIENCE_MILLIS = 1_200;
+  /** Maximum time that an answer may take beyond the hold (ms), for a slow store. */
+  private static final long MAX_ANSWER_TIMEOUT_MILLIS = 1_200;
 
-  /** How long the store may hold the first watch after a failure (ms): only its answer is asked. */
+  /**
+   * How long the store may hold the first watch after a failure (ms): it only checks that the store
+   * answers.
+   */
   private static final long PROBE_HOLD_MILLIS = 1;
 
   private final StoreReader client;
   private final String prefix;
   private final WatchTiming timing;
   private final StoreListener listener;
-  private final Consumer<Runnable> decisions;
+  private final Consumer<Runnable> decisionExecutor;
   private final LongSupplier clock;
   private long revision = -1;
   private long dueMillis;
-  private long pauseMillis = FIRST_PAUSE_MILLIS;
-  private long patienceMillis;
-  private long askedMillis;
-  private boolean calling;
+  private long backoffMillis = INITIAL_BACKOFF_MILLIS;
+  private long answerTimeoutMillis;
+  private long calledMillis;
+  private boolean callInFlight;
   private boolean reachable = true;
   private boolean rereading;
-  private List<StoredItem> pages = new ArrayList<>();
+  private List<StoredItem> readItems = new ArrayList<>();
   private long firstPageRevision;
-  private String after = "";
+  private String lastKey = "";
 
   /** Creates a follower; {@link #tick} makes the calls. */
   public StoreFollower(
@@ -51,78 +54,85 @@
       String prefix,
       WatchTiming timing,
       StoreListener listener,
-      Consumer<Runnable> decisions,
+      Consumer<Runnable> decisionExecutor,
       LongSupplier clock) {
     this.client = client;
     this.prefix = prefix;
     this.timing = timing;
-    this.patienceMillis = timing.answerTimeoutMillis();
+    this.answerTimeoutMillis = timing.answerTimeoutMillis();
     this.listener = listener;
-    this.decisions = decisions;
+    this.decisionExecutor = decisionExecutor;
     this.clock = clock;
   }
 
-  /** Makes the next call if it is due. */
+  /** Makes the next call if it is due and none is in flight. */
   public void tick(long nowMillis) {
-    if (calling || nowMillis < dueMillis) {
+    if (callInFlight || nowMillis < dueMillis) {
       return;
     }
-    calling = true;
-    askedMillis = nowMillis;
+    callInFlight = true;
+    calledMillis = nowMillis;
     dueMillis = nowMillis + timing.minIntervalMillis();
     if (revision < 0) {
-      client.range(prefix, after, patienceMillis, answer -> post(() -> page(answer)));
+      client.range(
+          prefix, lastKey, answerTimeoutMillis, answer -> post(() -> pageReceived(answer)));
     } else {
       long hold = reachable ? timing.holdMillis() : PROBE_HOLD_MILLIS;
       client.watch(
-          prefix, revision, hold, hold + patienceMillis, answer -> post(() -> changes(answer)));
+          prefix,
+          revision,
+          hold,
+          hold + answerTimeoutMillis,
+          answer -> post(() -> changesReceived(answer)));
     }
   }
 
-  /** Returns whether the last call that ended was answered. */
+  /** Returns whether the last completed call was answered. */
   public boolean isReachable() {
     return reachable;
   }
 
   private void post(Runnable work) {
-    decisions.accept(work);
+    decisionExecutor.accept(work);
   }
 
-  private void page(Answer answer) {
+  private void pageReceived(Answer answer) {
     long now = clock.getAsLong();
-    calling = false;
+    callInFlight = false;
     if (!(answer instanceof Answer.Items items)) {
       failed(answer, now);
       return;
     }
     succeeded(now);
-    if (after.isEmpty()) {
-      // Later pages may show later states; the watch starts from the first page and repeats them.
+    if (lastKey.isEmpty()) {
+      // Later pages may show later states. The watch starts at the revision of the first page and
+      // repeats their changes.
       firstPageRevision = items.revision();
     }
-    pages.addAll(items.items());
+    readItems.addAll(items.items());
     dueMillis = now;
     if (items.more() && !items.items().isEmpty()) {
-      after = items.items().get(items.items().size() - 1).key();
+      lastKey = items.items().get(items.items().size() - 1).key();
       return;
     }
     revision = firstPageRevision;
-    List<StoredItem> all = pages;
+    List<StoredItem> all = readItems;
     restartReading();
     if (rereading) {
-      // A reading older than the history would be followed by the next one at once.
-      dueMillis = now + nextPause();
+      // If this reading is already older than the store's history, the next one would follow at
+      // once.
+      dueMillis = now + nextBackoff();
     }
     listener.snapshot(prefix, all, revision, now);
   }
 
-  private void changes(Answer answer) {
+  private void changesReceived(Answer answer) {
     long now = clock.getAsLong();
-    calling = false;
+    callInFlight = false;
     if (answer instanceof Answer.Items items) {
       succeeded(now);
       rereading = false;
-      pauseMillis = FIRST_PAUSE_MILLIS;
+      backoffMillis = INITIAL_BACKOFF_MILLIS;
       revision = Math.max(revision, items.revision());
       listener.changes(prefix, items.items(), revision, now);
     } else if (answer instanceof Answer.HistoryLost) {
@@ -137,32 +147,35 @@
   }
 
   private void restartReading() {
-    pages = new ArrayList<>();
-    after = "";
+    readItems = new ArrayList<>();
+    lastKey = "";
   }
 
   private void succeeded(long nowMillis) {
-    patienceMillis = Math.max(timing.answerTimeoutMillis(), patienceMillis / 2);
+    answerTimeoutMillis = Math.max(timing.answerTimeoutMillis(), answerTimeoutMillis / 2);
     if (!reachable) {
       reachable = true;
-      listener.reachabilityChanged(prefix, true, "", nowMillis - askedMillis, nowMillis);
+      listener.reachabilityChanged(prefix, true, "", nowMillis - calledMillis, nowMillis);
     }
   }
 
   private void failed(Answer answer, long nowMillis) {
-    dueMillis = nowMillis + nextPause();
-    patienceMillis =
-        Math.max(timing.answerTimeoutMillis(), Math.min(LONGEST_PATIENCE_MILLIS, patienceMillis * 2));
+    dueMillis = nowMillis + nextBackoff();
+    answerTimeoutMillis =
+        Math.max(
+            timing.answerTimeoutMillis(),
+            Math.min(MAX_ANSWER_TIMEOUT_MILLIS, answerTimeoutMillis * 2));
     restartReading();
     if (reachable) {
       reachable = false;
-      listener.reachabilityChanged(prefix, false, answer.toString(), nowMillis - askedMillis, nowMillis);
+      listener.reachabilityChanged(
+          prefix, false, answer.toString(), nowMillis - calledMillis, nowMillis);
     }
   }
 
-  private long nextPause() {
-    long pause = pauseMillis;
-    pauseMillis = Math.min(LONGEST_PAUSE_MILLIS, pauseMillis * 2);
-    return pause;
+  private long nextBackoff() {
+    long backoff = backoffMillis;
+    backoffMillis = Math.min(MAX_BACKOFF_MILLIS, backoffMillis * 2);
+    return backoff;
   }
 }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/store/StoreListener.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/store/StoreListener.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import org.sequoiahub.usersplatform.StoredItem;
 
-/** Receives what the store holds, on the decision thread. */
+/** Receives the contents of the store and its changes, on the decision thread. */
 public interface StoreListener {
 
   /** Receives all items of a prefix as of one revision. */
@@ -13,9 +13,11 @@
   void changes(String prefix, List<StoredItem> items, long revision, long nowMillis);
 
   /**
-   * Told that the store was lost or regained, for one prefix.
+   * Called when the store became unreachable or reachable again for a prefix.
    *
-   * @param askedMillisAgo when the call was made that shows it
+   * @param why why the call failed; empty if the store is reachable
+   * @param calledMillisAgo how long ago the call was made that shows it
    */
-  void reachabilityChanged(String prefix, boolean reachable, String why, long askedMillisAgo, long nowMillis);
+  void reachabilityChanged(
+      String prefix, boolean reachable, String why, long calledMillisAgo, long nowMillis);
 }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/store/StoreRegistry.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/store/StoreRegistry.java
@@ -22,67 +22,67 @@
 import org.sequoiahub.usersplatform.StoredKeys;
 
 /**
- * What the store holds, as this host accepted it; runs on the decision thread.
+ * The store's records, as accepted by this host. Runs on the decision thread.
  *
- * <p>For each key the newest revision wins, whether the store or another host told it, so nothing
- * goes back while the process lives.
+ * <p>For each key the newest revision wins, whether it comes from the store or from another host,
+ * so no record reverts to an older revision during the life of the process.
  */
 public final class StoreRegistry implements StoreListener {
 
   /**
-   * Keys for which it is remembered that their unreadable value was logged: more than the runners
-   * of one deployment, so that a writer of many bad keys fills neither the log nor the memory.
+   * Maximum number of keys whose unreadable value is remembered as logged. It exceeds the number of
+   * runners in a deployment, so that a writer of many bad keys fills neither the log nor memory.
    */
-  private static final int MAX_IGNORED = 4_096;
+  private static final int MAX_IGNORED_KEYS = 4_096;
 
   private final RecordDecoder decoder;
-  private final RunnerRegistry book;
-  private final Consumer<RoutingTable> tables;
-  private final Runnable changed;
+  private final RunnerRegistry runnerRegistry;
+  private final Consumer<RoutingTable> tableListener;
+  private final Runnable changeListener;
   private final EventLog log;
-  private final Map<String, StoredItem> operator = new HashMap<>();
-  private final Map<String, StoredItem> runners = new HashMap<>();
-  private final Map<String, Integer> versions = new HashMap<>();
+  private final Map<String, StoredItem> operatorRecords = new HashMap<>();
+  private final Map<String, StoredItem> runnerRecords = new HashMap<>();
+  private final Map<String, Integer> newestVersions = new HashMap<>();
   private long operatorsCompleteTo;
-  private long newestOperator;
+  private long newestOperatorRevision;
 
-  /** A configuration that was passed on before this host could know whether it is the newest. */
-  private @Nullable Held held;
+  /** A configuration from another host that is not yet confirmed as the newest; null if none. */
+  private @Nullable PendingConfiguration pending;
 
-  /** Whether a configuration of another host is used at once. */
+  /** Whether a configuration from another host comes into force at once. */
   private boolean trustsPeers;
 
   private volatile ConfigurationStatus status = ConfigurationStatus.NONE;
-  private long runnersRevision;
+  private long newestRunnersRevision;
 
-  /** The revision of each key that was logged as unreadable last; the oldest keys are forgotten. */
+  /** The last revision of each key that was logged as unreadable; the oldest keys are dropped. */
   private final Map<String, Long> ignoredRevisions =
       new LinkedHashMap<>() {
         @Override
         protected boolean removeEldestEntry(Map.Entry<String, Long> eldest) {
-          return size() > MAX_IGNORED;
+          return size() > MAX_IGNORED_KEYS;
         }
       };
 
-  /** A configuration on its way into force. */
-  private record Held(RoutingTable table, long revision, boolean fromPeer) {}
+  /** A configuration that is to come into force. */
+  private record PendingConfiguration(RoutingTable table, long revision, boolean fromPeer) {}
 
   /**
    * Creates a registry.
    *
-   * @param tables receives each configuration that comes into force
-   * @param changed told when something is news
+   * @param tableListener receives the routing table of each configuration that comes into force
+   * @param changeListener called when a record has changed
    */
   public StoreRegistry(
       RecordDecoder decoder,
-      RunnerRegistry book,
-      Consumer<RoutingTable> tables,
-      Runnable changed,
+      RunnerRegistry runnerRegistry,
+      Consumer<RoutingTable> tableListener,
+      Runnable changeListener,
       EventLog log) {
     this.decoder = decoder;
-    this.book = book;
-    this.tables = tables;
-    this.changed = changed;
+    this.runnerRegistry = runnerRegistry;
+    this.tableListener = tableListener;
+    this.changeListener = changeListener;
     this.log = log;
   }
 
@@ -92,132 +92,135 @@
       List<Change> entries = new ArrayList<>();
       Set<String> unreadable = new HashSet<>();
       for (StoredItem item : items) {
-        if (!runnerChange(item, entries)) {
+        if (!addRunnerChange(item, entries)) {
           unreadable.add(StoredKeys.runnerId(item.key()));
         }
       }
-      entries.forEach(this::noteWhetherItMatters);
-      book.replace(entries, unreadable, revision, nowMillis);
-      missing(items, revision).forEach(this::noteRemoval);
+      entries.forEach(this::recordIfRelevant);
+      runnerRegistry.replace(entries, unreadable, revision, nowMillis);
+      removedRunners(items, revision).forEach(this::recordRemoval);
     } else {
-      items.forEach(item -> operatorChange(item, false, nowMillis));
+      items.forEach(item -> applyOperatorItem(item, false, nowMillis));
       confirmed(nowMillis, nowMillis);
       operatorsCompleteTo = Math.max(operatorsCompleteTo, revision);
     }
     log.info("store-read", "prefix", prefix, "items", items.size(), "revision", revision);
-    changed.run();
+    changeListener.run();
   }
 
-  /** Returns the runners that are known, but not in a whole reading: they left unseen. */
-  private List<StoredItem> missing(List<StoredItem> read, long revision) {
+  /** Returns removals of the known runners that a complete reading lacks: they left unnoticed. */
+  private List<StoredItem> removedRunners(List<StoredItem> read, long revision) {
     Set<String> present = read.stream().map(StoredItem::key).collect(Collectors.toSet());
-    return runners.values().stream()
+    return runnerRecords.values().stream()
         .filter(item -> item.value() != null && item.revision() <= revision)
         .filter(item -> !present.contains(item.key()))
         .map(item -> new StoredItem(item.key(), revision, null))
         .toList();
   }
 
-  private void noteRemoval(StoredItem removed) {
-    runners.put(removed.key(), removed);
-    runnersRevision = Math.max(runnersRevision, removed.revision());
+  private void recordRemoval(StoredItem removed) {
+    runnerRecords.put(removed.key(), removed);
+    newestRunnersRevision = Math.max(newestRunnersRevision, removed.revision());
   }
 
-  /** Runners write all the time; only some changes matter to hosts that do not watch the store. */
-  private void noteWhetherItMatters(Change change) {
-    RunnerEntry before = book.find(change.id()).orElse(null);
+  /**
+   * Advances the runners' revision if a change is relevant to hosts that do not watch the store.
+   * Runners write constantly, and most of their changes are not.
+   */
+  private void recordIfRelevant(Change change) {
+    RunnerEntry before = runnerRegistry.find(change.id()).orElse(null);
     RunnerEntry now = change.entry();
-    boolean same =
+    boolean irrelevant =
         before != null
             && now != null
-            && !book.vanished(change.id())
+            && !runnerRegistry.vanished(change.id())
             && before.incarnation().equals(now.incarnation())
             && before.address().equals(now.address())
             && before.leaving() == now.leaving();
-    if (!same) {
-      runnersRevision = Math.max(runnersRevision, change.revision());
+    if (!irrelevant) {
+      newestRunnersRevision = Math.max(newestRunnersRevision, change.revision());
     }
   }
 
   @Override
   public void changes(String prefix, List<StoredItem> items, long revision, long nowMillis) {
-    boolean news = false;
+    boolean updated = false;
     if (prefix.equals(StoredKeys.RUNNER_PREFIX)) {
       List<Change> entries = new ArrayList<>();
       for (StoredItem item : items) {
-        runnerChange(item, entries);
+        addRunnerChange(item, entries);
       }
       for (Change entry : entries) {
-        news |= apply(entry, nowMillis);
+        updated |= apply(entry, nowMillis);
       }
-      book.completeTo(revision);
+      runnerRegistry.completeTo(revision);
     } else {
       for (StoredItem item : items) {
-        news |= operatorChange(item, false, nowMillis);
+        updated |= applyOperatorItem(item, false, nowMillis);
       }
       confirmed(nowMillis, nowMillis);
       operatorsCompleteTo = Math.max(operatorsCompleteTo, revision);
     }
-    if (news) {
-      changed.run();
+    if (updated) {
+      changeListener.run();
     }
   }
 
   @Override
   public void reachabilityChanged(
-      String prefix, boolean reachable, String why, long askedMillisAgo, long nowMillis) {
+      String prefix, boolean reachable, String why, long calledMillisAgo, long nowMillis) {
     if (reachable) {
-      log.info("store-regained", "prefix", prefix, "asked_ms_ago", askedMillisAgo);
+      log.info("store-regained", "prefix", prefix, "asked_ms_ago", calledMillisAgo);
     } else {
-      log.warning("store-lost", "prefix", prefix, "asked_ms_ago", askedMillisAgo, "why", why);
+      log.warning("store-lost", "prefix", prefix, "asked_ms_ago", calledMillisAgo, "why", why);
     }
   }
 
-  /** Takes in a record that another host passed on; returns whether it was news. */
+  /** Applies a record from another host, and returns whether it changed anything. */
   public boolean applyFromPeer(StoredItem item, long nowMillis) {
     if (!item.key().startsWith(StoredKeys.RUNNER_PREFIX)) {
-      return operatorChange(item, true, nowMillis);
+      return applyOperatorItem(item, true, nowMillis);
     }
     List<Change> entries = new ArrayList<>();
-    runnerChange(item, entries);
-    boolean news = false;
+    addRunnerChange(item, entries);
+    boolean updated = false;
     for (Change entry : entries) {
-      news |= apply(entry, nowMillis);
+      updated |= apply(entry, nowMillis);
     }
-    return news;
+    return updated;
   }
 
   /** Returns whether a configuration is in force and the runners are known. */
   public boolean isInitialized() {
-    return status.version() >= 0 && book.revision() > 0;
+    return status.version() >= 0 && runnerRegistry.revision() > 0;
   }
 
-  /** Returns which configuration is in force; may be called on any thread. */
+  /** Returns the status of the configuration in force; may be called on any thread. */
   public ConfigurationStatus status() {
     return status;
   }
 
   /**
-   * Records that nothing newer of operators was known at a moment to the store, or to a host that
-   * this one relies on. A configuration that was held until then comes into force.
+   * Records that the store, or a host on which this one relies, knew of no newer operators' record
+   * at the given time. A pending configuration comes into force.
    */
   public void confirmed(long atMillis, long nowMillis) {
     status = status.confirmedAt(atMillis);
     activatePending(nowMillis);
   }
 
-  /** Uses a configuration that waits for its confirmation, and later ones at once. */
+  /** Activates the pending configuration, if any, and lets later ones come into force at once. */
   public void activatePending(long nowMillis) {
     trustsPeers = true;
-    Held waiting = held;
-    held = null;
-    if (waiting != null) {
-      use(waiting, nowMillis);
+    PendingConfiguration next = pending;
+    pending = null;
+    if (next != null) {
+      activate(next, nowMillis);
     }
   }
 
-  private void use(Held next, long nowMillis) {
-    tables.accept(next.table);
+  private void activate(PendingConfiguration next, long nowMillis) {
+    tableListener.accept(next.table);
     status =
         new ConfigurationStatus(
             next.table.version(),
@@ -241,53 +244,53 @@
 
   /** Returns the newest published version of an adapter; 0 if none was published. */
   public int newestVersion(String target) {
-    return versions.getOrDefault(target, 0);
+    return newestVersions.getOrDefault(target, 0);
   }
 
   /** Returns the revision of the newest record that operators wrote; 0 if none is known. */
   public long newestOperatorRevision() {
-    return newestOperator;
+    return newestOperatorRevision;
   }
 
-  /** Returns the revision of the newest change by which a runner came, began to leave or went. */
+  /** Returns the revision of the newest change by which a runner joined, began to leave or left. */
   public long newestRunnersRevision() {
-    return runnersRevision;
+    return newestRunnersRevision;
   }
 
   /**
-   * Returns the store's revision up to which all operators' records are known here. The newest
-   * record may be later: a reading in pages shows some changes before others.
+   * Returns the store revision up to which this host has all operators' records. The newest record
+   * may be later, as a paged reading returns some changes before others.
    */
   public long operatorsCompleteTo() {
     return operatorsCompleteTo;
   }
 
-  /** Returns the store's revision up to which all runners' entries are known here. */
+  /** Returns the store revision up to which this host has all runners' entries. */
   public long runnersCompleteTo() {
-    return book.revision();
+    return runnerRegistry.revision();
   }
 
   /**
-   * Records that another host passed on all that is newer here than what was known, up to these
+   * Records that another host has provided all records that this host lacked, up to the given
    * revisions.
    */
   public void completeTo(long operatorsRevision, long runnersRevision) {
     operatorsCompleteTo = Math.max(operatorsCompleteTo, operatorsRevision);
-    book.completeTo(runnersRevision);
+    runnerRegistry.completeTo(runnersRevision);
   }
 
   /** Returns the operators' records that are newer than {@code revision}. */
   public List<StoredItem> operatorRecordsSince(long revision) {
-    return operator.values().stream().filter(item -> item.revision() > revision).toList();
+    return operatorRecords.values().stream().filter(item -> item.revision() > revision).toList();
   }
 
   /** Returns the runners' records that are newer than {@code revision}. */
   public List<StoredItem> runnerRecordsSince(long revision) {
-    return runners.values().stream().filter(item -> item.revision() > revision).toList();
+    return runnerRecords.values().stream().filter(item -> item.revision() > revision).toList();
   }
 
-  /** Adds the change that an item is; returns whether it could be read. */
-  private boolean runnerChange(StoredItem item, List<Change> entries) {
+  /** Adds the change that an item represents, and returns whether the item could be read. */
+  private boolean addRunnerChange(StoredItem item, List<Change> entries) {
     String id = StoredKeys.runnerId(item.key());
     byte @Nullable [] value = item.value();
     if (value == null) {
@@ -297,19 +300,19 @@
         RunnerEntry entry = decoder.runner(id, value);
         entries.add(new Change(id, item.revision(), entry));
       } catch (DecodeException e) {
-        ignored(item, e);
+        logIgnored(item, e);
         return false;
       }
     }
-    StoredItem before = runners.get(item.key());
+    StoredItem before = runnerRecords.get(item.key());
     if (before == null || before.revision() < item.revision()) {
-      runners.put(item.key(), item);
+      runnerRecords.put(item.key(), item);
     }
     return true;
   }
 
-  /** Logs an item that cannot be read, once: each whole reading brings it again. */
-  private void ignored(StoredItem item, DecodeException problem) {
+  /** Logs an unreadable item once, as each complete reading returns it again. */
+  private void logIgnored(StoredItem item, DecodeException problem) {
     Long logged = ignoredRevisions.put(item.key(), item.revision());
     if (logged == null || logged != item.revision()) {
       log.warning("record-ignored", "key", item.key(), "why", problem.getMessage());
@@ -317,16 +320,16 @@
   }
 
   private boolean apply(Change change, long nowMillis) {
-    noteWhetherItMatters(change);
-    RunnerEntry before = book.find(change.id()).orElse(null);
-    boolean news = book.apply(change, nowMillis);
+    recordIfRelevant(change);
+    RunnerEntry before = runnerRegistry.find(change.id()).orElse(null);
+    boolean applied = runnerRegistry.apply(change, nowMillis);
     RunnerEntry entry = change.entry();
-    boolean matters =
+    boolean relevant =
         before == null
             || entry == null
             || entry.leaving() != before.leaving()
             || !entry.incarnation().equals(before.incarnation());
-    if (news && matters) {
+    if (applied && relevant) {
       log.info(
           "runner-changed",
           "runner",
@@ -340,32 +343,32 @@
           "leaving",
           entry != null && entry.leaving());
     }
-    return news;
+    return applied;
   }
 
-  private boolean operatorChange(StoredItem item, boolean fromPeer, long nowMillis) {
-    StoredItem before = operator.get(item.key());
+  private boolean applyOperatorItem(StoredItem item, boolean fromPeer, long nowMillis) {
+    StoredItem before = operatorRecords.get(item.key());
     byte @Nullable [] value = item.value();
     if (value == null || (before != null && before.revision() >= item.revision())) {
       return false;
     }
     try {
       if (item.key().equals(StoredKeys.CONFIGURATION)) {
-        held = new Held(decoder.configuration(value), item.revision(), fromPeer);
+        pending = new PendingConfiguration(decoder.configuration(value), item.revision(), fromPeer);
         if (trustsPeers || !fromPeer) {
           activatePending(nowMillis);
         }
       } else if (item.key().startsWith(StoredKeys.VERSION_PREFIX)) {
         PublishedVersion version = decoder.version(value);
-        versions.merge(version.target(), version.version(), Math::max);
+        newestVersions.merge(version.target(), version.version(), Math::max);
         log.info("adapter-version", "adapter", version.target(), "version", version.version());
       }
     } catch (DecodeException e) {
-      ignored(item, e);
+      logIgnored(item, e);
       return false;
     }
-    operator.put(item.key(), item);
-    newestOperator = Math.max(newestOperator, item.revision());
+    operatorRecords.put(item.key(), item);
+    newestOperatorRevision = Math.max(newestOperatorRevision, item.revision());
     return true;
   }
 }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/store/WatchTiming.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/store/WatchTiming.java
@@ -3,39 +3,47 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * How long the watches of a prefix take.
+ * The timing of the watches of a prefix.
  *
- * <p>A watch that the store or the network lost looks like one that waits, and hides every change
- * until it is given up. So the store may hold it, and be late with it, for less than the time in
- * which a change must be known.
+ * <p>A watch that the store or the network lost looks like one that is waiting, and hides every
+ * change until it times out. The hold and the timeout of its answer must therefore add up to less
+ * than the time within which a change must be known.
  *
  * @param holdMillis how long the store may hold a watch
- * @param answerTimeoutMillis an answer that is so late means a lost call
- * @param minIntervalMillis watches start at least this far apart: each call has a price, and the
- *     changes of one pause come with one call
+ * @param answerTimeoutMillis how long an answer may take beyond the hold before the call counts as
+ *     lost
+ * @param minIntervalMillis the minimum interval between the starts of watches: each call has a
+ *     cost, and the changes of one interval are returned by one call
  */
 public record WatchTiming(long holdMillis, long answerTimeoutMillis, long minIntervalMillis) {
 
   private static final int HOLD_DIVISOR = 2;
-  private static final int PATIENCE_DIVISOR = 4;
+  private static final int ANSWER_DIVISOR = 4;
 
-  /** Checks that a watch can be answered in time. */
+  /** Checks that a watch can be answered before it times out. */
   public WatchTiming {
     checkArgument(holdMillis > 0, "holdMillis must be above 0, was %s", holdMillis);
-    checkArgument(answerTimeoutMillis > 0, "patienceMillis must be above 0, was %s", answerTimeoutMillis);
-    checkArgument(minIntervalMillis >= 0, "spacingMillis must not be negative, was %s", minIntervalMillis);
+    checkArgument(
+        answerTimeoutMillis > 0,
+        "answerTimeoutMillis must be above 0, was %s",
+        answerTimeoutMillis);
+    checkArgument(
+        minIntervalMillis >= 0,
+        "minIntervalMillis must not be negative, was %s",
+        minIntervalMillis);
   }
 
   /**
-   * Returns times with which a lost watch is noticed and repeated within a bound: half of it for
-   * the hold, a quarter for the answer, the rest for the next call and for telling other hosts.
+   * Returns a timing with which a lost watch is detected and repeated within a bound: half of it is
+   * for the hold, a quarter for the answer, and the rest for the next call and for informing other
+   * hosts.
    *
-   * @param boundMillis the time in which a change must be known
+   * @param boundMillis the time within which a change must be known
    */
-  public static WatchTiming within(long boundMillis, long spacingMillis) {
+  public static WatchTiming within(long boundMillis, long minIntervalMillis) {
     return new WatchTiming(
         Math.max(1, boundMillis / HOLD_DIVISOR),
-        Math.max(1, boundMillis / PATIENCE_DIVISOR),
-        spacingMillis);
+        Math.max(1, boundMillis / ANSWER_DIVISOR),
+        minIntervalMillis);
   }
 }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/store/package-info.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/store/package-info.java
@@ -1,4 +1,4 @@
-/** Reading the platform's store and following its changes. */
+/** Reads the platform's store and follows its changes. */
 @NullMarked
 package org.sequoiahub.node.store;
 
--- a/sequoia-node/src/test/java/org/sequoiahub/node/store/StoreConnectionsTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/store/StoreConnectionsTest.java
@@ -22,11 +22,11 @@
 import org.sequoiahub.usersplatform.StoreClient;
 import org.sequoiahub.usersplatform.StoreClient.Answer;
 
-/** A store whose connections go silent for good while new ones work. */
+/** A store whose existing connections fall silent forever while new ones work. */
 class StoreConnectionsTest {
 
-  private static final int PATIENT_MILLIS = 20_000;
-  private static final int SHORT_MILLIS = 200;
+  private static final int LONG_TIMEOUT_MILLIS = 20_000;
+  private static final int SHORT_TIMEOUT_MILLIS = 200;
 
   private static final String BODY = "{\"items\":[],\"currentRev\":9}";
   private static final String ANSWER =
@@ -35,8 +35,8 @@
           + "\r\n\r\n"
           + BODY;
 
-  /** The first two calls are answered once both are there, so that each has its connection. */
-  private final CyclicBarrier both = new CyclicBarrier(2);
+  /** The first two calls are answered once both have arrived, so that each has its connection. */
+  private final CyclicBarrier firstTwoCalls = new CyclicBarrier(2);
 
   private final AtomicInteger accepted = new AtomicInteger();
   private ServerSocket server;
@@ -69,7 +69,7 @@
         reader.start();
       }
     } catch (IOException e) {
-      // The test is over.
+      // The test has closed the server.
     }
   }
 
@@ -85,7 +85,7 @@
           continue;
         }
         if (number <= 2) {
-          both.await(PATIENT_MILLIS, TimeUnit.MILLISECONDS);
+          firstTwoCalls.await(LONG_TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
           silent = true;
         }
         out.write(ANSWER.getBytes(UTF_8));
@@ -102,17 +102,17 @@
     return answer;
   }
 
-  /** Guards against a lost call being repeated on another connection that is as silent. */
+  /** Guards against a lost call being repeated on another connection that is silent too. */
   @Test
-  void callAfterLostOneGoesOverNewConnection() throws Exception {
-    CompletableFuture<Answer> first = call(PATIENT_MILLIS);
-    CompletableFuture<Answer> second = call(PATIENT_MILLIS);
+  void callAfterTimeoutUsesNewConnection() throws Exception {
+    CompletableFuture<Answer> first = call(LONG_TIMEOUT_MILLIS);
+    CompletableFuture<Answer> second = call(LONG_TIMEOUT_MILLIS);
     assertThat(first.get()).isInstanceOf(Answer.Items.class);
     assertThat(second.get()).isInstanceOf(Answer.Items.class);
 
-    assertThat(call(SHORT_MILLIS).get()).isInstanceOf(Answer.Failed.class);
+    assertThat(call(SHORT_TIMEOUT_MILLIS).get()).isInstanceOf(Answer.Failed.class);
 
-    assertThat(call(PATIENT_MILLIS).get()).isInstanceOf(Answer.Items.class);
+    assertThat(call(LONG_TIMEOUT_MILLIS).get()).isInstanceOf(Answer.Items.class);
     assertThat(accepted.get()).isEqualTo(3);
   }
 }
