--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/PeerHeartbeats.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/PeerHeartbeats.java
@@ -42,7 +42,7 @@
 
   /**
    * Bounds of a host's heartbeat interval in a large fleet (ms). Within them it follows the
-   * members' period, as the larger the fleet, the later a silent host is suspected.
+   * members' period: the larger the fleet, the later a silent host is suspected.
    */
   private static final long MIN_HEARTBEAT_MILLIS = 250;
 
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/RetransmissionQueue.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/RetransmissionQueue.java
@@ -12,9 +12,8 @@
 final class RetransmissionQueue {
 
   /**
-   * Delays between the transmissions of a change (ms), which is thus repeated after 0.2, 1, 2 and
-   * 3.5 s. A dead delegate is replaced within 1.4 s, and all hosts must receive a change within 3
-   * s.
+   * Delays between the transmissions of a change (ms): it is repeated after 0.2, 1, 2 and 3.5 s. A
+   * dead delegate is replaced within 1.4 s, and a change must reach all hosts within 3 s.
    */
   private static final long[] RETRANSMIT_DELAYS_MILLIS = {200, 800, 1_000, 1_500};
 
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/StateCodec.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/StateCodec.java
@@ -117,7 +117,7 @@
     return message.build();
   }
 
-  /** Decodes the holdings of the runners whose holder is a host. */
+  /** Decodes the holdings in the state of their holder, by runner. */
   public static Map<String, Holdings.Holding> decodeHoldings(
       String host, HostState state, long nowMillis) {
     Map<String, Holdings.Holding> holdings = new HashMap<>();
