--- a/sequoia-core/src/main/java/org/sequoiahub/core/retry/RetryBudget.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/retry/RetryBudget.java
@@ -3,40 +3,40 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * Allows retries only as a share of first attempts.
+ * Limits retries to a ratio of first attempts.
  *
- * <p>When everything fails, unbounded retries multiply the load on what is left; the sign is an
- * attempt rate far above the request rate. A share bounds that factor whatever fails.
+ * <p>When everything fails, unlimited retries multiply the load on the remaining capacity; the
+ * symptom is an attempt rate far above the request rate. A ratio bounds that factor whatever fails.
  */
 public final class RetryBudget {
 
-  private static final double MAX_SAVED = 100;
-  private static final double FIRST_SAVED = 10;
+  private static final double MAX_RETRIES = 100;
+  private static final double INITIAL_RETRIES = 10;
 
-  private final double share;
-  private double saved = FIRST_SAVED;
+  private final double ratio;
+  private double available = INITIAL_RETRIES;
 
   /**
    * Creates a budget.
    *
-   * @param share retries for each first attempt, from 0 to 1
+   * @param ratio the retries earned by each first attempt, from 0 to 1
    */
-  public RetryBudget(double share) {
-    checkArgument(share >= 0 && share <= 1, "share must be from 0 to 1, was %s", share);
-    this.share = share;
+  public RetryBudget(double ratio) {
+    checkArgument(ratio >= 0 && ratio <= 1, "ratio must be from 0 to 1, was %s", ratio);
+    this.ratio = ratio;
   }
 
-  /** Counts a first attempt. */
-  public void firstAttempt() {
-    saved = Math.min(MAX_SAVED, saved + share);
+  /** Counts a first attempt, which earns a fraction of a retry. */
+  public void recordFirstAttempt() {
+    available = Math.min(MAX_RETRIES, available + ratio);
   }
 
-  /** Takes one retry from the budget; false if none is left. */
-  public boolean tryRetry() {
-    if (share == 0 || saved < 1) {
+  /** Acquires one retry; returns false if none is left. */
+  public boolean tryAcquireRetry() {
+    if (ratio == 0 || available < 1) {
       return false;
     }
-    saved--;
+    available--;
     return true;
   }
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/runner/RunnerController.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/runner/RunnerController.java
@@ -19,48 +19,54 @@
 import org.sequoiahub.core.verdict.Verdict.NotRun;
 
 /**
- * Decides what one runner does: which request starts, which adapter is loaded, which is evicted.
+ * Decides which requests one runner starts and which adapters it loads and evicts.
  *
- * <p>Events come in through the methods; {@link #decide} returns what is to be done about them. A
- * running request pins its adapter from before the first byte goes to the engine until the engine's
- * end marker, a confirmed cancel, or a report that was surely sampled after the last doubt and does
- * not show it. Only unpinned adapters are evicted, only under authority, and an adapter that a
- * former owner may have used only after a report sampled in this term of sole authority showed it
- * idle.
+ * <p>Events are recorded by the other methods; {@link #decide} returns the resulting actions. A
+ * running request pins its adapter from before its first byte is sent to the engine until the
+ * engine sends the end marker, confirms a cancellation, or a report that was certainly sampled
+ * after the request's state became uncertain does not contain it. Only unpinned adapters are
+ * evicted, and only under authority. An adapter that a former owner may have used is evicted only
+ * after a report sampled in this term of sole authority has shown it idle.
  *
- * <p>Not thread-safe: one duty owns it.
+ * <p>Not thread-safe: must be used by a single duty.
  */
 public final class RunnerController {
 
-  /** A term that is never held: whose requests may run on the adapter is not known. */
-  private static final long UNPROVEN = 0;
+  /** A term that is never held, for adapters that requests of other owners may be running on. */
+  private static final long NO_TERM = 0;
+
+  /** Weight of the newest value in the averages of service and load times. */
+  private static final double NEWEST_WEIGHT = 0.2;
+
+  /** Assumed service time of a request before any was observed (ms). */
+  private static final long INITIAL_SERVICE_MILLIS = 1_000;
+
+  /** Assumed load time of an adapter before any was observed (ms). */
+  private static final long INITIAL_LOAD_MILLIS = 1_000;
 
-  private static final double SMOOTHING = 0.2;
-  private static final long FIRST_SERVICE_MILLIS = 1_000;
-  private static final long FIRST_LOAD_MILLIS = 1_000;
   private static final long MIN_RETRY_AFTER_MILLIS = 100;
 
   private final int slotCount;
   private final int batch;
   private final PolicySettings policy;
   private final Map<AdapterVersion, Slot> slots = new LinkedHashMap<>();
-  private final Map<String, Running> running = new LinkedHashMap<>();
-  private final Map<AdapterVersion, Long> quarantinedUntil = new HashMap<>();
-  private final Map<AdapterVersion, Long> loadAgainFrom = new HashMap<>();
+  private final Map<String, RunningRequest> running = new LinkedHashMap<>();
+  private final Map<AdapterVersion, Long> quarantinedUntilMillis = new HashMap<>();
+  private final Map<AdapterVersion, Long> retryLoadFromMillis = new HashMap<>();
   private final RequestQueue queue;
   private final Popularity popularity = new Popularity();
   private final List<RunnerAction> actions = new ArrayList<>();
-  private @Nullable PendingLoad pending;
+  private @Nullable PendingLoad pendingLoad;
   private long lastSampleMillis = Long.MIN_VALUE;
-  private double serviceMillis = FIRST_SERVICE_MILLIS;
-  private double loadMillis = FIRST_LOAD_MILLIS;
+  private double serviceMillis = INITIAL_SERVICE_MILLIS;
+  private double loadMillis = INITIAL_LOAD_MILLIS;
 
   /**
-   * Creates the controller of a runner about which nothing is known yet.
+   * Creates the controller of a runner whose state is unknown.
    *
-   * @param slotCount how many adapter versions the engine holds at once
-   * @param batch how many requests the engine runs at once
-   * @param policy the weights and limits
+   * @param slotCount the maximum number of adapter versions that the engine holds at once
+   * @param batch the maximum number of requests that the engine runs at once
+   * @param policy the weights and limits of the decisions
    */
   public RunnerController(int slotCount, int batch, PolicySettings policy) {
     checkArgument(slotCount > 0, "slotCount must be above 0, was %s", slotCount);
@@ -71,22 +77,23 @@
     this.queue = new RequestQueue(policy.briefAgeMillis());
   }
 
-  /** Offers a request; it is queued or refused at once. */
+  /** Queues a request, or rejects it immediately. */
   public Admission offer(RunnerRequest request, long nowMillis) {
     if (queue.contains(request.id()) || running.containsKey(request.id())) {
-      return refused("duplicate-request", "a request with this id is already here", 0);
+      return rejected(
+          "duplicate-request", "a request with this id is already queued or running", 0);
     }
     if (request.deadlineMillis() <= nowMillis) {
-      return refused("deadline-passed", "the deadline passed before the request was queued", 0);
+      return rejected("deadline-passed", "the deadline passed before the request was queued", 0);
     }
     long wait = expectedWaitMillis(request.adapter(), nowMillis);
     if (queue.size() >= policy.queueLimit()) {
-      return refused("queue-full", "the runner's queue is full; repeat later", wait);
+      return rejected("queue-full", "the runner's queue is full; retry later", wait);
     }
     if (nowMillis + wait >= request.deadlineMillis()) {
-      return refused("too-late", "the queue is longer than the deadline; repeat later", wait);
+      return rejected("too-late", "the expected wait exceeds the deadline; retry later", wait);
     }
-    popularity.requested(request.adapter(), nowMillis);
+    popularity.recordRequest(request.adapter(), nowMillis);
     queue.add(request, nowMillis);
     return new Admission.Admitted(wait, isReady(request.adapter()));
   }
@@ -94,68 +101,68 @@
   /**
    * Cancels a request.
    *
-   * @return true if it was still queued and so has not run and will not
+   * @return true if it was still queued, so that it has not run and never will
    */
   public boolean cancel(String requestId) {
     if (queue.remove(requestId).isPresent()) {
       return true;
     }
-    Running found = running.get(requestId);
-    if (found != null && !found.cancelAsked) {
-      found.cancelAsked = true;
+    RunningRequest found = running.get(requestId);
+    if (found != null && !found.cancelRequested) {
+      found.cancelRequested = true;
       actions.add(new RunnerAction.CancelRunning(found.request));
     }
     return false;
   }
 
-  /** Records that the engine's end marker, or its confirmation of a cancel, was seen. */
-  public void ended(String requestId, long nowMillis) {
-    Running ended = running.remove(requestId);
+  /** Records that the engine sent a request's end marker or confirmed its cancellation. */
+  public void requestEnded(String requestId, long nowMillis) {
+    RunningRequest ended = running.remove(requestId);
     if (ended != null) {
-      serviceMillis += SMOOTHING * (nowMillis - ended.sinceMillis - serviceMillis);
-      usedNow(ended.request.adapter(), nowMillis);
+      serviceMillis += NEWEST_WEIGHT * (nowMillis - ended.sinceMillis - serviceMillis);
+      markUsed(ended.request.adapter(), nowMillis);
     }
   }
 
-  /** Records that nobody can tell whether the request still runs: its pin stays. */
-  public void uncertain(String requestId, long nowMillis) {
-    Running doubtful = running.get(requestId);
-    if (doubtful != null) {
-      doubtful.uncertainSinceMillis = nowMillis;
+  /** Records that it is unknown whether a request still runs. It keeps pinning its adapter. */
+  public void requestUncertain(String requestId, long nowMillis) {
+    RunningRequest found = running.get(requestId);
+    if (found != null) {
+      found.uncertainSinceMillis = nowMillis;
     }
   }
 
-  /** Records that a running request is being resumed: it is no longer in doubt. */
-  public void resumed(String requestId) {
-    Running found = running.get(requestId);
+  /** Records that a running request is being resumed, so that its state is known again. */
+  public void requestResumed(String requestId) {
+    RunningRequest found = running.get(requestId);
     if (found != null) {
       found.uncertainSinceMillis = Long.MAX_VALUE;
     }
   }
 
   /**
-   * Adopts a request that a former owner started and that is resumed here, so that it pins its
+   * Adopts a request that a former owner started and that this owner resumes, so that it pins its
    * adapter from now on.
    */
-  public void adopted(RunnerRequest request, long nowMillis) {
-    Running known = running.get(request.id());
+  public void adoptRequest(RunnerRequest request, long nowMillis) {
+    RunningRequest known = running.get(request.id());
     if (known == null) {
-      running.put(request.id(), new Running(request, nowMillis));
+      running.put(request.id(), new RunningRequest(request, nowMillis));
     } else {
       known.uncertainSinceMillis = Long.MAX_VALUE;
     }
   }
 
   /** Records that a load turn was granted. */
-  public void turnGranted(AdapterVersion adapter) {
-    if (pending != null && pending.adapter.equals(adapter) && !pending.turnGranted) {
-      pending.turnGranted = true;
-    } else if (pending == null || !pending.adapter.equals(adapter)) {
-      actions.add(new RunnerAction.ReturnTurn(adapter));
+  public void loadTurnGranted(AdapterVersion adapter) {
+    if (pendingLoad != null && pendingLoad.adapter.equals(adapter) && !pendingLoad.turnGranted) {
+      pendingLoad.turnGranted = true;
+    } else if (pendingLoad == null || !pendingLoad.adapter.equals(adapter)) {
+      actions.add(new RunnerAction.ReleaseLoadTurn(adapter));
     }
   }
 
-  /** Records what became of a load order. */
+  /** Records the result of a load order. */
   public void loadAnswered(AdapterVersion adapter, OrderResult result, long nowMillis) {
     Slot slot = slots.get(adapter);
     if (slot == null || !slot.is(State.LOADING)) {
@@ -163,22 +170,23 @@
     }
     switch (result) {
       case DONE -> {
-        loadMillis += SMOOTHING * (nowMillis - slot.changedMillis() - loadMillis);
-        slot.become(State.READY, nowMillis);
+        loadMillis += NEWEST_WEIGHT * (nowMillis - slot.changedMillis() - loadMillis);
+        slot.transitionTo(State.READY, nowMillis);
       }
       case FAILED -> {
-        // Only the next load waits. The engine may have refused because it holds the adapter,
-        // loaded by a former owner; the next report then shows it, and it must be taken into use.
+        // Only the next load of this adapter is delayed. The engine may have rejected the order
+        // because it holds the adapter already, loaded by a former owner. The next report then
+        // shows the adapter, and it must become usable.
         slots.remove(adapter);
-        loadAgainFrom.put(adapter, nowMillis + (long) loadMillis);
+        retryLoadFromMillis.put(adapter, nowMillis + (long) loadMillis);
       }
-      case UNKNOWN -> slot.become(State.LOAD_UNKNOWN, nowMillis);
-      default -> throw new IllegalArgumentException("result must be known, was " + result);
+      case UNKNOWN -> slot.transitionTo(State.LOAD_UNKNOWN, nowMillis);
+      default -> throw new IllegalArgumentException("unsupported order result: " + result);
     }
-    endPending(adapter);
+    endPendingLoad(adapter);
   }
 
-  /** Records what became of an eviction order. */
+  /** Records the result of an eviction order. */
   public void unloadAnswered(AdapterVersion adapter, OrderResult result, long nowMillis) {
     Slot slot = slots.get(adapter);
     if (slot == null || !slot.is(State.UNLOADING)) {
@@ -187,49 +195,49 @@
     switch (result) {
       case DONE -> slots.remove(adapter);
       case FAILED -> {
-        // Tried again at once, a refusal would come back as fast as the network goes, for ever.
-        slot.become(State.READY, nowMillis);
-        slot.noEvictionBefore(nowMillis + (long) loadMillis);
+        // An immediate retry would be rejected again and loop at the speed of the network.
+        slot.transitionTo(State.READY, nowMillis);
+        slot.deferEvictionUntil(nowMillis + (long) loadMillis);
       }
       case UNKNOWN -> {
-        // The order may still be on its way. Were the adapter used or loaded again now, the late
-        // order would evict it under the new request; the symptom is a stream that ends with an
-        // unknown-model error. Nothing uses it here until the order can no longer arrive.
-        slot.become(State.UNLOAD_UNKNOWN, nowMillis);
-        quarantinedUntil.put(adapter, nowMillis + policy.orderLifetimeMillis());
+        // The order may still be in transit. If the adapter were used or loaded again now, the late
+        // order would evict it under the new request, whose stream would end with an unknown-model
+        // error. The adapter is therefore not used until the order can no longer arrive.
+        slot.transitionTo(State.UNLOAD_UNKNOWN, nowMillis);
+        quarantinedUntilMillis.put(adapter, nowMillis + policy.orderLifetimeMillis());
       }
-      default -> throw new IllegalArgumentException("result must be known, was " + result);
+      default -> throw new IllegalArgumentException("unsupported order result: " + result);
     }
   }
 
-  /** Takes in what the engine said of itself; a report sampled before the last one is dropped. */
-  public void reported(EngineReport report, Rights rights, long nowMillis) {
+  /** Applies an engine's report; one that was sampled before the last one is ignored. */
+  public void applyReport(EngineReport report, Rights rights, long nowMillis) {
     long sampled = report.sampledNotBeforeMillis();
     if (sampled <= lastSampleMillis) {
       return;
     }
     lastSampleMillis = sampled;
-    endRequestsNotShown(report);
+    endUnreportedRequests(report);
     reconcileSlots(report, nowMillis);
     adoptResidents(report, nowMillis);
     if (rights.held()) {
-      proveIdle(report, rights, nowMillis);
+      markExclusiveSlots(report, rights, nowMillis);
     }
   }
 
-  /** Refuses every queued request as not run, for example because the runner has a new owner. */
-  public void refuseQueued(String reason, String message, long retryAfterMillis) {
+  /** Rejects every queued request as not run, for example because the runner has a new owner. */
+  public void rejectQueued(String reason, String message, long retryAfterMillis) {
     for (RunnerRequest request : queue.removeAll()) {
       NotRun verdict = new NotRun(reason, message, retryAfterMillis);
-      actions.add(new RunnerAction.Refuse(request, verdict));
+      actions.add(new RunnerAction.Reject(request, verdict));
     }
   }
 
-  /** Returns, and forgets, everything that is to be done now. */
+  /** Returns the actions to take now and removes them from this controller. */
   public List<RunnerAction> decide(Rights rights, long nowMillis) {
-    refuseExpired(nowMillis);
-    quarantinedUntil.values().removeIf(until -> until <= nowMillis);
-    loadAgainFrom.values().removeIf(from -> from <= nowMillis);
+    rejectExpired(nowMillis);
+    quarantinedUntilMillis.values().removeIf(until -> until <= nowMillis);
+    retryLoadFromMillis.values().removeIf(from -> from <= nowMillis);
     if (rights.held()) {
       startRequests(nowMillis);
       continuePendingLoad(rights, nowMillis);
@@ -240,7 +248,7 @@
     return result;
   }
 
-  /** Estimates how long a request for {@code adapter} that arrives now would wait. */
+  /** Returns the estimated wait of a request for {@code adapter} that arrives now (ms). */
   public long expectedWaitMillis(AdapterVersion adapter, long nowMillis) {
     int free = batch - running.size();
     double perStart = serviceMillis / batch;
@@ -264,17 +272,17 @@
     return ready;
   }
 
-  /** Returns how many requests wait. */
+  /** Returns how many requests are queued. */
   public int queued() {
     return queue.size();
   }
 
-  /** Returns how many requests run or may run. */
+  /** Returns how many requests run or may still run. */
   public int running() {
     return running.size();
   }
 
-  /** Returns whether no slot and no running request is in doubt. */
+  /** Returns whether the states of all slots and running requests are known. */
   public boolean isSettled() {
     return slots.values().stream()
             .noneMatch(s -> s.is(State.LOAD_UNKNOWN) || s.is(State.UNLOAD_UNKNOWN))
@@ -288,9 +296,9 @@
     return states;
   }
 
-  private Admission refused(String reason, String message, long waitMillis) {
+  private Admission rejected(String reason, String message, long waitMillis) {
     long retryAfter = waitMillis == 0 ? 0 : Math.max(MIN_RETRY_AFTER_MILLIS, waitMillis);
-    return new Admission.Refused(new NotRun(reason, message, retryAfter));
+    return new Admission.Rejected(new NotRun(reason, message, retryAfter));
   }
 
   private double loadWaitMillis(AdapterVersion adapter, long nowMillis) {
@@ -307,12 +315,12 @@
     return (loadsAhead + 1) * loadMillis;
   }
 
-  private void refuseExpired(long nowMillis) {
+  private void rejectExpired(long nowMillis) {
     for (RunnerRequest request : queue.removeExpired(nowMillis)) {
       long retryAfter =
           Math.max(MIN_RETRY_AFTER_MILLIS, expectedWaitMillis(request.adapter(), nowMillis));
       actions.add(
-          new RunnerAction.Refuse(
+          new RunnerAction.Reject(
               request,
               new NotRun(
                   "deadline-passed", "the deadline passed while the request waited", retryAfter)));
@@ -327,77 +335,83 @@
       }
       RunnerRequest request = next.get();
       queue.remove(request.id());
-      running.put(request.id(), new Running(request, nowMillis));
-      usedNow(request.adapter(), nowMillis);
+      running.put(request.id(), new RunningRequest(request, nowMillis));
+      markUsed(request.adapter(), nowMillis);
       actions.add(new RunnerAction.Start(request));
     }
   }
 
   private void continuePendingLoad(Rights rights, long nowMillis) {
-    if (pending == null || pending.loadOrdered) {
+    if (pendingLoad == null || pendingLoad.loadOrdered) {
       return;
     }
-    AdapterVersion adapter = pending.adapter;
+    AdapterVersion adapter = pendingLoad.adapter;
     if (queue.waiting(adapter) == 0 || slots.containsKey(adapter)) {
-      endPending(adapter);
+      endPendingLoad(adapter);
       return;
     }
-    if (!pending.turnGranted) {
+    if (!pendingLoad.turnGranted) {
       return;
     }
     if (slots.size() < slotCount) {
-      pending.loadOrdered = true;
-      // A former owner that does not know of this term yet may start requests on this adapter.
-      boolean sole = nowMillis >= nothingArrivesSince(rights);
-      long provenTerm = sole ? rights.term() : UNPROVEN;
-      slots.put(adapter, new Slot(adapter, State.LOADING, provenTerm, nowMillis));
+      pendingLoad.loadOrdered = true;
+      // A former owner that has not learned of this term yet may start requests on this adapter.
+      boolean exclusive = nowMillis >= exclusiveSinceMillis(rights);
+      long exclusiveTerm = exclusive ? rights.term() : NO_TERM;
+      slots.put(adapter, new Slot(adapter, State.LOADING, exclusiveTerm, nowMillis));
       actions.add(new RunnerAction.Load(adapter));
     } else if (slots.values().stream().noneMatch(s -> s.is(State.UNLOADING))) {
-      victim(rights, nowMillis)
-          .ifPresentOrElse(slot -> evict(slot, nowMillis), () -> endPending(adapter));
+      evictionCandidate(rights, nowMillis)
+          .ifPresentOrElse(slot -> evict(slot, nowMillis), () -> endPendingLoad(adapter));
     }
   }
 
   private void planLoad(Rights rights, long nowMillis) {
-    if (pending != null) {
+    if (pendingLoad != null) {
       return;
     }
-    Optional<AdapterVersion> wanted = mostWanted(nowMillis);
+    Optional<AdapterVersion> wanted = nextAdapterToLoad(nowMillis);
     if (wanted.isEmpty()) {
       stopDraining(nowMillis);
       return;
     }
     AdapterVersion adapter = wanted.get();
-    if (slots.size() < slotCount || victim(rights, nowMillis).isPresent()) {
-      pending = new PendingLoad(adapter);
+    if (slots.size() < slotCount || evictionCandidate(rights, nowMillis).isPresent()) {
+      pendingLoad = new PendingLoad(adapter);
       actions.add(
-          new RunnerAction.AskTurn(
+          new RunnerAction.RequestLoadTurn(
               adapter, queue.waiting(adapter), queue.hasUrgent(adapter, nowMillis)));
     } else if (queue.oldestWait(adapter, nowMillis) >= policy.drainAfterMillis()) {
       drainOne(rights, adapter, nowMillis);
     }
   }
 
-  /** The waiting adapter that gains most by a load: urgent first, then most and oldest requests. */
-  private Optional<AdapterVersion> mostWanted(long nowMillis) {
+  /**
+   * Returns the adapter to load next: one with urgent requests first, then the one with the most
+   * and oldest requests.
+   */
+  private Optional<AdapterVersion> nextAdapterToLoad(long nowMillis) {
     return queue.adapters().stream()
-        .filter(a -> !slots.containsKey(a) && !quarantinedUntil.containsKey(a))
-        .filter(a -> !loadAgainFrom.containsKey(a))
+        .filter(a -> !slots.containsKey(a) && !quarantinedUntilMillis.containsKey(a))
+        .filter(a -> !retryLoadFromMillis.containsKey(a))
         .max(
             Comparator.comparing((AdapterVersion a) -> queue.hasUrgent(a, nowMillis))
                 .thenComparingLong(a -> queue.waiting(a) * (1 + queue.oldestWait(a, nowMillis))));
   }
 
-  private Optional<Slot> victim(Rights rights, long nowMillis) {
+  private Optional<Slot> evictionCandidate(Rights rights, long nowMillis) {
     return slots.values().stream()
-        .filter(slot -> isEvictable(slot, rights) && slot.mayTryEviction(nowMillis))
+        .filter(slot -> isEvictable(slot, rights) && slot.isEvictionAllowed(nowMillis))
         .filter(slot -> slot.is(State.DRAINING) || queue.waiting(slot.adapter()) == 0)
         .min(leastValuableFirst(nowMillis));
   }
 
   private boolean isEvictable(Slot slot, Rights rights) {
     boolean usable = slot.is(State.READY) || slot.is(State.DRAINING);
-    return usable && rights.held() && slot.provenIn(rights.term()) && !isPinned(slot.adapter());
+    return usable
+        && rights.held()
+        && slot.isExclusiveIn(rights.term())
+        && !isPinned(slot.adapter());
   }
 
   private boolean isPinned(AdapterVersion adapter) {
@@ -406,7 +420,7 @@
 
   private Comparator<Slot> leastValuableFirst(long nowMillis) {
     Comparator<Slot> drainingFirst = Comparator.comparing(slot -> !slot.is(State.DRAINING));
-    if (!policy.evictByValue()) {
+    if (!policy.evictByPopularity()) {
       return drainingFirst.thenComparingLong(Slot::lastUsedMillis);
     }
     return drainingFirst
@@ -415,44 +429,44 @@
   }
 
   /**
-   * Lets a busy slot run dry for an adapter that has waited too long. Without this an adapter could
-   * wait for ever behind slots that always have a request running.
+   * Drains a busy slot for an adapter that has waited too long, which could otherwise starve behind
+   * slots that always have a running request.
    */
   private void drainOne(Rights rights, AdapterVersion wanted, long nowMillis) {
     if (slots.values().stream().anyMatch(s -> s.is(State.DRAINING) || s.is(State.UNLOADING))) {
       return;
     }
     slots.values().stream()
-        .filter(slot -> slot.is(State.READY) && slot.provenIn(rights.term()))
+        .filter(slot -> slot.is(State.READY) && slot.isExclusiveIn(rights.term()))
         .filter(slot -> !slot.adapter().equals(wanted))
         .min(leastValuableFirst(nowMillis))
-        .ifPresent(slot -> slot.become(State.DRAINING, nowMillis));
+        .ifPresent(slot -> slot.transitionTo(State.DRAINING, nowMillis));
   }
 
   /**
-   * Takes draining slots back into use once nobody waits for them; requests that queue for a
-   * draining adapter would otherwise never start.
+   * Makes draining slots usable again once no adapter waits for them. Otherwise requests queued for
+   * a draining adapter would never start.
    */
   private void stopDraining(long nowMillis) {
     slots.values().stream()
         .filter(slot -> slot.is(State.DRAINING))
-        .forEach(slot -> slot.become(State.READY, nowMillis));
+        .forEach(slot -> slot.transitionTo(State.READY, nowMillis));
   }
 
   private void evict(Slot slot, long nowMillis) {
-    slot.become(State.UNLOADING, nowMillis);
+    slot.transitionTo(State.UNLOADING, nowMillis);
     actions.add(new RunnerAction.Unload(slot.adapter()));
   }
 
-  private void endPending(AdapterVersion adapter) {
-    if (pending != null && pending.adapter.equals(adapter)) {
-      pending = null;
-      actions.add(new RunnerAction.ReturnTurn(adapter));
+  private void endPendingLoad(AdapterVersion adapter) {
+    if (pendingLoad != null && pendingLoad.adapter.equals(adapter)) {
+      pendingLoad = null;
+      actions.add(new RunnerAction.ReleaseLoadTurn(adapter));
     }
   }
 
-  private void endRequestsNotShown(EngineReport report) {
-    // A request whose start is in doubt may still reach the engine for the order lifetime.
+  private void endUnreportedRequests(EngineReport report) {
+    // A request whose start is uncertain may still reach the engine within the order lifetime.
     running
         .values()
         .removeIf(
@@ -482,18 +496,18 @@
             gone.add(slot);
           } else if (report.sampledNotBeforeMillis()
               >= slot.changedMillis() + policy.orderLifetimeMillis()) {
-            slot.become(State.READY, nowMillis);
+            slot.transitionTo(State.READY, nowMillis);
           }
         }
         case LOAD_UNKNOWN -> {
           if (resident) {
-            slot.become(State.READY, nowMillis);
+            slot.transitionTo(State.READY, nowMillis);
           } else if (!loading) {
             gone.add(slot);
           }
         }
         default -> {
-          // LOADING and UNLOADING end with their order's own answer.
+          // LOADING and UNLOADING end with the result of their order.
         }
       }
     }
@@ -503,16 +517,16 @@
   private void adoptResidents(EngineReport report, long nowMillis) {
     for (AdapterVersion adapter : report.resident()) {
       boolean room = slots.size() < slotCount;
-      if (room && !slots.containsKey(adapter) && !quarantinedUntil.containsKey(adapter)) {
-        slots.put(adapter, new Slot(adapter, State.READY, UNPROVEN, nowMillis));
+      if (room && !slots.containsKey(adapter) && !quarantinedUntilMillis.containsKey(adapter)) {
+        slots.put(adapter, new Slot(adapter, State.READY, NO_TERM, nowMillis));
       }
     }
   }
 
-  private void proveIdle(EngineReport report, Rights rights, long nowMillis) {
-    long since = nothingArrivesSince(rights);
-    boolean nothingOutlives = nowMillis >= since + policy.requestLimitMillis();
-    if (report.sampledNotBeforeMillis() < since && !nothingOutlives) {
+  private void markExclusiveSlots(EngineReport report, Rights rights, long nowMillis) {
+    long since = exclusiveSinceMillis(rights);
+    boolean allOthersEnded = nowMillis >= since + policy.requestLimitMillis();
+    if (report.sampledNotBeforeMillis() < since && !allOthersEnded) {
       return;
     }
     Set<AdapterVersion> foreign = new HashSet<>();
@@ -526,33 +540,33 @@
             });
     for (Slot slot : slots.values()) {
       if (!foreign.contains(slot.adapter())) {
-        slot.prove(rights.term());
+        slot.markExclusiveIn(rights.term());
       }
     }
   }
 
   /**
-   * Returns since when nothing that another dispatcher sent can reach the engine: what a former
-   * owner sent just before its authority ended may be on its way for the order lifetime.
+   * Returns since when nothing sent by another dispatcher can reach the engine (ms). What a former
+   * owner sent just before its authority ended may be in transit for the order lifetime.
    */
-  private long nothingArrivesSince(Rights rights) {
+  private long exclusiveSinceMillis(Rights rights) {
     return rights.soleSinceMillis() + policy.orderLifetimeMillis();
   }
 
-  private void usedNow(AdapterVersion adapter, long nowMillis) {
+  private void markUsed(AdapterVersion adapter, long nowMillis) {
     Slot slot = slots.get(adapter);
     if (slot != null) {
-      slot.used(nowMillis);
+      slot.markUsed(nowMillis);
     }
   }
 
-  private static final class Running {
+  private static final class RunningRequest {
     private final RunnerRequest request;
     private final long sinceMillis;
     private long uncertainSinceMillis = Long.MAX_VALUE;
-    private boolean cancelAsked;
+    private boolean cancelRequested;
 
-    Running(RunnerRequest request, long sinceMillis) {
+    RunningRequest(RunnerRequest request, long sinceMillis) {
       this.request = request;
       this.sinceMillis = sinceMillis;
     }
--- a/sequoia-core/src/test/java/org/sequoiahub/core/allowance/SlotsTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/allowance/SpendingSlotsTest.java
@@ -10,16 +10,16 @@
 import net.jqwik.api.constraints.IntRange;
 import net.jqwik.api.constraints.Size;
 
-class SlotsTest {
+class SpendingSlotsTest {
 
   private static final int RING = 12;
 
-  /** A ring answers like a map, within the slots that it holds. */
+  /** Compares the ring with a map, within the slots that it holds. */
   @Property(tries = 2_000, seed = "20261203")
-  void answersLikeMap(
+  void behavesLikeMap(
       @ForAll @Size(min = 1, max = 60) List<@IntRange(min = -20, max = 40) Integer> indexes,
       @ForAll @Size(min = 60, max = 60) List<@IntRange(min = 0, max = 9) Integer> amounts) {
-    Slots slots = new Slots(RING);
+    SpendingSlots slots = new SpendingSlots(RING);
     Map<Long, Long> oracle = new HashMap<>();
     long newest = Long.MIN_VALUE;
     for (int i = 0; i < indexes.size(); i++) {
--- a/sequoia-core/src/test/java/org/sequoiahub/core/holding/RunnerResidencyTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/holding/RunnerResidencyTest.java
@@ -23,40 +23,38 @@
   class LoadsThatTakeLongerThanExpected {
 
     /**
-     * Symptom: a fifth of all requests is refused once by a runner that lacks their adapter.
-     *
-     * <p>Events: adapters take 288 ms and are expected after 250; for each of 200 loads one request
-     * comes at the moment expected.
-     *
-     * <p>Cause: the time that a load takes stands on no record and was taken from another fleet.
-     *
-     * <p>Refused before: 200 of 200 requests.
+     * Guards against a load time estimate that stays too short, so that a fifth of all requests is
+     * rejected once by a runner that does not have their adapter yet. Adapters take 288 ms to load
+     * and are initially expected after 250 ms, the value of another fleet; one request per load
+     * arrives at the expected moment. With a fixed estimate all 200 requests are rejected.
      */
     @Test
-    void areExpectedLaterNextTime() {
-      residency.adopt(report(Map.of()), 1_000);
+    void raiseTheEstimate() {
+      residency.applyReport(report(Map.of()), 1_000);
       int refused = 0;
       long now = 10_000;
       for (int load = 0; load < 200; load++) {
         final long start = now;
-        Order order = residency.next(List.of(demand(load)), target -> 0, target -> 0, 0, now).get();
+        Order order =
+            residency.nextOrder(List.of(demand(load)), target -> 0, target -> 0, 0, now).get();
         while (order.operation() == Order.Operation.UNLOAD) {
-          residency.sent(order, now);
-          residency.replied(order, OrderReply.DONE, 0, now);
-          order = residency.next(List.of(demand(load)), target -> 0, target -> 0, 0, now).get();
+          residency.orderSent(order, now);
+          residency.replyReceived(order, OrderReply.DONE, 0, now);
+          order =
+              residency.nextOrder(List.of(demand(load)), target -> 0, target -> 0, 0, now).get();
         }
-        residency.sent(order, now);
-        residency.replied(order, OrderReply.ACCEPTED, 0, now);
+        residency.orderSent(order, now);
+        residency.replyReceived(order, OrderReply.ACCEPTED, 0, now);
         String target = order.target();
         long ready =
-            residency.held().stream()
+            residency.heldAdapters().stream()
                 .filter(item -> item.target().equals(target))
                 .findFirst()
                 .get()
                 .readyMillis();
         if (ready < start + 288) {
           refused++;
-          residency.missing(target, ready);
+          residency.adapterMissing(target, ready);
         }
         assertThat(ready).isAtMost(start + 288 + 40);
         now += 5_000;
@@ -70,31 +68,29 @@
   }
 
   @Nested
-  class RefusedForAnAdapterThatShouldBeThere {
+  class RejectedForHeldAdapter {
 
     /**
-     * Symptom: one request is refused four times within 0.2 s by the same runner.
-     *
-     * <p>Events: the runner has lost an adapter that it held for long; a request for it is refused.
-     *
-     * <p>Cause: the holder goes on telling that the adapter is there until the next report.
+     * Guards against one request that is rejected four times within 0.2 s by the same runner: the
+     * runner has lost an adapter that it held for long, and the holder keeps reporting the adapter
+     * as held until the next runner report.
      */
     @Test
-    void isNotToldAsHeldUntilTheNextReport() {
-      residency.adopt(report(Map.of("m/a1", 1)), 1_000);
-      residency.missing("m/a1", 5_000);
-      assertThat(residency.held()).isEmpty();
-      assertThat(residency.reportDue(5_000)).isTrue();
-      residency.adopt(report(Map.of("m/a1", 1)), 5_100);
-      assertThat(residency.held()).hasSize(1);
+    void isNotReportedAsHeldUntilNextReport() {
+      residency.applyReport(report(Map.of("m/a1", 1)), 1_000);
+      residency.adapterMissing("m/a1", 5_000);
+      assertThat(residency.heldAdapters()).isEmpty();
+      assertThat(residency.isReportDue(5_000)).isTrue();
+      residency.applyReport(report(Map.of("m/a1", 1)), 5_100);
+      assertThat(residency.heldAdapters()).hasSize(1);
     }
 
     @Test
-    void isToldAsComingWhileItMayBeLate() {
-      residency.adopt(report(Map.of("m/a1", 1)), 1_000);
-      residency.missing("m/a1", 1_100);
-      assertThat(residency.held()).hasSize(1);
-      assertThat(residency.held().get(0).readyMillis()).isGreaterThan(1_100);
+    void isReportedAsInTransitWhileLoadMayBeLate() {
+      residency.applyReport(report(Map.of("m/a1", 1)), 1_000);
+      residency.adapterMissing("m/a1", 1_100);
+      assertThat(residency.heldAdapters()).hasSize(1);
+      assertThat(residency.heldAdapters().get(0).readyMillis()).isGreaterThan(1_100);
     }
   }
 
--- a/sequoia-core/src/test/java/org/sequoiahub/core/member/ArrivalRateTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/member/PeakArrivalRateTest.java
@@ -5,21 +5,21 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-class ArrivalRateTest {
+class PeakArrivalRateTest {
 
-  private final ArrivalRate rate = new ArrivalRate(3);
+  private final PeakArrivalRate rate = new PeakArrivalRate(3);
 
   private void arrive(int count, long atMillis) {
     for (int i = 0; i < count; i++) {
-      rate.arrived(atMillis);
+      rate.recordArrival(atMillis);
     }
   }
 
   @Nested
-  class Busiest {
+  class BusiestSecond {
 
     @Test
-    void ofTheRememberedSecondsCounts() {
+    void ofTheRememberedSecondsIsReturned() {
       arrive(5, 10_000);
       arrive(9, 11_500);
       arrive(2, 12_999);
@@ -27,7 +27,7 @@
     }
 
     @Test
-    void isForgottenAfterThem() {
+    void isForgottenAfterTheRememberedSeconds() {
       arrive(9, 10_000);
       arrive(2, 12_000);
       assertThat(rate.perSecond(13_999)).isEqualTo(9);
@@ -37,10 +37,10 @@
   }
 
   @Nested
-  class Nothing {
+  class NoArrivals {
 
     @Test
-    void isNoDemand() {
+    void haveRateZero() {
       assertThat(rate.perSecond(5_000)).isEqualTo(0);
     }
   }
--- a/sequoia-core/src/test/java/org/sequoiahub/core/retry/RetryBudgetRestartTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/retry/RetryBudgetRestartTest.java
@@ -15,25 +15,28 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-/** Retries of all hosts stay within the budget although processes end and start again. */
+/**
+ * Tests that the retries of all hosts stay within the budget although processes terminate and
+ * restart.
+ */
 class RetryBudgetRestartTest {
 
-  /** Requests a second of seven hosts. */
+  /** Requests per second of each of seven hosts. */
   private static final List<Integer> RATES = Collections.nCopies(7, 16);
 
   private static final int DOWN_MILLIS = 600;
 
-  /** Each host retries as often as it may. */
+  /** Every request fails, so that each host retries as often as it may. */
   private static final double GREEDY = 1;
 
-  private static RetryBudgetWorld world(long seed, List<Integer> requestsPerSecond) {
-    return new RetryBudgetWorld(
+  private static RetryBudgetSimulation simulation(long seed, List<Integer> requestsPerSecond) {
+    return new RetryBudgetSimulation(
         seed,
         requestsPerSecond,
-        (first, now) -> new SharedRetryBudget(RetryBudgetWorld.SETTINGS, now, first));
+        (first, now) -> new SharedRetryBudget(RetryBudgetSimulation.SETTINGS, now, first));
   }
 
-  /** What happens to some hosts. */
+  /** What happens to some of the hosts. */
   enum Kind {
     KILL_ONE,
     KILL_ALL,
@@ -58,91 +61,96 @@
   }
 
   @Property(tries = 300, seed = "20261215")
-  void holdsUnderAnyRestarts(
+  void budgetHoldsUnderAnyRestarts(
       @ForAll @Size(min = 1, max = 9) List<@IntRange(min = 0, max = 40) Integer> requestsPerSecond,
       @ForAll("steps") List<Step> steps,
       @ForAll long seed) {
-    RetryBudgetWorld world = world(seed, requestsPerSecond);
-    world.pass(12_000, GREEDY);
+    RetryBudgetSimulation simulation = simulation(seed, requestsPerSecond);
+    simulation.advanceTime(12_000, GREEDY);
     for (Step step : steps) {
-      int host = step.host() % world.size();
+      int host = step.host() % simulation.size();
       switch (step.kind()) {
-        case KILL_ONE -> restart(world, host, host + 1, GREEDY);
-        case KILL_ALL -> restart(world, 0, world.size(), GREEDY);
-        case ISOLATE -> world.isolate(host, true);
-        case HEAL -> world.isolate(host, false);
+        case KILL_ONE -> restart(simulation, host, host + 1, GREEDY);
+        case KILL_ALL -> restart(simulation, 0, simulation.size(), GREEDY);
+        case ISOLATE -> simulation.isolate(host, true);
+        case HEAL -> simulation.isolate(host, false);
         case JOIN -> {
-          if (world.size() < 12) {
-            world.join(5);
+          if (simulation.size() < 12) {
+            simulation.join(5);
           }
         }
         default -> {}
       }
-      world.pass(step.thenMillis(), GREEDY);
+      simulation.advanceTime(step.thenMillis(), GREEDY);
     }
-    assertThat(world.worstExcess()).isAtMost(0.0);
+    assertThat(simulation.worstExcess()).isAtMost(0.0);
   }
 
-  private static void restart(RetryBudgetWorld world, int from, int to, double failing) {
+  private static void restart(
+      RetryBudgetSimulation simulation, int from, int to, double failingFraction) {
     for (int host = from; host < to; host++) {
-      world.kill(host);
+      simulation.kill(host);
     }
-    world.pass(DOWN_MILLIS, failing);
+    simulation.advanceTime(DOWN_MILLIS, failingFraction);
     for (int host = from; host < to; host++) {
-      world.start(host);
+      simulation.start(host);
     }
   }
 
   @Nested
   class SevenHosts {
 
-    private final RetryBudgetWorld world = world(7, RATES);
+    private final RetryBudgetSimulation simulation = simulation(7, RATES);
 
-    /** Guards against processes that spend their host's part anew after each start. */
+    /** Guards against processes that spend their host's share again after each start. */
     @Test
-    void killedAllAtOnceFiveTimesInOneWindow() {
-      world.pass(15_000, GREEDY);
+    void allKilledAtOnceFiveTimesInOneWindow() {
+      simulation.advanceTime(15_000, GREEDY);
       for (int kill = 0; kill < 5; kill++) {
-        restart(world, 0, 7, GREEDY);
-        world.pass(1_000, GREEDY);
+        restart(simulation, 0, 7, GREEDY);
+        simulation.advanceTime(1_000, GREEDY);
       }
-      world.pass(10_000, GREEDY);
-      assertThat(world.worstExcess()).isAtMost(0.0);
+      simulation.advanceTime(10_000, GREEDY);
+      assertThat(simulation.worstExcess()).isAtMost(0.0);
     }
 
     @Test
     void killedOneAfterTheOther() {
-      world.pass(15_000, GREEDY);
+      simulation.advanceTime(15_000, GREEDY);
       for (int host = 0; host < 7; host++) {
-        restart(world, host, host + 1, GREEDY);
-        world.pass(500, GREEDY);
+        restart(simulation, host, host + 1, GREEDY);
+        simulation.advanceTime(500, GREEDY);
       }
-      assertThat(world.worstExcess()).isAtMost(0.0);
+      assertThat(simulation.worstExcess()).isAtMost(0.0);
     }
 
-    /** Guards against a budget that is kept by refusing the retries that callers need. */
+    /** Guards against a budget that is kept by denying the retries that callers need. */
     @Test
-    void mostRetriesAreServedBesideRestarts() {
-      for (double failing : new double[] {0.04, 0.08, 0.12, 0.16}) {
-        RetryBudgetWorld calm = world(7, RATES);
-        calm.pass(30_000, failing);
-        RetryBudgetWorld rolling = world(7, RATES);
-        rolling.pass(15_000, failing);
+    void mostRetriesAreServedDuringRestarts() {
+      for (double failingFraction : new double[] {0.04, 0.08, 0.12, 0.16}) {
+        RetryBudgetSimulation steady = simulation(7, RATES);
+        steady.advanceTime(30_000, failingFraction);
+        RetryBudgetSimulation rolling = simulation(7, RATES);
+        rolling.advanceTime(15_000, failingFraction);
         for (int host = 0; host < 7; host++) {
-          restart(rolling, host, host + 1, failing);
-          rolling.pass(2_000, failing);
+          restart(rolling, host, host + 1, failingFraction);
+          rolling.advanceTime(2_000, failingFraction);
         }
-        RetryBudgetWorld lost = world(7, RATES);
-        lost.pass(15_000, failing);
-        restart(lost, 0, 7, failing);
-        lost.pass(10_000, failing);
+        RetryBudgetSimulation allRestarted = simulation(7, RATES);
+        allRestarted.advanceTime(15_000, failingFraction);
+        restart(allRestarted, 0, 7, failingFraction);
+        allRestarted.advanceTime(10_000, failingFraction);
         System.out.printf(
-            "part of retries served where %.2f fail: calm %.3f, hosts in turn %.3f, all %.3f%n",
-            failing, calm.servedPart(), rolling.servedPart(), lost.servedPart());
-        if (failing <= 0.08) {
-          assertThat(calm.servedPart()).isAtLeast(0.99);
-          assertThat(rolling.servedPart()).isAtLeast(0.9);
-          assertThat(lost.servedPart()).isAtLeast(0.8);
+            "fraction of retries served if %.2f fail: steady %.3f, rolling restart %.3f,"
+                + " all restarted %.3f%n",
+            failingFraction,
+            steady.servedFraction(),
+            rolling.servedFraction(),
+            allRestarted.servedFraction());
+        if (failingFraction <= 0.08) {
+          assertThat(steady.servedFraction()).isAtLeast(0.99);
+          assertThat(rolling.servedFraction()).isAtLeast(0.9);
+          assertThat(allRestarted.servedFraction()).isAtLeast(0.8);
         }
       }
     }
--- a/sequoia-core/src/test/java/org/sequoiahub/core/retry/SharedRetryBudgetTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/retry/SharedRetryBudgetTest.java
@@ -20,15 +20,14 @@
       new RetryBudgetSettings(RATIO, ALLOWANCE, WINDOW);
 
   /**
-   * Symptom: more arrivals at runners than the fleet's budget allows in some window.
+   * Guards against more arrivals at runners than the fleet's budget allows in some window.
    *
-   * <p>Events: several hosts take requests unevenly and every attempt fails, so each host retries
-   * as often as it may, for longer than a window.
-   *
-   * <p>Cause looked for: parts of the budget that add up to more than the whole.
+   * <p>Several hosts receive requests unevenly and every attempt fails, so each host retries as
+   * often as it may, for longer than a window. The shares of the hosts must not add up to more than
+   * the budget.
    */
   @Property(tries = 300, seed = "20261211")
-  void partsOfAllHostsStayWithinWhole(
+  void sharesOfAllHostsStayWithinTheBudget(
       @ForAll @Size(min = 1, max = 9)
           List<@IntRange(min = 0, max = 40) Integer> requestsPerSecond) {
     int hosts = requestsPerSecond.size();
@@ -39,49 +38,49 @@
     for (long now = 50_000; now < 85_000; now += 100) {
       for (int host = 0; host < hosts; host++) {
         for (int i = 0; i < requestsPerSecond.get(host) / 10; i++) {
-          budgets.get(host).request("s", now);
+          budgets.get(host).recordRequest("s", now);
           requests.add(now);
         }
-        while (budgets.get(host).tryRetry("s", hosts, now)) {
+        while (budgets.get(host).tryAcquireRetry("s", hosts, now)) {
           retries.add(now);
         }
       }
       long from = now - WINDOW;
       long retried = retries.stream().filter(at -> at > from).count();
-      long asked = requests.stream().filter(at -> at > from).count();
-      assertThat((double) retried).isAtMost(RATIO * asked + ALLOWANCE);
+      long requested = requests.stream().filter(at -> at > from).count();
+      assertThat((double) retried).isAtMost(RATIO * requested + ALLOWANCE);
     }
   }
 
   @Nested
   class Use {
     @Test
-    void idleServiceHasItsPartOfTheAllowance() {
+    void idleServiceHasItsShareOfTheAllowance() {
       SharedRetryBudget budget = new SharedRetryBudget(SETTINGS, 0, true);
       int taken = 0;
-      while (budget.tryRetry("s", 9, 1_000)) {
+      while (budget.tryAcquireRetry("s", 9, 1_000)) {
         taken++;
       }
       assertThat(taken).isEqualTo((int) (0.65 * ALLOWANCE / 9));
     }
 
     @Test
-    void servicesDoNotShare() {
+    void servicesHaveSeparateBudgets() {
       SharedRetryBudget budget = new SharedRetryBudget(SETTINGS, 0, true);
-      while (budget.tryRetry("s", 1, 1_000)) {
+      while (budget.tryAcquireRetry("s", 1, 1_000)) {
         assertThat(budget.usage("s", 1, 1_000).taken()).isAtMost(54);
       }
-      assertThat(budget.tryRetry("other", 1, 1_000)).isTrue();
+      assertThat(budget.tryAcquireRetry("other", 1, 1_000)).isTrue();
     }
 
     @Test
-    void retriesComeBackAfterWindow() {
+    void retriesAreAvailableAgainAfterWindow() {
       SharedRetryBudget budget = new SharedRetryBudget(SETTINGS, 0, true);
-      while (budget.tryRetry("s", 1, 1_000)) {
+      while (budget.tryAcquireRetry("s", 1, 1_000)) {
         assertThat(budget.usage("s", 1, 1_000).taken()).isAtMost(54);
       }
-      assertThat(budget.tryRetry("s", 1, 10_900)).isFalse();
-      assertThat(budget.tryRetry("s", 1, 12_100)).isTrue();
+      assertThat(budget.tryAcquireRetry("s", 1, 10_900)).isFalse();
+      assertThat(budget.tryAcquireRetry("s", 1, 12_100)).isTrue();
     }
   }
 }
--- a/sequoia-core/src/test/java/org/sequoiahub/core/routing/RoutingTableTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/routing/RoutingTableTest.java
@@ -21,7 +21,7 @@
         name,
         host,
         prefix,
-        Repetition.IDEMPOTENT,
+        RepeatPolicy.IDEMPOTENT,
         1_000,
         100,
         0,
@@ -35,7 +35,7 @@
     return new RoutingTable(1, routes, List.of(), CallerLimits.UNKNOWN, Workspaces.NONE);
   }
 
-  /** The table answers like a search of all routes for the longest prefix. */
+  /** Compares the table with a linear search of all routes for the longest prefix. */
   @Property(tries = 1_000, seed = "20261213")
   void findsTheLongestPrefix(
       @ForAll @Size(max = 8) @UniqueElements
@@ -63,7 +63,7 @@
               "r",
               "h",
               "/a/",
-              Repetition.IDEMPOTENT,
+              RepeatPolicy.IDEMPOTENT,
               1_000,
               100,
               0,
@@ -71,20 +71,20 @@
               1,
               0,
               false);
-      assertThat(split.service(0)).isEqualTo("most");
-      assertThat(split.service(0.899)).isEqualTo("most");
-      assertThat(split.service(0.901)).isEqualTo("few");
-      assertThat(split.service(0.999)).isEqualTo("few");
+      assertThat(split.selectService(0)).isEqualTo("most");
+      assertThat(split.selectService(0.899)).isEqualTo("most");
+      assertThat(split.selectService(0.901)).isEqualTo("few");
+      assertThat(split.selectService(0.999)).isEqualTo("few");
     }
 
     @Test
-    void serviceWithoutWeightGetsNothing() {
+    void serviceWithoutWeightReceivesNoRequests() {
       Route split =
           new Route(
               "r",
               "h",
               "/a/",
-              Repetition.IDEMPOTENT,
+              RepeatPolicy.IDEMPOTENT,
               1_000,
               100,
               0,
@@ -92,12 +92,12 @@
               1,
               0,
               false);
-      assertThat(split.service(0)).isEqualTo("all");
+      assertThat(split.selectService(0)).isEqualTo("all");
     }
   }
 
   @Test
-  void anotherHostHasOtherRoutes() {
+  void routesAreSeparatePerHost() {
     RoutingTable table = table(List.of(route("r", "one", "/a/")));
     assertThat(table.find("two", "/a/b")).isEmpty();
     assertThat(table.find("one", "/b/")).isEmpty();
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/QuarantineGate.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/QuarantineGate.java
@@ -6,59 +6,62 @@
 import java.util.Iterator;
 import java.util.Optional;
 import java.util.stream.Collectors;
-import org.sequoiahub.core.quarantine.Hold;
+import org.sequoiahub.core.quarantine.ActiveQuarantine;
 import org.sequoiahub.core.quarantine.RequestFingerprint;
 import org.sequoiahub.core.quarantine.RequestQuarantine;
-import org.sequoiahub.core.quarantine.RunnerEnd;
-import org.sequoiahub.core.quarantine.RunnerEndListener;
+import org.sequoiahub.core.quarantine.RunnerTermination;
+import org.sequoiahub.core.quarantine.RunnerTerminationListener;
 import org.sequoiahub.core.upstream.RunnerEntry;
 import org.sequoiahub.core.upstream.RunnerRegistry;
 import org.sequoiahub.runtime.log.EventLog;
 
 /**
- * Watches how the attempts of this host's requests end, and holds back the requests under which
- * runners end; decision thread only.
+ * Records how the attempts of this host's requests end, and quarantines the requests during which
+ * runners terminate.
  *
- * <p>Of each request only the cheap half of the fingerprint is worked out, unless something is
- * known against one with the same half.
+ * <p>Only the cheap half of a request's fingerprint is computed, unless a suspect request with the
+ * same half is known. All methods must be called on the decision thread.
  */
 public final class QuarantineGate {
 
   /**
-   * An attempt that was given up without an answer counts if its runner turns out to have ended
-   * within this time (ms): a silent runner's entry lapses after 3.6 s, and hosts learn of it within
-   * a second more.
+   * An attempt that was abandoned without a response counts if its runner is found to have
+   * terminated within this time (ms): the entry of a silent runner expires after 3.6 s, and the
+   * hosts are notified within a further second.
    */
-  private static final long SILENT_MILLIS = 8_000;
+  private static final long UNANSWERED_RETENTION_MILLIS = 8_000;
 
   /**
-   * Attempts that are remembered at most for that, with their requests, whose fingerprint is worked
-   * out only when the runner has ended: callers may give up thousands under load.
+   * Maximum number of unanswered attempts that are retained with their requests, whose fingerprint
+   * is computed only when the runner has terminated. Under load callers may abandon thousands.
    */
-  private static final int MAX_SILENT = 128;
+  private static final int MAX_UNANSWERED = 128;
 
-  /** Proofs are looked for this often (ms); a broken connection counts without one for seconds. */
-  private static final long UPKEEP_MILLIS = 500;
+  /**
+   * Interval between checks for confirmed terminations (ms); a broken connection counts for seconds
+   * without confirmation.
+   */
+  private static final long MAINTENANCE_INTERVAL_MILLIS = 500;
 
   private final RequestQuarantine quarantine;
   private final RunnerRegistry runners;
-  private final RunnerEndListener listener;
+  private final RunnerTerminationListener listener;
   private final MetricRegistry metrics;
   private final EventLog log;
-  private final Deque<Unanswered> silent = new ArrayDeque<>();
-  private long upkeepMillis;
+  private final Deque<Unanswered> unanswered = new ArrayDeque<>();
+  private long lastMaintenanceMillis;
 
-  private record Unanswered(Call call, Call.Running running, long givenUpMillis) {}
+  private record Unanswered(Call call, Call.ActiveAttempt running, long givenUpMillis) {}
 
   /**
    * Creates a gate.
    *
-   * @param listener told what the other hosts need to know
+   * @param listener receives the observations that are passed on to the other hosts
    */
   public QuarantineGate(
       RequestQuarantine quarantine,
       RunnerRegistry runners,
-      RunnerEndListener listener,
+      RunnerTerminationListener listener,
       MetricRegistry metrics,
       EventLog log) {
     this.quarantine = quarantine;
@@ -68,93 +71,99 @@
     this.log = log;
   }
 
-  /** Returns why a request may not be sent to a runner now; empty if it may. */
-  Optional<Hold> hold(Call call, long nowMillis) {
-    return quarantine.mayKnow(call.fingerprint().screen())
-        ? quarantine.hold(call.fingerprint().value(), nowMillis)
+  /** Returns why and until when a request is quarantined; empty if it may be sent to a runner. */
+  Optional<ActiveQuarantine> hold(Call call, long nowMillis) {
+    return quarantine.mightContain(call.fingerprint().checksum())
+        ? quarantine.activeQuarantine(call.fingerprint().value(), nowMillis)
         : Optional.empty();
   }
 
-  /** Returns whether a runner ended under a request lately: it is not sent to two at once. */
+  /**
+   * Returns whether a runner recently terminated while it ran a request; a suspect request must not
+   * be sent to two runners at once.
+   */
   boolean isSuspect(Call call, long nowMillis) {
-    return quarantine.mayKnow(call.fingerprint().screen())
+    return quarantine.mightContain(call.fingerprint().checksum())
         && quarantine.isSuspect(call.fingerprint().value(), nowMillis);
   }
 
-  /** Logs and counts that a request was held back, with all that decided it. */
-  void heldBack(Call call, Hold hold, long nowMillis) {
+  /** Logs and counts that a hold stopped a request, with the terminations that led to the hold. */
+  void recordHold(Call call, ActiveQuarantine hold, long nowMillis) {
     metrics.counter("requests.held_back").inc();
     log.info(
         "request-held-back",
         "request",
         call.id(),
         "fingerprint",
-        RequestFingerprint.text(call.fingerprint().value()),
+        RequestFingerprint.format(call.fingerprint().value()),
         "caller",
         call.exchange.callerIp(),
         "ends",
-        hold.ends().stream().map(end -> text(end, nowMillis)).collect(Collectors.joining(" ")),
+        hold.terminations().stream()
+            .map(end -> describe(end, nowMillis))
+            .collect(Collectors.joining(" ")),
         "for_ms",
         hold.untilMillis() - nowMillis);
   }
 
-  /** Records that the connection of an attempt broke before the answer was whole. */
-  void broken(Call call, Call.Running running, long nowMillis) {
-    if (isLeaving(running.runner)) {
+  /** Records that the connection of an attempt broke before the response was complete. */
+  void recordBrokenConnection(Call call, Call.ActiveAttempt active, long nowMillis) {
+    if (isLeaving(active.runner)) {
       return;
     }
-    boolean proved = runners.hasEnded(running.runner.idHash());
-    ended(end(call, running, nowMillis, proved), nowMillis);
+    boolean confirmed = runners.hasTerminated(active.runner.idHash());
+    recordTermination(termination(call, active, nowMillis, confirmed), nowMillis);
   }
 
-  /** Records that nobody listens at a runner's address: its process has ended. */
-  void nobodyListens(RunnerEntry runner, long nowMillis) {
-    runners.noteEnded(runner, nowMillis);
+  /** Records that a connection to a runner's address was refused, so its process has terminated. */
+  void recordConnectionRefused(RunnerEntry runner, long nowMillis) {
+    runners.recordTermination(runner, nowMillis);
   }
 
-  /** Records that an attempt was given up without an answer: its runner may have gone silent. */
-  void unanswered(Call call, Call.Running running, long nowMillis) {
-    boolean sent = running.attempt != null && running.attempt.isHandedOn();
-    if (!sent || isLeaving(running.runner)) {
+  /** Records that an attempt was abandoned without a response; its runner may be silent. */
+  void recordUnanswered(Call call, Call.ActiveAttempt active, long nowMillis) {
+    boolean sent = active.attempt != null && active.attempt.mayHaveReachedRunner();
+    if (!sent || isLeaving(active.runner)) {
       return;
     }
-    silent.addLast(new Unanswered(call, running, nowMillis));
-    if (silent.size() > MAX_SILENT) {
-      silent.removeFirst();
+    unanswered.addLast(new Unanswered(call, active, nowMillis));
+    if (unanswered.size() > MAX_UNANSWERED) {
+      unanswered.removeFirst();
     }
   }
 
-  /** Records that a request had a good answer. */
-  void answered(Call call, long nowMillis) {
-    quarantine.answered(call.fingerprint().screen(), nowMillis);
-    if (quarantine.mayKnow(call.fingerprint().screen())
-        && quarantine.cleared(call.fingerprint().value(), nowMillis)) {
-      listener.cleared(call.fingerprint().value(), nowMillis, nowMillis);
+  /** Records that a request received a successful response. */
+  void recordSuccess(Call call, long nowMillis) {
+    quarantine.recordSuccess(call.fingerprint().checksum(), nowMillis);
+    if (quarantine.mightContain(call.fingerprint().checksum())
+        && quarantine.clear(call.fingerprint().value(), nowMillis)) {
+      listener.onCleared(call.fingerprint().value(), nowMillis, nowMillis);
     }
   }
 
-  /** Looks for proofs that runners have ended, and forgets what is old. */
-  public void upkeep(long nowMillis) {
-    if (nowMillis - upkeepMillis < UPKEEP_MILLIS) {
+  /** Confirms terminations of runners, and removes expired records; call it periodically. */
+  public void runMaintenance(long nowMillis) {
+    if (nowMillis - lastMaintenanceMillis < MAINTENANCE_INTERVAL_MILLIS) {
       return;
     }
-    upkeepMillis = nowMillis;
-    for (Iterator<Unanswered> all = silent.iterator(); all.hasNext(); ) {
-      Unanswered attempt = all.next();
-      if (runners.hasEnded(attempt.running.runner.idHash())) {
-        all.remove();
-        ended(end(attempt.call, attempt.running, attempt.givenUpMillis, true), nowMillis);
-      } else if (nowMillis - attempt.givenUpMillis >= SILENT_MILLIS) {
-        all.remove();
+    lastMaintenanceMillis = nowMillis;
+    for (Iterator<Unanswered> attempts = unanswered.iterator(); attempts.hasNext(); ) {
+      Unanswered attempt = attempts.next();
+      if (runners.hasTerminated(attempt.running.runner.idHash())) {
+        attempts.remove();
+        recordTermination(
+            termination(attempt.call, attempt.running, attempt.givenUpMillis, true), nowMillis);
+      } else if (nowMillis - attempt.givenUpMillis >= UNANSWERED_RETENTION_MILLIS) {
+        attempts.remove();
       }
     }
     if (!quarantine.isEmpty()) {
-      quarantine.confirm(runners::hasEnded);
-      quarantine.forget(nowMillis);
+      quarantine.confirmTerminations(runners::hasTerminated);
+      quarantine.removeExpired(nowMillis);
     }
   }
 
-  /** A runner that announced its leaving ends as planned, and not because of a request. */
+  /** Returns whether a runner announced that it leaves; no request causes its termination then. */
   private boolean isLeaving(RunnerEntry runner) {
     return runners
         .find(runner.instance())
@@ -163,45 +172,47 @@
         .orElse(false);
   }
 
-  private void ended(RunnerEnd end, long nowMillis) {
-    if (!quarantine.ended(end, nowMillis)) {
+  private void recordTermination(RunnerTermination end, long nowMillis) {
+    if (!quarantine.recordTermination(end, nowMillis)) {
       return;
     }
     metrics.counter("quarantine.ends").inc();
-    listener.ended(end, nowMillis);
+    listener.onTermination(end, nowMillis);
     quarantine
-        .hold(end.request(), nowMillis)
+        .activeQuarantine(end.request(), nowMillis)
         .ifPresent(
             hold ->
                 log.warning(
                     "request-quarantined",
                     "fingerprint",
-                    RequestFingerprint.text(end.request()),
+                    RequestFingerprint.format(end.request()),
                     "ends",
-                    hold.ends().size(),
+                    hold.terminations().size(),
                     "for_ms",
                     hold.untilMillis() - nowMillis));
   }
 
-  private static RunnerEnd end(
-      Call call, Call.Running running, long endedMillis, boolean confirmed) {
-    return new RunnerEnd(
+  private static RunnerTermination termination(
+      Call call, Call.ActiveAttempt active, long endedMillis, boolean confirmed) {
+    return new RunnerTermination(
         call.fingerprint().value(),
-        running.runner.idHash(),
-        Math.min(running.startedMillis, endedMillis),
+        active.runner.idHash(),
+        Math.min(active.startedMillis, endedMillis),
         endedMillis,
-        running.firstEventSeen,
+        active.firstEventReceived,
         confirmed);
   }
 
-  private String text(RunnerEnd end, long nowMillis) {
+  private String describe(RunnerTermination end, long nowMillis) {
     String runner =
-        runners.ended(end.runner()).orElseGet(() -> RequestFingerprint.text(end.runner()));
+        runners
+            .terminatedIncarnation(end.runner())
+            .orElseGet(() -> RequestFingerprint.format(end.runner()));
     return runner
         + "@"
         + (nowMillis - end.endedMillis())
         + "ms"
-        + (end.begun() ? "(begun)" : "")
-        + (end.confirmed() ? "" : "(not proved)");
+        + (end.responseStarted() ? "(begun)" : "")
+        + (end.confirmed() ? "" : "(unconfirmed)");
   }
 }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/RequestCoordinator.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/RequestCoordinator.java
@@ -17,7 +17,7 @@
 import org.eclipse.jetty.http.HttpFields;
 import org.eclipse.jetty.http.HttpStatus;
 import org.jspecify.annotations.Nullable;
-import org.sequoiahub.core.allowance.AllowanceKeeper;
+import org.sequoiahub.core.allowance.AllowanceLimiter;
 import org.sequoiahub.core.call.Generation;
 import org.sequoiahub.core.dispatch.Candidate;
 import org.sequoiahub.core.dispatch.GenerationPlacement;
@@ -28,12 +28,12 @@
 import org.sequoiahub.core.dispatch.Shutdown;
 import org.sequoiahub.core.dispatch.StreamLimits;
 import org.sequoiahub.core.holding.Demand;
-import org.sequoiahub.core.quarantine.Hold;
+import org.sequoiahub.core.quarantine.ActiveQuarantine;
 import org.sequoiahub.core.quarantine.LoadGuard;
 import org.sequoiahub.core.quarantine.RequestFingerprint;
 import org.sequoiahub.core.retry.SharedRetryBudget;
 import org.sequoiahub.core.routing.EngineSpec;
-import org.sequoiahub.core.routing.Repetition;
+import org.sequoiahub.core.routing.RepeatPolicy;
 import org.sequoiahub.core.routing.Route;
 import org.sequoiahub.core.upstream.RunnerEntry;
 import org.sequoiahub.core.workspace.KeyHasher;
@@ -46,127 +46,142 @@
 import org.sequoiahub.usersplatform.CallerDialect.CallerHeaders;
 import org.sequoiahub.usersplatform.CallerDialect.RunnerHeaders;
 
-/** Takes requests from their arrival to their last byte; runs on the decision thread. */
+/**
+ * Coordinates each request from its arrival to the last byte of its response: admission, choice of
+ * a runner, attempts, retries and hedging.
+ *
+ * <p>Its methods must be called on the decision thread.
+ */
 public final class RequestCoordinator {
 
-  /** How often callers are looked after that may have gone (ms). */
-  private static final long LOOK_MILLIS = 100;
+  /** Interval between checks for callers that have disconnected (ms). */
+  private static final long CALLER_CHECK_INTERVAL_MILLIS = 100;
 
   /**
-   * For this long a request waits where it began to, unless its adapter is elsewhere (ms): a load
-   * and a half. A request that moves sooner goes to and fro and is last in each queue.
+   * How long a request waits at a runner before it may move to one that does not have its adapter
+   * (ms): the time of one and a half loads. A request that moved sooner would oscillate between
+   * runners and be the last in each queue.
    */
-  private static final long SETTLED_MILLIS = 400;
+  private static final long MIN_WAIT_BEFORE_MOVE_MILLIS = 400;
 
   /**
-   * A waiting request looks at all runners this often at most (ms); between, only at the one where
-   * it waits and at those that have its adapter. What hosts tell each other comes no sooner, and a
-   * look costs more the more runners there are.
+   * Shortest interval between two evaluations of all runners for a waiting request (ms). In between
+   * only the runner where it waits and those that have its adapter are evaluated: hosts exchange
+   * their state no more often, and the cost of an evaluation grows with the number of runners.
    */
-  private static final long LOOK_ROUND_MILLIS = 100;
+  private static final long FULL_SCAN_INTERVAL_MILLIS = 100;
 
   /**
-   * A request whose adapter is there waits for prompts ahead of it: it is placed again this often
-   * (ms).
+   * Interval at which a request is placed again whose adapter is ready, but which waits for the
+   * prompts ahead of it to be read (ms).
    */
-  private static final long PLACE_AGAIN_MILLIS = 30;
+  private static final long PROMPT_WAIT_INTERVAL_MILLIS = 30;
 
   /**
-   * One that waits for its adapter is placed again when what its runner holds changes, when the
-   * adapter is due, and this often (ms): in between it would only find the same again.
+   * Longest interval at which a request that waits for its adapter is placed again (ms). It is also
+   * placed when the adapter is due and when the holding of its runner changes; placing it more
+   * often would only give the same result.
    */
-  private static final long ADAPTER_LOOK_MILLIS = 100;
+  private static final long ADAPTER_WAIT_INTERVAL_MILLIS = 100;
 
-  /** What requests wait for is told on a change and at least this often (ms): it grows old. */
-  private static final long DEMAND_MILLIS = 60;
+  /**
+   * Longest interval between two reports of the demand while requests wait (ms), as a report goes
+   * stale; each change is reported at once.
+   */
+  private static final long DEMAND_REPORT_INTERVAL_MILLIS = 60;
 
-  /** Retry-After when no runner of the service is known (ms): entries come back within 2 s. */
-  private static final long NO_RUNNER_RETRY_MILLIS = 500;
+  /** Retry-After when no runner of the service is known (ms); entries reappear within 2 s. */
+  private static final long NO_RUNNER_RETRY_AFTER_MILLIS = 500;
 
-  /** Shortest Retry-After of a refusal for want of room (ms). */
-  private static final long BUSY_RETRY_MILLIS = 100;
+  /** Shortest Retry-After of a rejection for lack of capacity (ms). */
+  private static final long MIN_RETRY_AFTER_MILLIS = 100;
 
-  /** A second runner gets an idempotent request after this part of its target latency. */
-  private static final double HEDGE_PART = 0.5;
+  /** Fraction of the target latency after which an idempotent request goes to a second runner. */
+  private static final double HEDGE_DELAY_FRACTION = 0.5;
 
-  /** A resumable stream without an event for this long goes on elsewhere (ms). */
+  /**
+   * Time without an event, beyond the pause that its route accepts, after which a resumable stream
+   * is resumed at another runner (ms).
+   */
   private static final long STREAM_SILENCE_MILLIS = 1_500;
 
-  /** Deadline of a request that names none and whose route is generous (ms). */
-  private static final long MAX_DEADLINE_MILLIS = 120_000;
+  /** Deadline of a request that states none (ms); the timeout of its route may be shorter. */
+  private static final long DEFAULT_DEADLINE_MILLIS = 120_000;
 
   private final FleetView fleet;
-  private final KeyHasher keys;
+  private final KeyHasher keyHasher;
   private final Admission admission;
   private final UpstreamClient upstreams;
-  private final RetryGate retries;
-  private final QuarantineGate quarantine;
+  private final RetryGate retryGate;
+  private final QuarantineGate quarantineGate;
   private final LoadGuard loadGuard;
-  private final GenerationPlacement generations =
+  private final GenerationPlacement generationPlacement =
       new GenerationPlacement(PlacementSettings.DEFAULT);
-  private final ServicePlacement services = new ServicePlacement(PlacementSettings.DEFAULT);
-  private final Consumer<Runnable> decisions;
+  private final ServicePlacement servicePlacement = new ServicePlacement(PlacementSettings.DEFAULT);
+  private final Consumer<Runnable> decisionThread;
   private final LongSupplier clock;
-  private final Runnable changed;
+  private final Runnable inFlightListener;
   private final Random random;
   private final MetricRegistry metrics;
   private final Histogram firstEventMillis;
-  private final Histogram wholeMillis;
+  private final Histogram totalMillis;
   private final EventLog log;
-  private final OwnAnswers answers;
+  private final LocalResponses localResponses;
   private final Set<Call> calls = new LinkedHashSet<>();
-  private long lookedMillis;
-  private int waiting;
+  private long lastCallerCheckMillis;
+  private int waitingCount;
   private boolean demandsChanged;
-  private long demandsToldMillis;
+  private long demandsReportedMillis;
   private @Nullable Shutdown shutdown;
 
   /**
    * Creates a coordinator.
    *
-   * @param keys hashes callers' access keys as the configuration's were
-   * @param changed told when what this host has in flight has changed
+   * @param keyHasher hashes callers' access keys in the same way as those of the configuration
+   * @param decisionThread executes tasks on the decision thread
+   * @param clock the monotonic time (ms)
+   * @param inFlightListener invoked when the load that this host has in flight has changed
    */
   public RequestCoordinator(
       FleetView fleet,
-      KeyHasher keys,
-      AllowanceKeeper allowances,
+      KeyHasher keyHasher,
+      AllowanceLimiter allowances,
       UpstreamClient upstreams,
       SharedRetryBudget budget,
-      QuarantineGate quarantine,
+      QuarantineGate quarantineGate,
       LoadGuard loadGuard,
-      Consumer<Runnable> decisions,
+      Consumer<Runnable> decisionThread,
       LongSupplier clock,
-      Runnable changed,
+      Runnable inFlightListener,
       Random random,
       MetricRegistry metrics,
       EventLog log) {
     this.metrics = metrics;
     this.firstEventMillis = metrics.histogram("requests.first_event_ms");
-    this.wholeMillis = metrics.histogram("requests.whole_ms");
+    this.totalMillis = metrics.histogram("requests.whole_ms");
     this.fleet = fleet;
-    this.keys = keys;
+    this.keyHasher = keyHasher;
     this.admission = new Admission(fleet::table, allowances, new WorkspaceMetrics(metrics), log);
     this.upstreams = upstreams;
-    this.retries = new RetryGate(budget, fleet, metrics, log);
-    this.quarantine = quarantine;
+    this.retryGate = new RetryGate(budget, fleet, metrics, log);
+    this.quarantineGate = quarantineGate;
     this.loadGuard = loadGuard;
-    this.decisions = decisions;
+    this.decisionThread = decisionThread;
     this.clock = clock;
-    this.changed = changed;
+    this.inFlightListener = inFlightListener;
     this.random = random;
     this.log = log;
-    this.answers = new OwnAnswers(metrics, log);
+    this.localResponses = new LocalResponses(metrics, log);
   }
 
-  /** Takes a request whose body has been read. */
-  public void arrived(CallerExchange exchange) {
+  /** Handles a request whose body has been read completely. */
+  public void handle(CallerExchange exchange) {
     final long now = clock.getAsLong();
-    CallerHeaders headers = CallerDialect.decode(exchange.headers(), keys);
+    CallerHeaders headers = CallerDialect.decode(exchange.headers(), keyHasher);
     if (shutdown != null) {
-      exchange.closeAfterwards();
+      exchange.closeConnectionAfterResponse();
     }
-    Admission.Result result = admission.permit(exchange, headers);
+    Admission.Result result = admission.admit(exchange, headers);
     if (result instanceof Admission.Permitted permitted) {
       accept(exchange, headers, permitted, now);
     } else if (result instanceof Admission.Denied denied) {
@@ -175,87 +190,98 @@
   }
 
   private void deny(CallerExchange exchange, CallerHeaders headers, Admission.Denied denied) {
-    answers.finish(exchange, headers, denied.status(), denied.why(), denied.retryMillis());
+    localResponses.respond(exchange, headers, denied.status(), denied.why(), denied.retryMillis());
   }
 
   private void accept(
       CallerExchange exchange, CallerHeaders headers, Admission.Permitted permitted, long now) {
     Route route = permitted.route();
-    String service = route.service(random.nextDouble());
-    long deadline = headers.deadlineMillis() > 0 ? headers.deadlineMillis() : MAX_DEADLINE_MILLIS;
-    long wanted = Math.min(deadline, route.timeoutMillis());
-    long end = now + wanted;
+    String service = route.selectService(random.nextDouble());
+    long requestedMillis =
+        headers.deadlineMillis() > 0 ? headers.deadlineMillis() : DEFAULT_DEADLINE_MILLIS;
+    long timeoutMillis = Math.min(requestedMillis, route.timeoutMillis());
+    long deadlineMillis = now + timeoutMillis;
     if (shutdown != null) {
-      if (!shutdown.takes(wanted, now)) {
-        answers.refuse(exchange, headers, "stopping", BUSY_RETRY_MILLIS);
+      if (!shutdown.accepts(timeoutMillis, now)) {
+        localResponses.reject(
+            exchange, headers, "this host is shutting down", MIN_RETRY_AFTER_MILLIS);
         return;
       }
-      end = Math.min(end, shutdown.lastWordMillis());
+      deadlineMillis = Math.min(deadlineMillis, shutdown.finalStatusMillis());
     }
-    Optional<Admission.Denied> beyond = admission.charge(permitted, headers, now);
-    if (beyond.isPresent()) {
-      deny(exchange, headers, beyond.get());
+    Optional<Admission.Denied> denied = admission.charge(permitted, headers, now);
+    if (denied.isPresent()) {
+      deny(exchange, headers, denied.get());
       return;
     }
     Call call =
-        new Call(exchange, headers, permitted, service, retries.opened(service, now), now, end);
+        new Call(
+            exchange,
+            headers,
+            permitted,
+            service,
+            retryGate.openAccount(service, now),
+            now,
+            deadlineMillis);
     calls.add(call);
     metrics.counter("requests.accepted").inc();
     place(call, now);
   }
 
-  /** Does what is due: waiting requests, deadlines, silent runners, callers that left. */
+  /** Processes what is due: waiting requests, deadlines, silent runners, disconnected callers. */
   public void tick(long nowMillis) {
-    boolean look = nowMillis - lookedMillis >= LOOK_MILLIS;
-    if (look) {
-      lookedMillis = nowMillis;
+    boolean checkCallers = nowMillis - lastCallerCheckMillis >= CALLER_CHECK_INTERVAL_MILLIS;
+    if (checkCallers) {
+      lastCallerCheckMillis = nowMillis;
     }
     for (Call call : List.copyOf(calls)) {
       if (call.done) {
         continue;
       }
-      if (look && call.exchange.callerGone()) {
+      if (checkCallers && call.exchange.isCallerDisconnected()) {
         log.info("caller-gone", "request", call.id());
-        call.running.forEach(running -> quarantine.unanswered(call, running, nowMillis));
-        cancelAll(call, "the caller has gone");
-        call.exchange.breakOff("the caller has gone");
-        finished(call);
-      } else if (nowMillis >= call.endMillis()) {
-        expired(call, nowMillis);
-      } else if (call.running.isEmpty()) {
-        if (mayBePlacedAnew(call, nowMillis)) {
+        call.activeAttempts.forEach(
+            active -> quarantineGate.recordUnanswered(call, active, nowMillis));
+        cancelAttempts(call, "the caller has disconnected");
+        call.exchange.abort("the caller has disconnected");
+        remove(call);
+      } else if (nowMillis >= call.deadlineMillis()) {
+        expire(call, nowMillis);
+      } else if (call.activeAttempts.isEmpty()) {
+        if (isPlacementDue(call, nowMillis)) {
           place(call, nowMillis);
         }
       } else {
-        watchRunning(call, nowMillis);
+        checkActiveAttempts(call, nowMillis);
       }
     }
   }
 
-  private boolean mayBePlacedAnew(Call call, long nowMillis) {
+  private boolean isPlacementDue(Call call, long nowMillis) {
     RunnerEntry runner = call.waitingAt;
-    return nowMillis >= call.placeAgainMillis
+    return nowMillis >= call.nextPlacementMillis
         || runner == null
-        || fleet.holdingChanges(runner) != call.holdingChanges;
+        || fleet.holdingRevision(runner) != call.holdingRevision;
   }
 
-  /** Returns whether a request waits for something that may come any moment. */
-  public boolean isAnyWaiting() {
-    return waiting > 0;
+  /** Returns whether any request waits for a runner, which may become ready at any moment. */
+  public boolean hasWaitingRequests() {
+    return waitingCount > 0;
   }
 
-  /** Returns whether what requests wait for is to be told now; if so, it counts as told. */
-  public boolean demandsDue(long nowMillis) {
-    boolean repeated = waiting > 0 && nowMillis - demandsToldMillis >= DEMAND_MILLIS;
-    if (!demandsChanged && !repeated) {
+  /** Returns whether the demand must be reported now; if so, it is marked as reported. */
+  public boolean markDemandsReportedIfDue(long nowMillis) {
+    boolean repeatDue =
+        waitingCount > 0 && nowMillis - demandsReportedMillis >= DEMAND_REPORT_INTERVAL_MILLIS;
+    if (!demandsChanged && !repeatDue) {
       return false;
     }
     demandsChanged = false;
-    demandsToldMillis = nowMillis;
+    demandsReportedMillis = nowMillis;
     return true;
   }
 
-  /** Returns what requests wait for, by runner. */
+  /** Returns the demand of the waiting requests, by runner id. */
   public Map<String, List<Demand>> demands(long nowMillis) {
     Map<String, Map<String, Demand>> byRunner = new HashMap<>();
     for (Call call : calls) {
@@ -275,35 +301,38 @@
     return demands;
   }
 
-  /** Asks callers to close their connections, and takes only what can be finished. */
-  public void stop(Shutdown begun) {
-    shutdown = begun;
+  /**
+   * Begins a shutdown: callers are asked to close their connections, and from now on only requests
+   * that can finish in time are accepted.
+   */
+  public void beginShutdown(Shutdown requested) {
+    shutdown = requested;
     calls.forEach(
         call -> {
-          call.exchange.closeAfterwards();
-          call.endBy(begun.lastWordMillis());
+          call.exchange.closeConnectionAfterResponse();
+          call.shortenDeadline(requested.finalStatusMillis());
         });
   }
 
-  /** Does what is due now and then. */
-  public void upkeep(long nowMillis) {
-    retries.publish(nowMillis);
+  /** Publishes the metrics of the retry budget; call it periodically. */
+  public void publishMetrics(long nowMillis) {
+    retryGate.publish(nowMillis);
   }
 
-  /** Returns how many requests are in progress. */
-  public int size() {
+  /** Returns the number of requests in progress. */
+  public int inProgressCount() {
     return calls.size();
   }
 
   private void place(Call call, long nowMillis) {
-    if (admission.isWithdrawn(call.permitted, call.headers)) {
-      withdrawn(call, nowMillis);
+    if (admission.isKeyRevoked(call.permitted, call.headers)) {
+      rejectRevokedKey(call, nowMillis);
       return;
     }
-    Optional<Hold> hold = quarantine.hold(call, nowMillis);
+    Optional<ActiveQuarantine> hold = quarantineGate.hold(call, nowMillis);
     if (hold.isPresent()) {
-      quarantine.heldBack(call, hold.get(), nowMillis);
-      giveUp(call, "held back: runners ended under this request", 0);
+      quarantineGate.recordHold(call, hold.get(), nowMillis);
+      fail(call, "quarantined: runners terminated while they ran this request", 0);
     } else if (call.generation == null) {
       placePlain(call, nowMillis);
     } else {
@@ -311,128 +340,136 @@
     }
   }
 
-  /** Ends a request whose key was withdrawn before it could start, or start again. */
-  private void withdrawn(Call call, long nowMillis) {
-    String why = "the key was withdrawn";
+  /** Ends a request whose access key was revoked before it could be sent, or sent again. */
+  private void rejectRevokedKey(Call call, long nowMillis) {
+    String reason = "the access key has been revoked";
     if (call.exchange.isStarted()) {
-      call.exchange.breakOff(why);
+      call.exchange.abort(reason);
     } else {
-      answers.finish(call.exchange, call.headers, HttpStatus.UNAUTHORIZED_401, why, -1);
+      localResponses.respond(call.exchange, call.headers, HttpStatus.UNAUTHORIZED_401, reason, -1);
     }
-    done(call, HttpStatus.UNAUTHORIZED_401, why, nowMillis);
+    finish(call, HttpStatus.UNAUTHORIZED_401, reason, nowMillis);
   }
 
   private void placePlain(Call call, long nowMillis) {
     List<Candidate> candidates = candidates(call, null, nowMillis);
-    Optional<Candidate> chosen = services.choose(candidates, random.nextDouble());
+    Optional<Candidate> chosen = servicePlacement.choose(candidates, random.nextDouble());
     if (chosen.isEmpty()) {
-      giveUp(call, "no runner", NO_RUNNER_RETRY_MILLIS);
+      fail(call, "no usable runner for the service", NO_RUNNER_RETRY_AFTER_MILLIS);
       return;
     }
-    start(call, chosen.get().runner(), 0, nowMillis);
+    startAttempt(call, chosen.get().runner(), 0, nowMillis);
   }
 
   private void placeGeneration(Call call, Generation generation, long nowMillis) {
     List<Candidate> candidates = candidates(call, generation, nowMillis);
     RunnerEntry before = call.waitingAt;
-    StreamLimits limits = limits(call, nowMillis);
+    StreamLimits limits = streamLimits(call, nowMillis);
     Optional<GenerationPlacement.Choice> chosen =
-        generations.choose(generation, limits, candidates, before == null ? "" : before.id());
+        generationPlacement.choose(
+            generation, limits, candidates, before == null ? "" : before.id());
     if (chosen.isEmpty()) {
-      giveUp(call, "no runner", NO_RUNNER_RETRY_MILLIS);
+      fail(call, "no usable runner for the service", NO_RUNNER_RETRY_AFTER_MILLIS);
       return;
     }
     GenerationPlacement.Choice choice = chosen.get();
     Candidate candidate = choice.candidate();
-    if (nowMillis + choice.firstTokenMillis() > call.firstEventByMillis()) {
-      // Whoever returns sooner is refused again.
-      giveUp(call, "would be late", (long) choice.firstTokenMillis());
+    if (nowMillis + choice.firstTokenMillis() > call.firstEventDeadlineMillis()) {
+      // A caller that retries sooner would be rejected again.
+      fail(call, "the first event would miss its deadline", (long) choice.firstTokenMillis());
       return;
     }
-    Optional<Hold> load = candidate.present() ? Optional.empty() : loadHold(call, nowMillis);
+    Optional<ActiveQuarantine> load =
+        candidate.heldOrLoading() ? Optional.empty() : loadHold(call, nowMillis);
     if (load.isPresent()) {
-      quarantine.heldBack(call, load.get(), nowMillis);
-      giveUp(
+      quarantineGate.recordHold(call, load.get(), nowMillis);
+      fail(
           call,
-          "held back: runners ended while they loaded its adapter",
+          "quarantined: runners terminated while they loaded the request's adapter",
           load.get().untilMillis() - nowMillis);
       return;
     }
-    boolean there = candidate.present() && candidate.adapterWaitMillis() <= 0;
-    if (there && generations.mayRead(candidate, limits)) {
-      start(call, candidate.runner(), candidate.unreadTokens(), nowMillis);
+    boolean ready = candidate.heldOrLoading() && candidate.adapterWaitMillis() <= 0;
+    if (ready && generationPlacement.mayStartReading(candidate, limits)) {
+      startAttempt(call, candidate.runner(), candidate.unreadTokens(), nowMillis);
     } else {
       waitAt(call, candidate, nowMillis);
     }
   }
 
-  private Optional<Hold> loadHold(Call call, long nowMillis) {
+  private Optional<ActiveQuarantine> loadHold(Call call, long nowMillis) {
     String adapter = call.adapter();
     return adapter.isEmpty()
         ? Optional.empty()
-        : loadGuard.hold(adapter, fleet.newestVersion(adapter), nowMillis);
+        : loadGuard.activeQuarantine(adapter, fleet.newestVersion(adapter), nowMillis);
   }
 
-  /** Records that a request, and the adapter that it used, had a good answer. */
-  private void served(Call call, long nowMillis) {
-    quarantine.answered(call, nowMillis);
+  /** Records a successful response for a request and for the adapter that it used. */
+  private void recordSuccess(Call call, long nowMillis) {
+    quarantineGate.recordSuccess(call, nowMillis);
     String adapter = call.adapter();
     if (!adapter.isEmpty()) {
-      loadGuard.served(adapter, fleet.newestVersion(adapter), nowMillis);
+      loadGuard.recordSuccess(adapter, fleet.newestVersion(adapter), nowMillis);
     }
   }
 
   /**
-   * Returns the runners that a request chooses from: all, but while it has not waited long or has
-   * just looked round, only the one where it waits and those that have its adapter. What hosts tell
-   * of queues changes from one datagram to the next, and each move begins another wait at its end.
+   * Returns the runners among which a request may choose.
+   *
+   * <p>These are all usable runners of its service. A waiting request that has not waited long, or
+   * for which all runners were evaluated recently, chooses only among the one where it waits and
+   * those that have its adapter: the queues that hosts report change from one datagram to the next,
+   * and each move begins another wait at the end of a queue.
    */
-  private List<RunnerEntry> choice(Call call, @Nullable Generation generation, long nowMillis) {
-    List<RunnerEntry> usable = fleet.usable(call.service, nowMillis);
+  private List<RunnerEntry> eligibleRunners(
+      Call call, @Nullable Generation generation, long nowMillis) {
+    List<RunnerEntry> usable = fleet.usableRunners(call.service, nowMillis);
     RunnerEntry before = call.waitingAt;
     if (before == null || generation == null) {
       return usable;
     }
-    boolean settling = nowMillis - call.waitingSinceMillis < SETTLED_MILLIS;
-    if (!settling && nowMillis - call.lookedRoundMillis >= LOOK_ROUND_MILLIS) {
-      call.lookedRoundMillis = nowMillis;
+    boolean mustStay = nowMillis - call.waitingSinceMillis < MIN_WAIT_BEFORE_MOVE_MILLIS;
+    if (!mustStay && nowMillis - call.lastFullScanMillis >= FULL_SCAN_INTERVAL_MILLIS) {
+      call.lastFullScanMillis = nowMillis;
       return usable;
     }
     boolean stillUsable = false;
-    List<RunnerEntry> few = new ArrayList<>();
+    List<RunnerEntry> preferred = new ArrayList<>();
     for (RunnerEntry runner : usable) {
       boolean here = runner.id().equals(before.id());
       stillUsable |= here;
-      if (here || fleet.isKnownAt(runner, generation)) {
-        few.add(runner);
+      if (here || fleet.isAdapterKnownAt(runner, generation)) {
+        preferred.add(runner);
       }
     }
-    return stillUsable ? few : usable;
+    return stillUsable ? preferred : usable;
   }
 
-  private StreamLimits limits(Call call, long nowMillis) {
-    int tokensPerEvent = fleet.engine(call.service).map(EngineSpec::tokensPerEvent).orElse(1);
-    long inTime = call.arrivedMillis + call.route.targetLatencyMillis() - nowMillis;
-    return new StreamLimits(fleet.pauseMillis(call.service), tokensPerEvent, inTime);
+  private StreamLimits streamLimits(Call call, long nowMillis) {
+    int tokensPerEvent = fleet.engineSpec(call.service).map(EngineSpec::tokensPerEvent).orElse(1);
+    long inTimeMillis = call.arrivedMillis + call.route.targetLatencyMillis() - nowMillis;
+    return new StreamLimits(fleet.pauseMillis(call.service), tokensPerEvent, inTimeMillis);
   }
 
   private void waitAt(Call call, Candidate candidate, long nowMillis) {
     long adapterWait = candidate.adapterWaitMillis();
-    call.placeAgainMillis =
+    call.nextPlacementMillis =
         nowMillis
-            + (adapterWait > 0 ? Math.min(ADAPTER_LOOK_MILLIS, adapterWait) : PLACE_AGAIN_MILLIS);
-    call.holdingChanges = fleet.holdingChanges(candidate.runner());
+            + (adapterWait > 0
+                ? Math.min(ADAPTER_WAIT_INTERVAL_MILLIS, adapterWait)
+                : PROMPT_WAIT_INTERVAL_MILLIS);
+    call.holdingRevision = fleet.holdingRevision(candidate.runner());
     RunnerEntry before = call.waitingAt;
     if (before != null && before.id().equals(candidate.runner().id())) {
       return;
     }
     stopWaiting(call);
     call.waitingAt = candidate.runner();
-    waiting++;
+    waitingCount++;
     demandsChanged = true;
     call.waitingSinceMillis = nowMillis;
     call.waitingTokens = candidate.unreadTokens();
-    fleet.loads().add(candidate.runner().id(), 1, 0, call.waitingTokens, call.adapter());
+    fleet.fleetLoad().add(candidate.runner().id(), 1, 0, call.waitingTokens, call.adapter());
     log.info(
         "request-waits",
         "request",
@@ -444,16 +481,16 @@
         "wait_ms",
         candidate.adapterWaitMillis(),
         "present",
-        candidate.present());
-    changed.run();
+        candidate.heldOrLoading());
+    inFlightListener.run();
   }
 
   private void stopWaiting(Call call) {
     RunnerEntry before = call.waitingAt;
     if (before != null) {
-      fleet.loads().add(before.id(), -1, 0, -call.waitingTokens, call.adapter());
+      fleet.fleetLoad().add(before.id(), -1, 0, -call.waitingTokens, call.adapter());
       call.waitingAt = null;
-      waiting--;
+      waitingCount--;
       demandsChanged = true;
     }
   }
@@ -461,9 +498,10 @@
   private List<Candidate> candidates(Call call, @Nullable Generation generation, long nowMillis) {
     List<Candidate> candidates = new ArrayList<>();
     int adapterUses = fleet.adapterUses(generation, nowMillis);
-    for (RunnerEntry runner : choice(call, generation, nowMillis)) {
-      boolean running = call.running.stream().anyMatch(r -> r.runner.id().equals(runner.id()));
-      if (!call.tried.contains(runner.id()) && !running) {
+    for (RunnerEntry runner : eligibleRunners(call, generation, nowMillis)) {
+      boolean alreadyRunning =
+          call.activeAttempts.stream().anyMatch(r -> r.runner.id().equals(runner.id()));
+      if (!call.excludedRunners.contains(runner.id()) && !alreadyRunning) {
         boolean counted = call.waitingAt != null && call.waitingAt.id().equals(runner.id());
         candidates.add(
             fleet.candidate(
@@ -473,25 +511,25 @@
     return candidates;
   }
 
-  private void start(Call call, RunnerEntry runner, int unreadTokens, long nowMillis) {
-    if (!retries.pay(call, nowMillis)) {
-      giveUp(call, "no retry is left", BUSY_RETRY_MILLIS);
+  private void startAttempt(Call call, RunnerEntry runner, int unreadTokens, long nowMillis) {
+    if (!retryGate.chargeSend(call, nowMillis)) {
+      fail(call, "the retry budget is exhausted", MIN_RETRY_AFTER_MILLIS);
       return;
     }
     stopWaiting(call);
     call.sends++;
-    Call.Running running = new Call.Running(call.sends, runner, nowMillis, unreadTokens);
-    call.running.add(running);
-    fleet.loads().add(runner.id(), 1, unreadTokens, 0, call.adapter());
+    Call.ActiveAttempt active = new Call.ActiveAttempt(call.sends, runner, nowMillis, unreadTokens);
+    call.activeAttempts.add(active);
+    fleet.fleetLoad().add(runner.id(), 1, unreadTokens, 0, call.adapter());
     if (call.generation != null) {
-      fleet.sent(runner, call.generation);
+      fleet.recordSentPrompt(runner, call.generation);
     }
-    changed.run();
+    inFlightListener.run();
     String lastEvent = call.relay.lastEventId();
-    RunnerHeaders ours =
+    RunnerHeaders headers =
         new RunnerHeaders(
             runner.instance(),
-            call.endMillis() - nowMillis,
+            call.deadlineMillis() - nowMillis,
             call.generation == null ? -1 : call.priority(),
             fleet.newestVersion(call.adapter()),
             lastEvent.isEmpty() ? call.headers.lastEventId() : lastEvent,
@@ -506,163 +544,178 @@
         "send",
         call.sends,
         "left_ms",
-        call.endMillis() - nowMillis,
+        call.deadlineMillis() - nowMillis,
         "unread",
         unreadTokens,
         "adapter",
         call.adapter(),
         "after_ms",
         nowMillis - call.arrivedMillis);
-    if (call.route.repetition().isStream()) {
-      call.relay.expect(running.number);
+    if (call.route.repeatPolicy().isStream()) {
+      call.relay.expectAttempt(active.number);
     }
-    running.attempt =
+    active.attempt =
         upstreams.start(
             runner,
             call.exchange.method(),
             call.exchange.pathAndQuery(),
             call.id(),
-            CallerDialect.toRunner(call.exchange.headers(), ours),
+            CallerDialect.toRunner(call.exchange.headers(), headers),
             call.exchange.body(),
-            call.route.repetition().isStream(),
-            new Follower(call, running));
+            call.route.repeatPolicy().isStream(),
+            new CallAttemptListener(call, active));
   }
 
-  /** Passes pieces on at once and everything else to the decision thread. */
-  private final class Follower implements AttemptListener {
+  /** Relays chunks to the caller at once and passes all other events to the decision thread. */
+  private final class CallAttemptListener implements AttemptListener {
     private final Call call;
-    private final Call.Running running;
+    private final Call.ActiveAttempt active;
 
-    Follower(Call call, Call.Running running) {
+    CallAttemptListener(Call call, Call.ActiveAttempt active) {
       this.call = call;
-      this.running = running;
+      this.active = active;
     }
 
     @Override
     public void streamStarted(int status, HttpFields headers) {
-      call.relay.head(running.number, status, headers);
+      call.relay.start(active.number, status, headers);
     }
 
     @Override
-    public void streamPiece(ByteBuffer piece) {
-      if (call.relay.piece(running.number, piece, clock.getAsLong())) {
-        decisions.accept(() -> firstEvent(call, running));
+    public void streamContent(ByteBuffer chunk) {
+      if (call.relay.relayChunk(active.number, chunk, clock.getAsLong())) {
+        decisionThread.accept(() -> onFirstEvent(call, active));
       }
     }
 
     @Override
     public void ended(Outcome outcome) {
-      decisions.accept(() -> RequestCoordinator.this.ended(call, running, outcome));
+      decisionThread.accept(() -> RequestCoordinator.this.onAttemptEnded(call, active, outcome));
     }
   }
 
-  private void firstEvent(Call call, Call.Running running) {
-    if (!running.firstEventSeen && call.running.contains(running)) {
-      running.firstEventSeen = true;
-      fleet.loads().add(running.runner.id(), 0, -running.unreadTokens, 0, "");
-      running.unreadTokens = 0;
+  private void onFirstEvent(Call call, Call.ActiveAttempt active) {
+    if (!active.firstEventReceived && call.activeAttempts.contains(active)) {
+      active.firstEventReceived = true;
+      fleet.fleetLoad().add(active.runner.id(), 0, -active.unreadTokens, 0, "");
+      active.unreadTokens = 0;
       firstEventMillis.update(clock.getAsLong() - call.arrivedMillis);
       log.debug(
           "first-event",
           "request",
           call.id(),
           "runner",
-          running.runner.id(),
+          active.runner.id(),
           "took_ms",
-          clock.getAsLong() - running.startedMillis);
-      changed.run();
+          clock.getAsLong() - active.startedMillis);
+      inFlightListener.run();
     }
   }
 
-  private void ended(Call call, Call.Running running, Outcome outcome) {
-    if (!call.running.remove(running)) {
+  private void onAttemptEnded(Call call, Call.ActiveAttempt active, Outcome outcome) {
+    if (!call.activeAttempts.remove(active)) {
       return;
     }
-    release(call, running);
+    releaseLoad(call, active);
     if (call.done) {
       return;
     }
     call.mayHaveRun |= !(outcome instanceof Outcome.Refused || outcome instanceof Outcome.NotSent);
     long now = clock.getAsLong();
-    if (outcome instanceof Outcome.StreamEnded) {
-      fleet.health(running.runner).succeeded(now - running.startedMillis, now);
-      call.relay.end();
-      served(call, now);
-      done(call, HttpStatus.OK_200, "", now);
+    if (outcome instanceof Outcome.StreamCompleted) {
+      fleet.health(active.runner).succeeded(now - active.startedMillis, now);
+      call.relay.complete();
+      recordSuccess(call, now);
+      finish(call, HttpStatus.OK_200, "", now);
     } else if (outcome instanceof Outcome.Answered answered) {
-      answered(call, running, answered, now);
+      onResponse(call, active, answered, now);
     } else if (outcome instanceof Outcome.Refused refused) {
-      refused(call, running, refused, now);
+      onRefusal(call, active, refused, now);
     } else if (outcome instanceof Outcome.NotSent notSent) {
-      fleet.health(running.runner).unreachable(now);
-      if (notSent.refused()) {
-        quarantine.nobodyListens(running.runner, now);
+      fleet.health(active.runner).unreachable(now);
+      if (notSent.connectionRefused()) {
+        quarantineGate.recordConnectionRefused(active.runner, now);
       }
-      failed(call, running, Ending.NOT_SENT, notSent.why(), null, now);
-    } else if (outcome instanceof Outcome.Lost lost) {
+      onAttemptFailed(call, active, Ending.NOT_SENT, notSent.reason(), null, now);
+    } else if (outcome instanceof Outcome.ResponseLost lost) {
       call.runs++;
-      fleet.health(running.runner).failed(now);
-      logLost(call, running, now);
-      if (lost.connectionBroke()) {
-        quarantine.broken(call, running, now);
+      fleet.health(active.runner).failed(now);
+      logLostResponse(call, active, now);
+      if (lost.connectionBroken()) {
+        quarantineGate.recordBrokenConnection(call, active, now);
       }
-      failed(call, running, Ending.LOST, lost.why(), null, now);
+      onAttemptFailed(call, active, Ending.LOST, lost.reason(), null, now);
     }
   }
 
   /**
-   * Tells by which number a request is known again whose answer was lost: a request that ends the
-   * runners that run it comes back under new ids, at other hosts.
+   * Logs the fingerprint of a request whose response was lost. A request that terminates the
+   * runners that run it comes back under new ids and at other hosts, where only its fingerprint
+   * identifies it.
    */
-  private void logLost(Call call, Call.Running running, long now) {
+  private void logLostResponse(Call call, Call.ActiveAttempt active, long now) {
     log.info(
         "answer-lost",
         "request",
         call.id(),
         "fingerprint",
-        RequestFingerprint.text(call.fingerprint().value()),
+        RequestFingerprint.format(call.fingerprint().value()),
         "caller",
         call.exchange.callerIp(),
         "runner",
-        running.runner.id(),
+        active.runner.id(),
         "ran_ms",
-        now - running.startedMillis);
+        now - active.startedMillis);
   }
 
-  private void answered(Call call, Call.Running running, Outcome.Answered answered, long now) {
+  private void onResponse(
+      Call call, Call.ActiveAttempt active, Outcome.Answered answered, long now) {
     call.runs++;
     if (answered.status() < HttpStatus.INTERNAL_SERVER_ERROR_500) {
-      fleet.health(running.runner).succeeded(now - running.startedMillis, now);
-      cancelAll(call, "answered");
+      fleet.health(active.runner).succeeded(now - active.startedMillis, now);
+      cancelAttempts(call, "another attempt was answered");
       if (HttpStatus.isSuccess(answered.status())) {
-        served(call, now);
+        recordSuccess(call, now);
       }
-      pass(call, answered, now);
+      forwardResponse(call, answered, now);
       return;
     }
-    fleet.health(running.runner).failed(now);
-    failed(call, running, Ending.FAILED, "status " + answered.status(), answered, now);
-  }
-
-  private void refused(Call call, Call.Running running, Outcome.Refused refused, long now) {
-    boolean mayComeLater = !call.adapter().isEmpty() && call.missedAt.add(running.runner.id());
-    if (mayComeLater) {
-      // The adapter was to be there: it comes a little later, or was dropped.
-      fleet.refused(running.runner, call.adapter(), now);
+    fleet.health(active.runner).failed(now);
+    onAttemptFailed(
+        call,
+        active,
+        Ending.FAILED,
+        "the runner failed with status " + answered.status(),
+        answered,
+        now);
+  }
+
+  private void onRefusal(Call call, Call.ActiveAttempt active, Outcome.Refused refused, long now) {
+    boolean mayBecomeReady =
+        !call.adapter().isEmpty() && call.adapterMissingAt.add(active.runner.id());
+    if (mayBecomeReady) {
+      // The adapter was expected there: it becomes ready slightly later, or was evicted.
+      fleet.recordRefusal(active.runner, call.adapter(), now);
     } else {
-      // Refused twice, what the runner's holder tells of it is wrong: another runner is tried.
-      call.tried.add(running.runner.id());
-      fleet.health(running.runner).failed(now);
+      // A second refusal shows that the holder's report is wrong: another runner is tried.
+      call.excludedRunners.add(active.runner.id());
+      fleet.health(active.runner).failed(now);
     }
-    failed(call, running, Ending.REFUSED, "refused " + refused.status(), null, now);
+    onAttemptFailed(
+        call,
+        active,
+        Ending.REFUSED,
+        "the runner refused the request with status " + refused.status(),
+        null,
+        now);
   }
 
-  private void failed(
+  private void onAttemptFailed(
       Call call,
-      Call.Running running,
+      Call.ActiveAttempt active,
       Ending ending,
-      String why,
-      Outcome.@Nullable Answered answer,
+      String reason,
+      Outcome.@Nullable Answered response,
       long now) {
     metrics.counter("attempts.ended." + ending.name().toLowerCase(Locale.ROOT)).inc();
     log.info(
@@ -670,11 +723,11 @@
         "request",
         call.id(),
         "runner",
-        running.runner.id(),
+        active.runner.id(),
         "ending",
         ending,
         "why",
-        why,
+        reason,
         "sends",
         call.sends,
         "runs",
@@ -682,144 +735,152 @@
         "after_ms",
         now - call.arrivedMillis);
     if (ending != Ending.REFUSED) {
-      call.tried.add(running.runner.id());
+      call.excludedRunners.add(active.runner.id());
     }
-    if (!call.running.isEmpty()) {
+    if (!call.activeAttempts.isEmpty()) {
       return;
     }
-    boolean again =
-        RetryRule.mayOfferAgain(
+    boolean mayOfferAgain =
+        RetryRule.mayRetry(
             ending,
-            call.route.repetition(),
+            call.route.repeatPolicy(),
             call.sends,
             call.runs,
             call.route.maxAttempts(),
-            call.endMillis() - now);
-    if (RetryRule.drawsOnBudget(ending)) {
-      call.retries.reachedRunner();
+            call.deadlineMillis() - now);
+    if (RetryRule.usesRetryBudget(ending)) {
+      call.retryAccount.recordRunnerReached();
     }
-    if (again && retries.maySendAgain(call, now)) {
+    if (mayOfferAgain && retryGate.mayRetry(call, now)) {
       place(call, now);
-    } else if (answer != null) {
-      pass(call, answer, now);
+    } else if (response != null) {
+      forwardResponse(call, response, now);
     } else {
-      giveUp(call, why, BUSY_RETRY_MILLIS);
+      fail(call, reason, MIN_RETRY_AFTER_MILLIS);
     }
   }
 
-  /** Gives the caller a runner's whole answer. */
-  private void pass(Call call, Outcome.Answered answered, long now) {
-    if (OwnAnswers.promisesNotRun(answered.status())) {
-      // The runner does not say that it has not run; the status alone would.
-      answers.finish(
+  /** Forwards a runner's complete response to the caller. */
+  private void forwardResponse(Call call, Outcome.Answered answered, long now) {
+    if (LocalResponses.guaranteesNotRun(answered.status())) {
+      // The status would promise that the request has not run, which the runner did not state.
+      localResponses.respond(
           call.exchange, call.headers, HttpStatus.BAD_GATEWAY_502, "the runner failed", -1);
     } else {
-      call.exchange.answer(answered.status(), answered.headers(), answered.body());
+      call.exchange.respond(answered.status(), answered.headers(), answered.body());
     }
-    done(call, answered.status(), "", now);
+    finish(call, answered.status(), "", now);
   }
 
-  /** Ends a request that cannot be served, with a status that tells the truth. */
-  private void giveUp(Call call, String why, long retryMillis) {
+  /**
+   * Ends a request that cannot be served, with a status that tells whether it may have run.
+   *
+   * @param retryAfterMillis when the caller may retry if the request has not run (ms)
+   */
+  private void fail(Call call, String reason, long retryAfterMillis) {
     long now = clock.getAsLong();
-    cancelAll(call, "given up");
-    Optional<Hold> hold = quarantine.hold(call, now);
+    cancelAttempts(call, "the request has failed");
+    Optional<ActiveQuarantine> hold = quarantineGate.hold(call, now);
     boolean started = call.exchange.isStarted();
     if (started) {
-      call.exchange.breakOff(why);
+      call.exchange.abort(reason);
     } else if (call.runs > 0) {
-      // It may come back at once, unless it would only be held back.
-      long retry = hold.map(h -> h.untilMillis() - now).orElse(-1L);
-      answers.finish(call.exchange, call.headers, HttpStatus.BAD_GATEWAY_502, why, retry);
+      // The caller may retry at once, unless the request is quarantined.
+      long retryAfter = hold.map(h -> h.untilMillis() - now).orElse(-1L);
+      localResponses.respond(
+          call.exchange, call.headers, HttpStatus.BAD_GATEWAY_502, reason, retryAfter);
     } else {
-      long retry = hold.map(h -> h.untilMillis() - now).orElse(retryMillis);
-      answers.refuse(call.exchange, call.headers, why, Math.max(BUSY_RETRY_MILLIS, retry));
+      long retryAfter = hold.map(h -> h.untilMillis() - now).orElse(retryAfterMillis);
+      localResponses.reject(
+          call.exchange, call.headers, reason, Math.max(MIN_RETRY_AFTER_MILLIS, retryAfter));
     }
-    done(call, started ? 0 : call.runs > 0 ? 502 : 503, why, now);
+    finish(call, started ? 0 : call.runs > 0 ? 502 : 503, reason, now);
   }
 
-  private void expired(Call call, long nowMillis) {
-    boolean handedOn =
-        call.running.stream().anyMatch(r -> r.attempt != null && r.attempt.isHandedOn());
-    call.running.forEach(running -> quarantine.unanswered(call, running, nowMillis));
-    cancelAll(call, "deadline");
+  private void expire(Call call, long nowMillis) {
+    boolean mayHaveReachedRunner =
+        call.activeAttempts.stream()
+            .anyMatch(r -> r.attempt != null && r.attempt.mayHaveReachedRunner());
+    call.activeAttempts.forEach(active -> quarantineGate.recordUnanswered(call, active, nowMillis));
+    cancelAttempts(call, "deadline exceeded");
     if (call.exchange.isStarted()) {
-      call.exchange.breakOff("deadline");
-    } else if (handedOn || call.runs > 0) {
-      answers.finish(call.exchange, call.headers, HttpStatus.GATEWAY_TIMEOUT_504, "deadline", -1);
+      call.exchange.abort("deadline exceeded");
+    } else if (mayHaveReachedRunner || call.runs > 0) {
+      localResponses.respond(
+          call.exchange, call.headers, HttpStatus.GATEWAY_TIMEOUT_504, "deadline exceeded", -1);
     } else {
-      answers.refuse(call.exchange, call.headers, "deadline", 0);
+      localResponses.reject(call.exchange, call.headers, "deadline exceeded", 0);
     }
-    done(call, HttpStatus.GATEWAY_TIMEOUT_504, "deadline", nowMillis);
+    finish(call, HttpStatus.GATEWAY_TIMEOUT_504, "deadline exceeded", nowMillis);
   }
 
-  private void watchRunning(Call call, long nowMillis) {
-    Call.Running newest = call.running.get(call.running.size() - 1);
-    long silent = nowMillis - Math.max(newest.startedMillis, call.relay.lastPieceMillis());
-    Repetition repetition = call.route.repetition();
-    if (repetition == Repetition.IDEMPOTENT) {
-      long patience = (long) (call.route.targetLatencyMillis() * HEDGE_PART);
-      if (call.running.size() == 1
-          && silent >= patience
-          && mayRunBeside(call)
-          && !quarantine.isSuspect(call, nowMillis)) {
+  private void checkActiveAttempts(Call call, long nowMillis) {
+    Call.ActiveAttempt newest = call.activeAttempts.get(call.activeAttempts.size() - 1);
+    long silentMillis = nowMillis - Math.max(newest.startedMillis, call.relay.lastChunkMillis());
+    RepeatPolicy repetition = call.route.repeatPolicy();
+    if (repetition == RepeatPolicy.IDEMPOTENT) {
+      long hedgeDelayMillis = (long) (call.route.targetLatencyMillis() * HEDGE_DELAY_FRACTION);
+      if (call.activeAttempts.size() == 1
+          && silentMillis >= hedgeDelayMillis
+          && mayAddAttempt(call)
+          && !quarantineGate.isSuspect(call, nowMillis)) {
         hedge(call, nowMillis);
       }
-    } else if (repetition == Repetition.RESUMABLE_STREAM
-        && silent >= STREAM_SILENCE_MILLIS + call.route.pauseMillis()
+    } else if (repetition == RepeatPolicy.RESUMABLE_STREAM
+        && silentMillis >= STREAM_SILENCE_MILLIS + call.route.maxEventGapMillis()
         && call.runs + 1 < call.route.maxAttempts()) {
-      call.retries.reachedRunner();
-      if (retries.mayMove(call, nowMillis)) {
-        moveSilent(call, newest, nowMillis);
+      call.retryAccount.recordRunnerReached();
+      if (retryGate.mayResume(call, nowMillis)) {
+        resumeElsewhere(call, newest, nowMillis);
       }
     }
   }
 
-  private boolean mayRunBeside(Call call) {
-    return call.runs + call.running.size() < call.route.maxAttempts()
+  private boolean mayAddAttempt(Call call) {
+    return call.runs + call.activeAttempts.size() < call.route.maxAttempts()
         && call.sends < RetryRule.MAX_SENDS;
   }
 
   private void hedge(Call call, long nowMillis) {
     Optional<Candidate> second =
-        services.choose(candidates(call, null, nowMillis), random.nextDouble());
-    if (second.isPresent() && retries.payHedge(call, nowMillis)) {
+        servicePlacement.choose(candidates(call, null, nowMillis), random.nextDouble());
+    if (second.isPresent() && retryGate.chargeHedge(call, nowMillis)) {
       log.info("request-hedged", "request", call.id());
-      start(call, second.get().runner(), 0, nowMillis);
+      startAttempt(call, second.get().runner(), 0, nowMillis);
     }
   }
 
-  private void moveSilent(Call call, Call.Running silent, long nowMillis) {
+  private void resumeElsewhere(Call call, Call.ActiveAttempt silent, long nowMillis) {
     log.info("stream-silent", "request", call.id(), "runner", silent.runner.id());
     fleet.health(silent.runner).failed(nowMillis);
-    call.tried.add(silent.runner.id());
-    quarantine.unanswered(call, silent, nowMillis);
-    cancelAll(call, "silent");
+    call.excludedRunners.add(silent.runner.id());
+    quarantineGate.recordUnanswered(call, silent, nowMillis);
+    cancelAttempts(call, "the runner sent no event for too long");
     call.runs++;
     place(call, nowMillis);
   }
 
-  private void cancelAll(Call call, String why) {
-    for (Call.Running running : List.copyOf(call.running)) {
-      call.running.remove(running);
-      release(call, running);
-      if (running.attempt != null) {
-        call.mayHaveRun |= running.attempt.isHandedOn();
-        running.attempt.cancel(why);
+  private void cancelAttempts(Call call, String reason) {
+    for (Call.ActiveAttempt active : List.copyOf(call.activeAttempts)) {
+      call.activeAttempts.remove(active);
+      releaseLoad(call, active);
+      if (active.attempt != null) {
+        call.mayHaveRun |= active.attempt.mayHaveReachedRunner();
+        active.attempt.cancel(reason);
       }
     }
   }
 
-  private void release(Call call, Call.Running running) {
-    fleet.loads().add(running.runner.id(), -1, -running.unreadTokens, 0, call.adapter());
-    running.unreadTokens = 0;
-    changed.run();
+  private void releaseLoad(Call call, Call.ActiveAttempt active) {
+    fleet.fleetLoad().add(active.runner.id(), -1, -active.unreadTokens, 0, call.adapter());
+    active.unreadTokens = 0;
+    inFlightListener.run();
   }
 
-  private void done(Call call, int status, String why, long now) {
+  private void finish(Call call, int status, String reason, long now) {
     metrics.counter("requests.ended." + status).inc();
     if (status == HttpStatus.OK_200) {
-      wholeMillis.update(now - call.arrivedMillis);
+      totalMillis.update(now - call.arrivedMillis);
     }
     log.info(
         "request-done",
@@ -828,19 +889,19 @@
         "status",
         status,
         "why",
-        why,
+        reason,
         "took_ms",
         now - call.arrivedMillis);
-    finished(call);
+    remove(call);
   }
 
-  private void finished(Call call) {
+  private void remove(Call call) {
     call.done = true;
     if (!call.mayHaveRun) {
-      admission.giveBack(call.permitted, call.headers, call.arrivedMillis);
+      admission.refund(call.permitted, call.headers, call.arrivedMillis);
     }
     stopWaiting(call);
     calls.remove(call);
-    changed.run();
+    inFlightListener.run();
   }
 }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/RetryGate.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/RetryGate.java
@@ -11,7 +11,7 @@
 import org.sequoiahub.core.retry.SharedRetryBudget;
 import org.sequoiahub.runtime.log.EventLog;
 
-/** Asks the retry budget before requests are sent again, and tells operators what came of it. */
+/** Checks the retry budget before requests are sent again, and logs and publishes its use. */
 final class RetryGate {
 
   private final SharedRetryBudget budget;
@@ -27,35 +27,40 @@
     this.log = requireNonNull(log, "log must not be null");
   }
 
-  /** Counts a request and returns its account. */
-  RetryAccount opened(String service, long nowMillis) {
-    budget.request(service, nowMillis);
+  /** Counts a new request of a service and returns its retry account. */
+  RetryAccount openAccount(String service, long nowMillis) {
+    budget.recordRequest(service, nowMillis);
     return new RetryAccount(budget, service);
   }
 
-  /** Returns whether a request could be sent again now. */
-  boolean maySendAgain(Call call, long nowMillis) {
-    return call.retries.maySend(fleet.hosts(nowMillis), nowMillis)
-        || denied(call, "decided", nowMillis);
+  /** Returns whether the budget allows a request to be sent again now; logs a denial. */
+  boolean mayRetry(Call call, long nowMillis) {
+    return call.retryAccount.maySend(fleet.hostCount(nowMillis), nowMillis)
+        || recordDenial(call, "decided", nowMillis);
   }
 
-  /** Returns whether a stream could go on at another runner now; asked again and again. */
-  boolean mayMove(Call call, long nowMillis) {
-    return call.retries.maySend(fleet.hosts(nowMillis), nowMillis);
+  /**
+   * Returns whether the budget allows a stream to be resumed at another runner now; a denial is not
+   * logged, as this is polled.
+   */
+  boolean mayResume(Call call, long nowMillis) {
+    return call.retryAccount.maySend(fleet.hostCount(nowMillis), nowMillis);
   }
 
-  /** Takes what the next send of a request draws on the budget; false if it must not be made. */
-  boolean pay(Call call, long nowMillis) {
-    return call.retries.pay(fleet.hosts(nowMillis), nowMillis) || denied(call, "sent", nowMillis);
+  /** Charges the next send of a request to the budget; false if it must not be made. */
+  boolean chargeSend(Call call, long nowMillis) {
+    return call.retryAccount.tryAcquireSend(fleet.hostCount(nowMillis), nowMillis)
+        || recordDenial(call, "sent", nowMillis);
   }
 
-  /** Takes a second send beside one that runs; false if it must not be made. */
-  boolean payHedge(Call call, long nowMillis) {
-    return budget.tryRetry(call.service, fleet.hosts(nowMillis), nowMillis);
+  /** Charges a send beside an active attempt to the budget; false if it must not be made. */
+  boolean chargeHedge(Call call, long nowMillis) {
+    return budget.tryAcquireRetry(call.service, fleet.hostCount(nowMillis), nowMillis);
   }
 
-  private boolean denied(Call call, String when, long nowMillis) {
-    int hosts = fleet.hosts(nowMillis);
+  /** Logs and counts a denied retry; always returns false. */
+  private boolean recordDenial(Call call, String when, long nowMillis) {
+    int hosts = fleet.hostCount(nowMillis);
     SharedRetryBudget.Usage usage = budget.usage(call.service, hosts, nowMillis);
     metrics.counter("retries.denied").inc();
     log.info(
@@ -75,9 +80,12 @@
     return false;
   }
 
-  /** Tells the retries taken and left at this host; the sums over all hosts are the fleet's. */
+  /**
+   * Publishes the retries taken and left at this host; the fleet's values are the sums over all
+   * hosts.
+   */
   void publish(long nowMillis) {
-    int hosts = fleet.hosts(nowMillis);
+    int hosts = fleet.hostCount(nowMillis);
     for (String service : budget.services()) {
       SharedRetryBudget.Usage usage = budget.usage(service, hosts, nowMillis);
       gauge(service, "taken").setValue(usage.taken());
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/StreamRelay.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/StreamRelay.java
@@ -7,56 +7,56 @@
 import org.sequoiahub.node.caller.CallerExchange;
 
 /**
- * Passes a stream's events on to its caller, over all attempts at it.
+ * Relays the complete events of a stream to its caller, across all attempts.
  *
- * <p>Pieces come on client threads, the change of the attempt on the decision thread; a piece of an
- * attempt that has been given up is dropped.
+ * <p>Thread-safe: chunks arrive on HTTP client threads, while the current attempt changes on the
+ * decision thread. Chunks of an attempt that is no longer current are dropped.
  */
 final class StreamRelay {
 
   private final CallerExchange exchange;
   private final EventSplitter events = new EventSplitter();
-  private int attempt;
-  private long lastPieceMillis;
+  private int currentAttempt;
+  private long lastChunkMillis;
 
   StreamRelay(CallerExchange exchange) {
     this.exchange = exchange;
   }
 
-  /** Expects the pieces of attempt {@code number} from now on. */
-  synchronized void expect(int number) {
-    attempt = number;
+  /** Relays only chunks of attempt {@code number} from now on. */
+  synchronized void expectAttempt(int number) {
+    currentAttempt = number;
     events.dropPartial();
   }
 
-  /** Starts the answer; later attempts keep the head of the first. */
-  synchronized void head(int number, int status, HttpFields headers) {
-    if (number == attempt) {
+  /** Starts the response; it keeps the head of the first attempt if later ones follow. */
+  synchronized void start(int number, int status, HttpFields headers) {
+    if (number == currentAttempt) {
       exchange.start(status, headers);
     }
   }
 
-  /** Passes on what a piece completes; returns whether it completed the first event. */
-  synchronized boolean piece(int number, ByteBuffer piece, long nowMillis) {
-    if (number != attempt) {
+  /** Relays the events that a chunk completes; returns whether it completed the first event. */
+  synchronized boolean relayChunk(int number, ByteBuffer chunk, long nowMillis) {
+    if (number != currentAttempt) {
       return false;
     }
-    lastPieceMillis = nowMillis;
-    boolean none = events.wholeEvents() == 0;
-    byte[] complete = events.accept(BufferUtil.toArray(piece));
+    lastChunkMillis = nowMillis;
+    boolean noneBefore = events.completeEvents() == 0;
+    byte[] complete = events.accept(BufferUtil.toArray(chunk));
     if (complete.length > 0) {
-      exchange.piece(ByteBuffer.wrap(complete));
+      exchange.writeChunk(ByteBuffer.wrap(complete));
     }
-    return none && events.wholeEvents() > 0;
+    return noneBefore && events.completeEvents() > 0;
   }
 
-  /** Completes the answer. */
-  synchronized void end() {
-    byte[] rest = events.rest();
+  /** Relays what is left of the last chunk and completes the response. */
+  synchronized void complete() {
+    byte[] rest = events.drainRemainder();
     if (rest.length > 0) {
-      exchange.piece(ByteBuffer.wrap(rest));
+      exchange.writeChunk(ByteBuffer.wrap(rest));
     }
-    exchange.end();
+    exchange.complete();
   }
 
   synchronized String lastEventId() {
@@ -64,10 +64,10 @@
   }
 
   synchronized int wholeEvents() {
-    return events.wholeEvents();
+    return events.completeEvents();
   }
 
-  synchronized long lastPieceMillis() {
-    return lastPieceMillis;
+  synchronized long lastChunkMillis() {
+    return lastChunkMillis;
   }
 }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/WorkspaceMetrics.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/WorkspaceMetrics.java
@@ -5,14 +5,14 @@
 import java.util.Set;
 import org.sequoiahub.core.workspace.Workspace;
 
-/** Counts what workspaces ask for and what their limits refuse. */
+/** Counts the requests of each workspace and those that its allowance rejects. */
 final class WorkspaceMetrics {
 
   /**
-   * Workspaces that are counted by name; later ones share one name, so that a configuration with
-   * ever new names does not grow the registry without bound.
+   * Maximum number of workspaces that are counted by name. Further ones share one name, so that
+   * configurations with ever new names do not grow the registry without bound.
    */
-  private static final int MAX_NAMED = 256;
+  private static final int MAX_NAMED_WORKSPACES = 256;
 
   private static final String OTHERS = "others";
 
@@ -23,17 +23,17 @@
     this.metrics = metrics;
   }
 
-  void asked(Workspace workspace) {
+  void countRequest(Workspace workspace) {
     count(workspace, "asked");
   }
 
-  void overAllowance(Workspace workspace) {
+  void countAllowanceExceeded(Workspace workspace) {
     count(workspace, "over_allowance");
   }
 
   private void count(Workspace workspace, String what) {
     boolean known = named.contains(workspace.name());
-    if (!known && named.size() < MAX_NAMED) {
+    if (!known && named.size() < MAX_NAMED_WORKSPACES) {
       known = named.add(workspace.name());
     }
     String name = known ? workspace.name() : OTHERS;
--- a/sequoia-node/src/main/java/org/sequoiahub/node/caller/BodyReader.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/caller/BodyReader.java
@@ -7,31 +7,40 @@
 import org.eclipse.jetty.util.BufferUtil;
 
 /**
- * Reads a request's whole body before anything is done with the request: a body that is cut short
- * or too long then reaches no runner, and a request can be given to a second one.
+ * Reads the complete body of a request before the request is processed, so that a truncated or
+ * oversized body reaches no runner, and the request can be sent to a second runner.
  */
 final class BodyReader {
 
   private final Request request;
   private final long maxBytes;
-  private final Consumer<byte[]> whole;
-  private final Runnable tooLong;
-  private final Consumer<Throwable> failed;
+  private final Consumer<byte[]> onComplete;
+  private final Runnable onTooLong;
+  private final Consumer<Throwable> onFailure;
   private final ByteArrayOutputStream bytes = new ByteArrayOutputStream();
 
+  /**
+   * Creates a reader; at most one of the callbacks is invoked.
+   *
+   * @param maxBytes the largest body that is accepted (bytes)
+   * @param onComplete receives the complete body
+   * @param onTooLong invoked when the body exceeds {@code maxBytes}
+   * @param onFailure receives the failure if the body cannot be read
+   */
   BodyReader(
       Request request,
       long maxBytes,
-      Consumer<byte[]> whole,
-      Runnable tooLong,
-      Consumer<Throwable> failed) {
+      Consumer<byte[]> onComplete,
+      Runnable onTooLong,
+      Consumer<Throwable> onFailure) {
     this.request = request;
     this.maxBytes = maxBytes;
-    this.whole = whole;
-    this.tooLong = tooLong;
-    this.failed = failed;
+    this.onComplete = onComplete;
+    this.onTooLong = onTooLong;
+    this.onFailure = onFailure;
   }
 
+  /** Reads what is available, and continues when more arrives. */
   void read() {
     while (true) {
       Content.Chunk chunk = request.read();
@@ -40,19 +49,19 @@
         return;
       }
       if (Content.Chunk.isFailure(chunk)) {
-        failed.accept(chunk.getFailure());
+        onFailure.accept(chunk.getFailure());
         return;
       }
       final boolean last = chunk.isLast();
-      byte[] piece = BufferUtil.toArray(chunk.getByteBuffer());
+      byte[] content = BufferUtil.toArray(chunk.getByteBuffer());
       chunk.release();
-      if (bytes.size() + piece.length > maxBytes) {
-        tooLong.run();
+      if (bytes.size() + content.length > maxBytes) {
+        onTooLong.run();
         return;
       }
-      bytes.write(piece, 0, piece.length);
+      bytes.write(content, 0, content.length);
       if (last) {
-        whole.accept(bytes.toByteArray());
+        onComplete.accept(bytes.toByteArray());
         return;
       }
     }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/DatagramPort.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/DatagramPort.java
@@ -19,11 +19,11 @@
 import org.sequoiahub.runtime.log.EventLog;
 import org.sequoiahub.schema.peer.PeerDatagram;
 
-/** Sends and receives datagrams of the other hosts. */
+/** UDP port for datagrams between hosts. */
 public final class DatagramPort implements AutoCloseable {
 
   /** Largest datagram (bytes): the most that UDP over IPv4 carries. */
-  private static final int MAX_BYTES = 65_507;
+  private static final int MAX_DATAGRAM_BYTES = 65_507;
 
   private final Channel channel;
   private final int port;
@@ -36,7 +36,7 @@
   /**
    * Opens the port.
    *
-   * @param receiver receives the sender's IP number and the datagram, on the network thread
+   * @param receiver receives the sender's IP address and the datagram, on the network thread
    * @throws IOException if the port cannot be opened
    */
   public static DatagramPort open(
@@ -52,17 +52,18 @@
             .channel(NioDatagramChannel.class)
             .option(
                 ChannelOption.RECVBUF_ALLOCATOR,
-                new FixedRecvByteBufAllocator(MAX_BYTES).maxMessagesPerRead(1))
-            .handler(new Inbound(log, receiver))
+                new FixedRecvByteBufAllocator(MAX_DATAGRAM_BYTES).maxMessagesPerRead(1))
+            .handler(new InboundHandler(log, receiver))
             .bind(new InetSocketAddress(ip, port))
             .awaitUninterruptibly();
     if (!bound.isSuccess()) {
-      throw new IOException(ip + ":" + port + " udp: " + bound.cause(), bound.cause());
+      throw new IOException(
+          "cannot bind UDP port " + ip + ":" + port + ": " + bound.cause(), bound.cause());
     }
     return new DatagramPort(bound.channel(), port);
   }
 
-  /** Sends a datagram to another host; it may be lost on the way. */
+  /** Sends a datagram to another host; delivery is not guaranteed. */
   public void send(String ip, byte[] datagram) {
     channel.writeAndFlush(
         new DatagramPacket(Unpooled.wrappedBuffer(datagram), new InetSocketAddress(ip, port)),
@@ -74,11 +75,11 @@
     channel.close().awaitUninterruptibly();
   }
 
-  private static final class Inbound extends SimpleChannelInboundHandler<DatagramPacket> {
+  private static final class InboundHandler extends SimpleChannelInboundHandler<DatagramPacket> {
     private final EventLog log;
     private final BiConsumer<String, PeerDatagram> receiver;
 
-    Inbound(EventLog log, BiConsumer<String, PeerDatagram> receiver) {
+    InboundHandler(EventLog log, BiConsumer<String, PeerDatagram> receiver) {
       this.log = log;
       this.receiver = receiver;
     }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/DigestBuilder.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/DigestBuilder.java
@@ -16,71 +16,74 @@
 import org.sequoiahub.schema.peer.HostWord;
 
 /**
- * Builds the digests of one direction: what has changed goes out at once, the rest in turn, so that
- * a lost datagram is made up for and the size does not grow with the fleet.
+ * Builds the digests for one kind of receiver. Changes are included at once and unchanged entries
+ * in rotation, so that a lost datagram is made up for and the size does not grow with the fleet.
  */
 final class DigestBuilder {
 
-  /** A holding that was told longer ago than this is not passed on (ms): its holder is silent. */
-  private static final long HOLDING_MILLIS = 2_500;
+  /** Maximum age of a forwarded holding (ms): the holder of an older one is silent. */
+  private static final long MAX_HOLDING_AGE_MILLIS = 2_500;
 
-  private final int wordsInTurn;
-  private final int holdingsInTurn;
+  private final int repeatedReports;
+  private final int repeatedHoldings;
 
-  /** A changed word is told so many times: one digest may be lost, and the next turn is far. */
-  private static final int TOLD_TIMES = 3;
+  /**
+   * Number of consecutive digests that include a changed report: one digest may be lost, and the
+   * next rotation is far away.
+   */
+  private static final int SENDS_PER_CHANGE = 3;
 
-  private final Map<String, ToldWord> toldWords = new HashMap<>();
-  private final Map<String, Set<String>> toldHoldings = new HashMap<>();
-  private int wordTurn;
+  private final Map<String, SentReport> sentReports = new HashMap<>();
+  private final Map<String, Set<String>> sentHoldings = new HashMap<>();
+  private int nextReport;
 
-  /** What was told of a host, and how many times. */
-  private record ToldWord(String brief, int times) {}
+  /** The change key of the report last sent for a host, and how many times it was sent. */
+  private record SentReport(String changeKey, int times) {}
 
-  private int holdingTurn;
+  private int nextHolding;
 
   /**
    * Creates a builder.
    *
-   * @param wordsInTurn hosts that are told of in each digest although nothing changed
-   * @param holdingsInTurn runners that are told of in each digest although nothing changed
+   * @param repeatedReports number of unchanged host reports in each digest
+   * @param repeatedHoldings number of unchanged runner holdings in each digest
    */
-  DigestBuilder(int wordsInTurn, int holdingsInTurn) {
-    this.wordsInTurn = wordsInTurn;
-    this.holdingsInTurn = holdingsInTurn;
+  DigestBuilder(int repeatedReports, int repeatedHoldings) {
+    this.repeatedReports = repeatedReports;
+    this.repeatedHoldings = repeatedHoldings;
   }
 
-  /** Adds what the hosts said last. */
-  void addWords(Digest.Builder digest, List<Member<HostState>> members, long nowMillis) {
+  /** Adds the latest reports of hosts: all that changed, and some of the others in rotation. */
+  void addReports(Digest.Builder digest, List<Member<HostState>> members, long nowMillis) {
     List<Member<HostState>> rest = new ArrayList<>();
     for (Member<HostState> member : members) {
-      if (isTold(member)) {
+      if (wasSentOftenEnough(member)) {
         rest.add(member);
       } else {
-        addWord(digest, member, nowMillis);
+        addReport(digest, member, nowMillis);
       }
     }
-    addWordsInTurn(digest, rest, nowMillis);
+    addRepeatedReports(digest, rest, nowMillis);
   }
 
-  /** Returns whether a host's word has been told often enough; counts it as told once more. */
-  private boolean isTold(Member<HostState> member) {
-    String brief = brief(member);
-    ToldWord last = toldWords.get(member.host());
-    int times = last != null && last.brief.equals(brief) ? last.times : 0;
-    toldWords.put(member.host(), new ToldWord(brief, Math.min(TOLD_TIMES, times + 1)));
-    return times >= TOLD_TIMES;
+  /** Returns whether a host's report was already sent often enough, and counts one more sending. */
+  private boolean wasSentOftenEnough(Member<HostState> member) {
+    String key = changeKey(member);
+    SentReport last = sentReports.get(member.host());
+    int times = last != null && last.changeKey.equals(key) ? last.times : 0;
+    sentReports.put(member.host(), new SentReport(key, Math.min(SENDS_PER_CHANGE, times + 1)));
+    return times >= SENDS_PER_CHANGE;
   }
 
-  /** Adds what some of the hosts said last, others each time. */
-  void addWordsInTurn(Digest.Builder digest, List<Member<HostState>> members, long nowMillis) {
-    int count = Math.min(wordsInTurn, members.size());
+  /** Adds the latest reports of some hosts, in rotation. */
+  void addRepeatedReports(Digest.Builder digest, List<Member<HostState>> members, long nowMillis) {
+    int count = Math.min(repeatedReports, members.size());
     for (int i = 0; i < count; i++) {
-      addWord(digest, members.get(Math.floorMod(wordTurn++, members.size())), nowMillis);
+      addReport(digest, members.get(Math.floorMod(nextReport++, members.size())), nowMillis);
     }
   }
 
-  /** Adds what the runners hold whose holder is accepted. */
+  /** Adds the holdings of the runners whose holder matches the predicate. */
   void addHoldings(
       Digest.Builder digest, Holdings holdings, Predicate<String> holder, long nowMillis) {
     List<String> rest = new ArrayList<>();
@@ -89,28 +92,28 @@
         .forEach(
             (runner, holding) -> {
               if (!holder.test(holding.host())
-                  || nowMillis - holding.toldMillis() > HOLDING_MILLIS) {
+                  || nowMillis - holding.reportedMillis() > MAX_HOLDING_AGE_MILLIS) {
                 return;
               }
-              Set<String> brief = brief(holding, nowMillis);
-              if (brief.equals(toldHoldings.put(runner, brief))) {
+              Set<String> key = changeKey(holding, nowMillis);
+              if (key.equals(sentHoldings.put(runner, key))) {
                 rest.add(runner);
               } else {
                 addHolding(digest, runner, holding, nowMillis);
               }
             });
-    int count = Math.min(holdingsInTurn, rest.size());
+    int count = Math.min(repeatedHoldings, rest.size());
     for (int i = 0; i < count; i++) {
-      String runner = rest.get(Math.floorMod(holdingTurn++, rest.size()));
+      String runner = rest.get(Math.floorMod(nextHolding++, rest.size()));
       holdings.find(runner).ifPresent(holding -> addHolding(digest, runner, holding, nowMillis));
     }
   }
 
   /**
-   * Adds what is in flight.
+   * Adds the requests and tokens in flight at each runner.
    *
-   * @param withAdapters the runners of which it is told which adapters are used: only their holders
-   *     need it
+   * @param withAdapters selects the runners for which the adapters in use are included: only the
+   *     holders of these runners need them
    */
   static void addLoads(
       Digest.Builder digest, Map<String, FleetLoad.Use> sums, Predicate<String> withAdapters) {
@@ -120,20 +123,20 @@
             digest.addLoads(StateCodec.encodeLoad(runner, use, withAdapters.test(runner))));
   }
 
-  static void addWord(Digest.Builder digest, Member<HostState> member, long nowMillis) {
+  static void addReport(Digest.Builder digest, Member<HostState> member, long nowMillis) {
     HostState state = member.state();
     if (state == null) {
       return;
     }
-    HostState brief =
+    HostState summary =
         state.toBuilder().clearLoads().clearHoldings().clearGossip().clearSpending().build();
     digest.addWords(
         HostWord.newBuilder()
             .setHost(member.host())
             .setIncarnation(member.incarnation())
-            .setNumber(member.number())
-            .setAgeMs((int) Math.max(0, nowMillis - member.heardMillis()))
-            .setState(brief));
+            .setNumber(member.sequence())
+            .setAgeMs((int) Math.max(0, nowMillis - member.lastSeenMillis()))
+            .setState(summary));
   }
 
   private static void addHolding(
@@ -144,7 +147,7 @@
             .setHolding(StateCodec.encodeHolding(runner, holding, nowMillis)));
   }
 
-  private static String brief(Member<HostState> member) {
+  private static String changeKey(Member<HostState> member) {
     HostState state = member.state();
     return state == null
         ? ""
@@ -157,8 +160,8 @@
             + state.getRunnersRevision();
   }
 
-  private static Set<String> brief(Holdings.Holding holding, long nowMillis) {
-    return holding.items().values().stream()
+  private static Set<String> changeKey(Holdings.Holding holding, long nowMillis) {
+    return holding.adapters().values().stream()
         .map(item -> item.target() + "@" + item.version() + (item.readyMillis() > nowMillis))
         .collect(Collectors.toSet());
   }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/RecordExchange.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/RecordExchange.java
@@ -17,46 +17,47 @@
 import org.sequoiahub.wire.WireClients;
 
 /**
- * Takes from other hosts what they read from the store and this host could not.
+ * Pulls store records from other hosts that this host could not read itself.
  *
- * <p>The store can be out of reach of one host and serve the others; a change must be in force here
- * all the same.
+ * <p>The store may be unreachable for one host while it serves the others. A change must come into
+ * force here nevertheless.
  */
 public final class RecordExchange {
 
-  /** A pull is not repeated sooner (ms). */
-  private static final long PERIOD_MILLIS = 150;
+  /** Minimum interval between pulls (ms). */
+  private static final long MIN_PULL_INTERVAL_MILLIS = 150;
 
   /**
-   * A host that owes an answer is passed over for so long (ms): its connection may be silent for
-   * good, and others can be asked.
+   * How long a host with a pending pull is skipped (ms). Its connection may stay silent forever,
+   * and other hosts can be asked.
    */
-  private static final long SILENCE_MILLIS = 1_000;
+  private static final long RESPONSE_TIMEOUT_MILLIS = 1_000;
 
   private final PeerCalls calls;
-  private final Consumer<PulledRecords> received;
-  private final Map<String, Long> unansweredMillis = new HashMap<>();
-  private long pulledMillis = Long.MIN_VALUE / 2;
+  private final Consumer<PulledRecords> recordsListener;
+  private final Map<String, Long> pendingSinceMillis = new HashMap<>();
+  private long lastPullMillis = Long.MIN_VALUE / 2;
 
-  /** Asks other hosts for records. */
+  /** Sends pulls to other hosts. */
   @FunctionalInterface
   public interface PeerCalls {
-    /** Sends a pull to the host with an IP number; the answer comes on any thread, or never. */
+    /** Sends a pull to a host's IP address. The answer arrives on any thread, or never. */
     void pull(String ip, StorePull pull, Consumer<StoreRecords> answer);
   }
 
   /**
    * Creates an exchange.
    *
-   * @param received receives what another host passed on, on the thread of its answer
+   * @param recordsListener receives the records that another host returns, on the thread of its
+   *     answer
    */
-  public RecordExchange(PeerCalls calls, Consumer<PulledRecords> received) {
+  public RecordExchange(PeerCalls calls, Consumer<PulledRecords> recordsListener) {
     this.calls = calls;
-    this.received = received;
+    this.recordsListener = recordsListener;
   }
 
-  /** Returns calls over connections to the hosts' ports for peers. */
-  public static PeerCalls over(WireClients clients, int peerPort) {
+  /** Returns calls over connections to the hosts' peer ports. */
+  public static PeerCalls callsOver(WireClients clients, int peerPort) {
     return (ip, pull, answer) -> {
       WireClient client = clients.to(new Endpoint(ip, peerPort));
       client.call(
@@ -72,49 +73,49 @@
 
             @Override
             public void lost(boolean handedOn) {
-              // The next state of any host that is ahead leads to the next pull.
+              // The next state from any host with newer records triggers another pull.
             }
           });
     };
   }
 
   /**
-   * Asks a host for the records that are newer than these revisions; nothing if that is too soon
-   * after the last pull, or if the host still owes an answer.
+   * Asks a host for the records that are newer than the given revisions. Does nothing if the last
+   * pull was too recent or if an earlier one to this host is still pending.
    */
   public void pull(String ip, long operatorsCompleteTo, long runnersCompleteTo, long nowMillis) {
-    Long unanswered = unansweredMillis.get(ip);
-    if (nowMillis - pulledMillis < PERIOD_MILLIS
-        || (unanswered != null && nowMillis - unanswered < SILENCE_MILLIS)) {
+    Long pendingSince = pendingSinceMillis.get(ip);
+    if (nowMillis - lastPullMillis < MIN_PULL_INTERVAL_MILLIS
+        || (pendingSince != null && nowMillis - pendingSince < RESPONSE_TIMEOUT_MILLIS)) {
       return;
     }
-    pulledMillis = nowMillis;
-    unansweredMillis.put(ip, nowMillis);
+    lastPullMillis = nowMillis;
+    pendingSinceMillis.put(ip, nowMillis);
     StorePull pull =
         StorePull.newBuilder()
             .setOperatorsCompleteTo(operatorsCompleteTo)
             .setRunnersCompleteTo(runnersCompleteTo)
             .build();
-    calls.pull(ip, pull, records -> received.accept(PulledRecords.decode(ip, records)));
+    calls.pull(ip, pull, records -> recordsListener.accept(PulledRecords.decode(ip, records)));
   }
 
   /** Records that a host has answered. */
   public void answered(String ip) {
-    unansweredMillis.remove(ip);
+    pendingSinceMillis.remove(ip);
   }
 
   /** Answers another host's pull. */
-  public static StoreRecords answer(StorePull pull, StoreRegistry store, long nowMillis) {
+  public static StoreRecords answerPull(StorePull pull, StoreRegistry store, long nowMillis) {
     StoreRecords.Builder records =
         StoreRecords.newBuilder()
             .setOperatorsCompleteTo(store.operatorsCompleteTo())
             .setRunnersCompleteTo(store.runnersCompleteTo())
             .setConfirmedMsAgo(nowMillis - store.status().confirmedMillis());
     store
-        .operatorSince(pull.getOperatorsCompleteTo())
+        .operatorRecordsSince(pull.getOperatorsCompleteTo())
         .forEach(item -> records.addOperators(entry(item)));
     store
-        .runnersSince(pull.getRunnersCompleteTo())
+        .runnerRecordsSince(pull.getRunnersCompleteTo())
         .forEach(item -> records.addRunners(entry(item)));
     return records.build();
   }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/StateCodec.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/StateCodec.java
@@ -4,13 +4,13 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Map;
-import org.sequoiahub.core.allowance.ToldSpending;
+import org.sequoiahub.core.allowance.SpendingReport;
 import org.sequoiahub.core.call.Target;
 import org.sequoiahub.core.dispatch.FleetLoad;
 import org.sequoiahub.core.holding.Demand;
-import org.sequoiahub.core.holding.HeldItem;
 import org.sequoiahub.core.holding.Holdings;
-import org.sequoiahub.core.quarantine.RunnerEnd;
+import org.sequoiahub.core.holding.ResidentAdapter;
+import org.sequoiahub.core.quarantine.RunnerTermination;
 import org.sequoiahub.schema.peer.AdapterDemand;
 import org.sequoiahub.schema.peer.AdapterUse;
 import org.sequoiahub.schema.peer.HeldAdapter;
@@ -20,27 +20,27 @@
 import org.sequoiahub.schema.peer.Spending;
 import org.sequoiahub.schema.peer.WorkspaceSpending;
 
-/** Turns what hosts tell each other into the core's types and back. */
+/** Converts between the messages that hosts exchange and the core's types. */
 public final class StateCodec {
 
-  /** Slots of spending that are taken from one datagram at most. */
-  private static final int MAX_SLOTS = 64;
+  /** Maximum number of spending slots that are accepted from one datagram. */
+  private static final int MAX_SPENDING_SLOTS = 64;
 
   private StateCodec() {}
 
-  /** Adds what a host has in flight. */
-  public static void addUses(HostState.Builder state, Map<String, FleetLoad.Use> uses) {
+  /** Adds the loads that a host has in flight. */
+  public static void addLoads(HostState.Builder state, Map<String, FleetLoad.Use> uses) {
     uses.forEach((runner, use) -> state.addLoads(encodeLoad(runner, use, true)));
   }
 
-  /** Encodes what is in flight at a runner. */
+  /** Encodes the load in flight at a runner. */
   static RunnerLoad.Builder encodeLoad(String runner, FleetLoad.Use use, boolean withAdapters) {
     RunnerLoad.Builder load =
         RunnerLoad.newBuilder()
             .setRunner(runner)
             .setRequests(use.requests())
             .setUnreadTokens((int) Math.min(Integer.MAX_VALUE, use.unreadTokens()))
-            .setHeldTokens((int) Math.min(Integer.MAX_VALUE, use.heldTokens()));
+            .setHeldTokens((int) Math.min(Integer.MAX_VALUE, use.queuedTokens()));
     if (withAdapters) {
       use.adapters()
           .forEach(
@@ -50,8 +50,8 @@
     return load;
   }
 
-  /** Returns what is in flight, by runner. */
-  public static Map<String, FleetLoad.Use> uses(List<RunnerLoad> loads) {
+  /** Decodes the loads in flight, by runner. */
+  public static Map<String, FleetLoad.Use> decodeLoads(List<RunnerLoad> loads) {
     Map<String, FleetLoad.Use> uses = new HashMap<>();
     for (RunnerLoad load : loads) {
       Map<String, Integer> adapters = new HashMap<>();
@@ -64,15 +64,16 @@
     return uses;
   }
 
-  /** Encodes what was spent of allowances. */
-  public static Spending encodeSpending(ToldSpending told) {
+  /** Encodes the spending of allowances. */
+  public static Spending encodeSpending(SpendingReport reported) {
     Spending.Builder message =
         Spending.newBuilder()
-            .setNewestSlot(told.newestSlot())
-            .setSlots(told.slots())
-            .setAgoMs((int) told.agoMillis())
-            .setHosts(told.hosts());
-    told.spent()
+            .setNewestSlot(reported.newestSlot())
+            .setSlots(reported.slotCount())
+            .setAgoMs((int) reported.newestSlotAgeMillis())
+            .setHosts(reported.hostCount());
+    reported
+        .spent()
         .forEach(
             (workspace, slots) ->
                 message.addWorkspaces(
@@ -80,33 +81,33 @@
     return message.build();
   }
 
-  /** Decodes what was spent of allowances; more slots than hosts tell are cut off. */
-  static ToldSpending decodeSpending(Spending message) {
+  /** Decodes the spending of allowances. Slots beyond the number that hosts send are ignored. */
+  static SpendingReport decodeSpending(Spending message) {
     Map<String, List<Long>> spent = new HashMap<>();
     message
         .getWorkspacesList()
         .forEach(workspace -> spent.put(workspace.getWorkspace(), workspace.getSpentList()));
-    return new ToldSpending(
+    return new SpendingReport(
         message.getNewestSlot(),
-        Math.max(0, Math.min(message.getSlots(), MAX_SLOTS)),
+        Math.max(0, Math.min(message.getSlots(), MAX_SPENDING_SLOTS)),
         Integer.toUnsignedLong(message.getAgoMs()),
         Math.max(1, message.getHosts()),
         spent);
   }
 
-  /** Encodes what a runner holds. */
+  /** Encodes a runner's holdings. */
   public static Holding encodeHolding(String runner, Holdings.Holding holding, long nowMillis) {
     Holding.Builder message =
         Holding.newBuilder()
             .setRunner(runner)
             .setToken(holding.token())
             .setFreeSlots(holding.freePlaces())
-            .setBringMs((int) holding.bringMillis())
+            .setBringMs((int) holding.loadMillis())
             .setQueueMs((int) holding.queueMillis())
-            .setOrdersInMs((int) Math.max(0, holding.ordersFromMillis() - nowMillis))
-            .setKept(holding.kept())
+            .setOrdersInMs((int) Math.max(0, holding.mayOrderFromMillis() - nowMillis))
+            .setKept(holding.warmCapacity())
             .addAllModels(holding.models());
-    for (HeldItem item : holding.items().values()) {
+    for (ResidentAdapter item : holding.adapters().values()) {
       message.addAdapters(
           HeldAdapter.newBuilder()
               .setAdapter(item.target())
@@ -116,8 +117,8 @@
     return message.build();
   }
 
-  /** Returns what the runners that a host orders hold. */
-  public static Map<String, Holdings.Holding> holdings(
+  /** Decodes the holdings in the state of their holder, by runner. */
+  public static Map<String, Holdings.Holding> decodeHoldings(
       String host, HostState state, long nowMillis) {
     Map<String, Holdings.Holding> holdings = new HashMap<>();
     for (Holding message : state.getHoldingsList()) {
@@ -126,13 +127,13 @@
     return holdings;
   }
 
-  /** Decodes what a runner holds, as the host that orders it told. */
+  /** Decodes a runner's holdings, as reported by its holder. */
   static Holdings.Holding decodeHolding(String host, Holding message, long nowMillis) {
-    Map<String, HeldItem> items = new HashMap<>();
+    Map<String, ResidentAdapter> items = new HashMap<>();
     for (HeldAdapter adapter : message.getAdaptersList()) {
       items.put(
           adapter.getAdapter(),
-          new HeldItem(
+          new ResidentAdapter(
               adapter.getAdapter(), adapter.getVersion(), nowMillis + adapter.getReadyInMs()));
     }
     return new Holdings.Holding(
@@ -148,23 +149,28 @@
         message.getKept());
   }
 
-  /** Encodes a runner's end under a request. */
-  static org.sequoiahub.schema.peer.RunnerEnd encodeEnd(RunnerEnd end, long nowMillis) {
+  /** Encodes the termination of a runner that was processing a request. */
+  static org.sequoiahub.schema.peer.RunnerEnd encodeTermination(
+      RunnerTermination termination, long nowMillis) {
     return org.sequoiahub.schema.peer.RunnerEnd.newBuilder()
-        .setRequest(end.request())
-        .setRunner(end.runner())
-        .setStartedAgoMs((int) Math.max(0, nowMillis - end.startedMillis()))
-        .setEndedAgoMs((int) Math.max(0, nowMillis - end.endedMillis()))
-        .setBegun(end.begun())
-        .setConfirmed(end.confirmed())
+        .setRequest(termination.request())
+        .setRunner(termination.runner())
+        .setStartedAgoMs((int) Math.max(0, nowMillis - termination.startedMillis()))
+        .setEndedAgoMs((int) Math.max(0, nowMillis - termination.endedMillis()))
+        .setBegun(termination.responseStarted())
+        .setConfirmed(termination.confirmed())
         .build();
   }
 
-  /** Decodes a runner's end under a request; an impossible order of times is put right. */
-  static RunnerEnd decodeEnd(org.sequoiahub.schema.peer.RunnerEnd message, long nowMillis) {
+  /**
+   * Decodes the termination of a runner that was processing a request. A start after the end is
+   * corrected to the end.
+   */
+  static RunnerTermination decodeTermination(
+      org.sequoiahub.schema.peer.RunnerEnd message, long nowMillis) {
     long ended = nowMillis - Integer.toUnsignedLong(message.getEndedAgoMs());
     long started = nowMillis - Integer.toUnsignedLong(message.getStartedAgoMs());
-    return new RunnerEnd(
+    return new RunnerTermination(
         message.getRequest(),
         message.getRunner(),
         Math.min(started, ended),
--- a/sequoia-node/src/test/java/org/sequoiahub/node/holder/HolderWorld.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/holder/HolderSimulation.java
@@ -28,14 +28,14 @@
 import org.sequoiahub.core.quarantine.LoadGuard;
 import org.sequoiahub.core.quarantine.QuarantineSettings;
 import org.sequoiahub.core.quarantine.RequestQuarantine;
-import org.sequoiahub.core.quarantine.RunnerEnd;
-import org.sequoiahub.core.quarantine.RunnerEndListener;
+import org.sequoiahub.core.quarantine.RunnerTermination;
+import org.sequoiahub.core.quarantine.RunnerTerminationListener;
 import org.sequoiahub.core.retry.RetryBudgetSettings;
 import org.sequoiahub.core.routing.EngineSpec;
 import org.sequoiahub.core.routing.ModelSpec;
 import org.sequoiahub.core.upstream.RunnerEntry;
 import org.sequoiahub.core.upstream.RunnerIncarnation;
-import org.sequoiahub.node.peer.FleetShape;
+import org.sequoiahub.node.peer.FleetTopology;
 import org.sequoiahub.node.peer.PeerHeartbeats;
 import org.sequoiahub.node.peer.StateCodec;
 import org.sequoiahub.runtime.log.EventLog;
@@ -44,23 +44,33 @@
 import org.sequoiahub.schema.peer.PeerDatagram;
 import org.sequoiahub.usersplatform.HostSettings;
 
-/** Hosts that order runners, in virtual time, with pauses, cuts, kills and late messages. */
-final class HolderWorld {
-
-  /** No runner ends by a load here. */
-  private static final RunnerEndListener UNHEARD =
-      new RunnerEndListener() {
+/**
+ * Simulates hosts that send orders to runners, in virtual time, with pauses, disconnections, kills,
+ * shutdowns and lost or delayed messages.
+ *
+ * <p>The simulated runners assert that the orders of two hosts are at least the lease time apart,
+ * that tokens grow from holder to holder, and that no runner is ordered to hold more adapters than
+ * it has places.
+ */
+final class HolderSimulation {
+
+  /** Ignores terminations: no simulated runner terminates because of a load. */
+  private static final RunnerTerminationListener NO_OP_LISTENER =
+      new RunnerTerminationListener() {
         @Override
-        public void ended(RunnerEnd end, long nowMillis) {}
+        public void onTermination(RunnerTermination end, long nowMillis) {}
 
         @Override
-        public void cleared(long request, long atMillis, long nowMillis) {}
+        public void onCleared(long request, long atMillis, long nowMillis) {}
       };
 
   static final int HOSTS = 5;
   static final int RUNNERS = 3;
   private static final long LEASE_MILLIS = 3_000;
-  private static final long THAW_MILLIS = 300;
+
+  /** Time after a pause or disconnection in which a host's orders are not checked (ms). */
+  private static final long RECOVERY_MILLIS = 300;
+
   private static final long TICK_MILLIS = 10;
   private static final int MAX_DELAY_MILLIS = 25;
   private static final EngineSpec ENGINE =
@@ -70,11 +80,11 @@
   private final List<Host> hosts = new ArrayList<>();
   private final List<Runner> runners = new ArrayList<>();
   private final PriorityQueue<Event> events = new PriorityQueue<>();
-  private final Set<Integer> cut = new HashSet<>();
+  private final Set<Integer> disconnected = new HashSet<>();
   private long now = 1_000_000;
   private final List<Digest> digests = new ArrayList<>();
   private long eventNumber;
-  private int orders;
+  private int orderCount;
 
   private record Event(long atMillis, long number, Runnable action) implements Comparable<Event> {
     @Override
@@ -84,7 +94,7 @@
     }
   }
 
-  HolderWorld(long seed, boolean firstStart) {
+  HolderSimulation(long seed, boolean firstStart) {
     this.random = new Random(seed);
     for (int i = 0; i < RUNNERS; i++) {
       runners.add(new Runner("i-" + i, "10.0.9." + i + ":80"));
@@ -95,8 +105,8 @@
     }
   }
 
-  int orders() {
-    return orders;
+  int orderCount() {
+    return orderCount;
   }
 
   /** Returns the id of a runner. */
@@ -104,20 +114,20 @@
     return runners.get(runner).entry.id();
   }
 
-  /** Has a host ask the one that orders a runner what it holds; returns the digests that came. */
-  List<Digest> ask(int asker, int runner) {
+  /** Requests a runner's holdings from its holder for a host; returns the digests received. */
+  List<Digest> requestHoldings(int waitingHost, int runner) {
     digests.clear();
     for (Host host : hosts) {
       HolderService service = host.service;
-      if (service != null && service.ordered(now).contains(runnerId(runner))) {
-        service.answerDemands("10.0.0." + asker, Set.of(runnerId(runner)), now);
+      if (service != null && service.orderedRunners(now).contains(runnerId(runner))) {
+        service.sendHoldings("10.0.0." + waitingHost, Set.of(runnerId(runner)), now);
       }
     }
-    pass(2 * MAX_DELAY_MILLIS);
+    advanceTime(2 * MAX_DELAY_MILLIS);
     return List.copyOf(digests);
   }
 
-  void pass(long millis) {
+  void advanceTime(long millis) {
     long end = now + millis;
     while (now < end) {
       now += TICK_MILLIS;
@@ -128,52 +138,52 @@
     }
   }
 
-  /** Stops a host's clockwork; what arrives meanwhile waits. */
+  /** Pauses a host; messages that arrive meanwhile are queued. */
   void pause(int host) {
     hosts.get(host).paused = true;
   }
 
-  void wake(int host) {
-    Host woken = hosts.get(host);
-    if (woken.paused) {
-      woken.paused = false;
-      woken.calmMillis = now;
-      List<Runnable> waiting = List.copyOf(woken.inbox);
-      woken.inbox.clear();
-      waiting.forEach(Runnable::run);
+  void resume(int host) {
+    Host resumed = hosts.get(host);
+    if (resumed.paused) {
+      resumed.paused = false;
+      resumed.recoveredMillis = now;
+      List<Runnable> queued = List.copyOf(resumed.inbox);
+      resumed.inbox.clear();
+      queued.forEach(Runnable::run);
     }
   }
 
-  /** Cuts a host off from the other hosts; it still reaches the runners. */
-  void cut(int host) {
-    cut.add(host);
+  /** Disconnects a host from the other hosts; it still reaches the runners. */
+  void disconnect(int host) {
+    disconnected.add(host);
   }
 
-  void heal(int host) {
-    if (cut.remove(host)) {
-      hosts.get(host).calmMillis = now;
+  void reconnect(int host) {
+    if (disconnected.remove(host)) {
+      hosts.get(host).recoveredMillis = now;
     }
   }
 
   void kill(int host) {
     Host killed = hosts.get(host);
-    killed.life++;
+    killed.generation++;
     killed.service = null;
-    // Also sooner than a lease lasts: a granter must not grant again what it granted before.
-    after(40 + random.nextInt(1_260), () -> killed.start(false));
+    // The restart may come before a lease expires: the granter must not grant it to another host.
+    schedule(40 + random.nextInt(1_260), () -> killed.start(false));
   }
 
-  void leave(int host) {
+  void shutDown(int host) {
     Host leaving = hosts.get(host);
     if (leaving.service != null && !leaving.paused) {
       leaving.leaving = true;
       leaving.service.stop();
-      leaving.peers.tellAll(now);
-      int life = leaving.life;
-      after(
+      leaving.heartbeats.sendToAll(now);
+      int generation = leaving.generation;
+      schedule(
           3_000,
           () -> {
-            if (leaving.life == life) {
+            if (leaving.generation == generation) {
               kill(host);
             }
           });
@@ -186,41 +196,41 @@
     }
   }
 
-  /** Replaces a runner by a new one, at the same address or another. */
+  /** Replaces a runner by a new one at the same or another address. */
   void restartRunner(int runner, boolean sameAddress) {
     Runner old = runners.get(runner);
     String address = sameAddress ? old.entry.address() : "10.0.8." + random.nextInt(250) + ":80";
     runners.set(runner, new Runner("i-" + runner + "-" + random.nextInt(), address));
   }
 
-  /** Starts a runner again under its id; who ordered it before still counts as its last holder. */
-  void restartRunnerUnderItsId(int runner) {
+  /** Restarts a runner with the same id; its last holder and last order are still checked. */
+  void restartRunnerWithSameId(int runner) {
     Runner old = runners.get(runner);
-    Runner again =
+    Runner restarted =
         new Runner(
             new RunnerIncarnation(old.entry.instance(), 1_000_000 + now), old.entry.address());
-    again.lastHolder = old.lastHolder;
-    again.lastOrderMillis = old.lastOrderMillis;
-    again.lastToken = old.lastToken;
-    runners.set(runner, again);
+    restarted.lastHolder = old.lastHolder;
+    restarted.lastOrderMillis = old.lastOrderMillis;
+    restarted.lastToken = old.lastToken;
+    runners.set(runner, restarted);
   }
 
-  private void after(long millis, Runnable action) {
+  private void schedule(long millis, Runnable action) {
     events.add(new Event(now + millis, eventNumber++, action));
   }
 
-  private long delay() {
+  private long randomDelayMillis() {
     return 1 + random.nextInt(MAX_DELAY_MILLIS);
   }
 
-  /** One start of a runner, which remembers who ordered it and when. */
+  /** One incarnation of a runner, which records its last holder, order time and token. */
   private final class Runner {
     final RunnerEntry entry;
     long sequence;
     @Nullable String lastHolder;
     long lastOrderMillis;
     long lastToken;
-    final Set<String> held = new HashSet<>();
+    final Set<String> heldAdapters = new HashSet<>();
 
     Runner(String id, String address) {
       this(RunnerIncarnation.of(id), address);
@@ -233,14 +243,16 @@
     }
 
     OrderReply order(Host from, Order order, long expected, String holder, long token) {
-      orders++;
-      boolean excused = now - from.calmMillis < THAW_MILLIS;
-      if (!excused) {
+      orderCount++;
+      boolean recovering = now - from.recoveredMillis < RECOVERY_MILLIS;
+      if (!recovering) {
         if (lastHolder != null && !lastHolder.equals(holder)) {
-          assertWithMessage("%s orders %s after %s", holder, entry.id(), lastHolder)
+          assertWithMessage(
+                  "milliseconds between orders: %s sent one to %s after %s",
+                  holder, entry.id(), lastHolder)
               .that(now - lastOrderMillis)
               .isAtLeast(LEASE_MILLIS);
-          assertWithMessage("token of %s after %s", holder, lastHolder)
+          assertWithMessage("token of %s, the holder after %s", holder, lastHolder)
               .that(token)
               .isGreaterThan(lastToken);
         }
@@ -253,11 +265,13 @@
       }
       sequence++;
       if (order.operation() == Order.Operation.LOAD) {
-        held.add(order.target());
-        assertWithMessage("adapters at %s", entry.id()).that(held.size()).isAtMost(4);
+        heldAdapters.add(order.target());
+        assertWithMessage("number of adapters ordered to %s", entry.id())
+            .that(heldAdapters.size())
+            .isAtMost(4);
         return OrderReply.ACCEPTED;
       }
-      held.remove(order.target());
+      heldAdapters.remove(order.target());
       return OrderReply.DONE;
     }
   }
@@ -267,16 +281,16 @@
     final List<Runnable> inbox = new ArrayList<>();
     boolean paused;
     boolean leaving;
-    int life;
+    int generation;
 
-    /** When it was last thawed or its links healed. */
-    long calmMillis = Long.MIN_VALUE / 2;
+    /** When the host was last resumed or reconnected (ms). */
+    long recoveredMillis = Long.MIN_VALUE / 2;
 
     private Members<HostState> members = new Members<>("", MemberSettings.DEFAULT);
     private Holdings holdings = new Holdings();
     private @Nullable HolderService service;
-    private FleetShape shape = new FleetShape(settings(false), members);
-    private PeerHeartbeats peers = peerDesk(0);
+    private FleetTopology shape = new FleetTopology(settings(false), members);
+    private PeerHeartbeats heartbeats = newHeartbeats(0);
 
     Host(int number) {
       this.number = number;
@@ -305,7 +319,7 @@
           AllowanceSettings.DEFAULT);
     }
 
-    private PeerHeartbeats peerDesk(long incarnation) {
+    private PeerHeartbeats newHeartbeats(long incarnation) {
       return new PeerHeartbeats(
           settings(false),
           incarnation,
@@ -315,8 +329,8 @@
           holdings,
           new FleetSpending(8_000),
           this::send,
-          this::state,
-          (from, state) -> StateCodec.holdings(from, state, now).forEach(holdings::told),
+          this::newState,
+          (from, state) -> StateCodec.decodeHoldings(from, state, now).forEach(holdings::update),
           (from, state) -> {},
           random,
           new EventLog("test", "host-" + number));
@@ -328,8 +342,8 @@
       leaving = false;
       paused = false;
       inbox.clear();
-      shape = new FleetShape(settings(false), members);
-      peers = peerDesk(now);
+      shape = new FleetTopology(settings(false), members);
+      heartbeats = newHeartbeats(now);
       service =
           new HolderService(
               settings(firstStart),
@@ -340,22 +354,22 @@
               holdings,
               new FleetLoad(),
               this,
-              new LoadGuard(new RequestQuarantine(QuarantineSettings.DEFAULT), UNHEARD),
-              peers::datagram,
+              new LoadGuard(new RequestQuarantine(QuarantineSettings.DEFAULT), NO_OP_LISTENER),
+              heartbeats::datagram,
               this::send,
               this::deliver,
               () -> now,
               () -> now,
               target -> 0,
-              peers::holdingsChanged,
+              heartbeats::holdingsChanged,
               new EventLog("test", "host-" + number));
     }
 
-    private HostState.Builder state(boolean withHoldings, boolean complete) {
+    private HostState.Builder newState(boolean withHoldings, boolean complete) {
       HostState.Builder state =
           HostState.newBuilder().setFailureDomain("z").setReady(true).setLeaving(leaving);
       if (withHoldings && !leaving && service != null) {
-        for (String runner : service.ordered(now)) {
+        for (String runner : service.orderedRunners(now)) {
           holdings
               .find(runner)
               .ifPresent(h -> state.addHoldings(StateCodec.encodeHolding(runner, h, now)));
@@ -377,8 +391,8 @@
         demands.put(runner.entry.id(), List.of(demand));
       }
       running.tick(known, now);
-      running.localDemands(demands, now);
-      peers.tick(now);
+      running.updateLocalDemands(demands, now);
+      heartbeats.tick(now);
     }
 
     private void deliver(Runnable action) {
@@ -391,11 +405,14 @@
 
     private void send(String ip, byte[] bytes) {
       int to = Integer.parseInt(ip.substring(ip.lastIndexOf('.') + 1));
-      boolean lost = cut.contains(number) || cut.contains(to) || random.nextInt(40) == 0;
+      boolean lost =
+          disconnected.contains(number) || disconnected.contains(to) || random.nextInt(40) == 0;
       if (to >= HOSTS || to == number || lost) {
         return;
       }
-      after(delay(), () -> hosts.get(to).deliver(() -> hosts.get(to).receive(number, bytes)));
+      schedule(
+          randomDelayMillis(),
+          () -> hosts.get(to).deliver(() -> hosts.get(to).receive(number, bytes)));
     }
 
     private void receive(int from, byte[] bytes) {
@@ -408,11 +425,11 @@
         String name = datagram.getHost();
         String ip = "10.0.0." + from;
         switch (datagram.getBodyCase()) {
-          case STATE -> peers.received(ip, datagram, now);
-          case CLAIM -> running.claimed(name, ip, datagram.getClaim(), now);
-          case GRANT -> running.granted(name, datagram.getGrant(), now);
+          case STATE -> heartbeats.received(ip, datagram, now);
+          case CLAIM -> running.handleClaim(name, ip, datagram.getClaim(), now);
+          case GRANT -> running.handleGrant(name, datagram.getGrant(), now);
           case DIGEST -> digests.add(datagram.getDigest());
-          case RELEASE -> running.released(name, datagram.getRelease());
+          case RELEASE -> running.handleRelease(name, datagram.getRelease());
           default -> throw new AssertionError(datagram.getBodyCase());
         }
       } catch (InvalidProtocolBufferException e) {
@@ -421,7 +438,7 @@
     }
 
     @Override
-    public void order(
+    public void sendOrder(
         RunnerEntry runner,
         Order order,
         long expectedSequence,
@@ -429,9 +446,9 @@
         long token,
         long timeoutMillis,
         Consumer<OrderReply> listener) {
-      int sentIn = life;
-      after(
-          delay(),
+      int sentInGeneration = generation;
+      schedule(
+          randomDelayMillis(),
           () -> {
             OrderReply reply = OrderReply.WRONG_RUNNER;
             for (Runner candidate : runners) {
@@ -439,33 +456,39 @@
                 reply = candidate.order(this, order, expectedSequence, holder, token);
               }
             }
-            OrderReply told = random.nextInt(30) == 0 ? OrderReply.UNKNOWN : reply;
-            after(delay(), () -> answer(sentIn, () -> listener.accept(told)));
+            OrderReply received = random.nextInt(30) == 0 ? OrderReply.UNKNOWN : reply;
+            schedule(
+                randomDelayMillis(),
+                () -> deliverReply(sentInGeneration, () -> listener.accept(received)));
           });
     }
 
     @Override
-    public void report(RunnerEntry runner, long timeoutMillis, Consumer<ReportReply> listener) {
-      int sentIn = life;
-      after(
-          delay(),
+    public void fetchReport(
+        RunnerEntry runner, long timeoutMillis, Consumer<ReportReply> listener) {
+      int sentInGeneration = generation;
+      schedule(
+          randomDelayMillis(),
           () -> {
             for (Runner candidate : runners) {
               if (candidate.entry.id().equals(runner.id())) {
                 Map<String, Integer> adapters = new HashMap<>();
-                candidate.held.forEach(target -> adapters.put(target, 1));
+                candidate.heldAdapters.forEach(target -> adapters.put(target, 1));
                 RunnerReport report =
                     new RunnerReport(0, candidate.sequence, false, Set.of("m"), adapters, Map.of());
-                answer(sentIn, () -> listener.accept(new ReportReply.Given(report)));
+                deliverReply(
+                    sentInGeneration, () -> listener.accept(new ReportReply.Received(report)));
                 return;
               }
             }
-            answer(sentIn, () -> listener.accept(new ReportReply.Missing("no such runner")));
+            deliverReply(
+                sentInGeneration,
+                () -> listener.accept(new ReportReply.Missing("no runner with this id")));
           });
     }
 
-    private void answer(int sentIn, Runnable action) {
-      if (life == sentIn) {
+    private void deliverReply(int sentInGeneration, Runnable action) {
+      if (generation == sentInGeneration) {
         deliver(action);
       }
     }
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/AliveMarksTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/AliveMarksTest.java
@@ -15,42 +15,42 @@
 
 class AliveMarksTest {
 
-  private static final long SOON = 100;
+  private static final long PERIOD_MILLIS = 100;
 
-  private final Members<HostState> tellers = new Members<>("delegate", MemberSettings.DEFAULT);
+  private final Members<HostState> senders = new Members<>("delegate", MemberSettings.DEFAULT);
   private final Members<HostState> receivers = new Members<>("ordinary", MemberSettings.DEFAULT);
-  private final AliveMarks told = new AliveMarks(tellers);
-  private final AliveMarks learnt = new AliveMarks(receivers);
+  private final AliveMarks senderMarks = new AliveMarks(senders);
+  private final AliveMarks receiverMarks = new AliveMarks(receivers);
 
-  private static void heard(
+  private static void receiveState(
       Members<HostState> members, long incarnation, boolean leaving, long nowMillis) {
     HostState state = HostState.newBuilder().setReady(true).setLeaving(leaving).build();
-    members.heard("host", "ip", incarnation, nowMillis, leaving, state, nowMillis);
+    members.receive("host", "ip", incarnation, nowMillis, leaving, state, nowMillis);
   }
 
-  private void pass(long nowMillis) {
+  private void exchangeMarks(long nowMillis) {
     Digest.Builder digest = Digest.newBuilder();
-    told.add(digest, tellers.reachable(nowMillis), nowMillis);
-    learnt.refresh(nowMillis);
-    learnt.received(digest.build(), nowMillis);
+    senderMarks.add(digest, senders.reachable(nowMillis), nowMillis);
+    receiverMarks.refresh(nowMillis);
+    receiverMarks.apply(digest.build(), nowMillis);
   }
 
-  private long heardMillis() {
-    return receivers.find("host").orElseThrow().heardMillis();
+  private long lastSeenMillis() {
+    return receivers.find("host").orElseThrow().lastSeenMillis();
   }
 
   @Nested
   class LivingHosts {
 
     @Test
-    void stayAliveWithoutWordsOfTheirOwn() {
-      heard(receivers, 1, false, 0);
-      for (long now = 0; now < 10_000; now += SOON) {
-        heard(tellers, 1, false, now);
-        pass(now);
+    void stayAliveWithoutReportsOfTheirOwn() {
+      receiveState(receivers, 1, false, 0);
+      for (long now = 0; now < 10_000; now += PERIOD_MILLIS) {
+        receiveState(senders, 1, false, now);
+        exchangeMarks(now);
       }
-      assertThat(receivers.isSound("host", 10_000)).isTrue();
-      assertThat(heardMillis()).isEqualTo(9_900);
+      assertThat(receivers.isHealthy("host", 10_000)).isTrue();
+      assertThat(lastSeenMillis()).isEqualTo(9_900);
     }
   }
 
@@ -59,20 +59,20 @@
 
     private static final int HOSTS = 77;
 
-    /** Digests of few hosts go out in between and must not disturb the turn. */
+    /** Digests of few hosts, sent in between, must not disturb the rotation. */
     @Test
     void areAllMarkedByTwoDigests() {
       for (int number = 0; number < HOSTS; number++) {
         HostState state = HostState.newBuilder().setReady(true).build();
-        tellers.heard("host-" + number, "ip-" + number, 1, 1, false, state, 0);
+        senders.receive("host-" + number, "ip-" + number, 1, 1, false, state, 0);
       }
-      List<Member<HostState>> all = tellers.reachable(0);
+      List<Member<HostState>> all = senders.reachable(0);
       Set<Integer> marked = new HashSet<>();
       for (int i = 0; i < 2; i++) {
         Digest.Builder digest = Digest.newBuilder();
-        told.add(digest, all, 0);
+        senderMarks.add(digest, all, 0);
         marked.addAll(digest.getAliveList());
-        told.add(Digest.newBuilder(), all.subList(0, 19), 0);
+        senderMarks.add(Digest.newBuilder(), all.subList(0, 19), 0);
       }
       assertThat(marked).hasSize(HOSTS);
     }
@@ -82,22 +82,19 @@
   class DeadHosts {
 
     /**
-     * Symptom looked for: callers are named a dead host for as long as the fleet runs.
-     *
-     * <p>Events: a host dies; a delegate goes on telling of it.
-     *
-     * <p>Cause looked for: an age that is counted from when it was told and not from when the host
-     * spoke.
+     * Guards against a dead host that is advertised to callers for as long as the fleet runs: a
+     * delegate keeps sending its mark, and the age must count from when the host was last seen, not
+     * from when the mark was sent.
      */
     @Test
-    void areMissedThroughMarksToo() {
-      heard(tellers, 1, false, 0);
-      heard(receivers, 1, false, 0);
-      for (long now = 0; now < 10_000; now += SOON) {
-        pass(now);
+    void areDetectedDespiteMarks() {
+      receiveState(senders, 1, false, 0);
+      receiveState(receivers, 1, false, 0);
+      for (long now = 0; now < 10_000; now += PERIOD_MILLIS) {
+        exchangeMarks(now);
       }
-      assertThat(heardMillis()).isEqualTo(0);
-      assertThat(receivers.isSound("host", 10_000)).isFalse();
+      assertThat(lastSeenMillis()).isEqualTo(0);
+      assertThat(receivers.isHealthy("host", 10_000)).isFalse();
       assertThat(receivers.alive(10_000)).isEmpty();
     }
   }
@@ -106,41 +103,39 @@
   class DamagedDigests {
 
     /**
-     * Symptom looked for: a dead host is named for weeks after one damaged datagram.
-     *
-     * <p>Cause looked for: an age above the largest integer, decoded as a negative one, lies in the
-     * future.
+     * Guards against a dead host that is advertised for weeks after one damaged datagram: an age
+     * above the largest integer decodes as a negative number, which would lie in the future.
      */
     @Test
-    void hugeAgesKeepNobodyAlive() {
-      heard(tellers, 1, false, 0);
-      heard(receivers, 1, false, 0);
+    void hugeAgesKeepNoHostAlive() {
+      receiveState(senders, 1, false, 0);
+      receiveState(receivers, 1, false, 0);
       Digest.Builder digest = Digest.newBuilder();
-      told.add(digest, tellers.reachable(0), 0);
-      learnt.refresh(0);
-      learnt.received(digest.setAliveAgesMs(0, -1_000_000).build(), SOON);
-      assertThat(heardMillis()).isEqualTo(0);
+      senderMarks.add(digest, senders.reachable(0), 0);
+      receiverMarks.refresh(0);
+      receiverMarks.apply(digest.setAliveAgesMs(0, -1_000_000).build(), PERIOD_MILLIS);
+      assertThat(lastSeenMillis()).isEqualTo(0);
     }
   }
 
   @Nested
-  class MissedWords {
+  class MissedReports {
 
-    /** A restarted process has lost all that its predecessor knew: it must not pass for it. */
+    /** A restarted process has lost its predecessor's state and must not be mistaken for it. */
     @Test
-    void restartedHostIsNotTakenForTheOneBefore() {
-      heard(receivers, 1, false, 0);
-      heard(tellers, 2, false, 5_000);
-      pass(5_000);
-      assertThat(heardMillis()).isEqualTo(0);
+    void restartedHostIsNotMistakenForItsPredecessor() {
+      receiveState(receivers, 1, false, 0);
+      receiveState(senders, 2, false, 5_000);
+      exchangeMarks(5_000);
+      assertThat(lastSeenMillis()).isEqualTo(0);
     }
 
     @Test
-    void leavingHostLooksSilentToThoseWhoDoNotKnow() {
-      heard(receivers, 1, false, 0);
-      heard(tellers, 1, true, 5_000);
-      pass(5_000);
-      assertThat(heardMillis()).isEqualTo(0);
+    void leavingHostLooksSilentToUninformedHosts() {
+      receiveState(receivers, 1, false, 0);
+      receiveState(senders, 1, true, 5_000);
+      exchangeMarks(5_000);
+      assertThat(lastSeenMillis()).isEqualTo(0);
     }
   }
 }
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/AllowanceTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/AllowanceTest.java
@@ -8,156 +8,156 @@
 import org.junit.jupiter.params.provider.ValueSource;
 
 /**
- * Symptom: a workspace gets several times what its allowance is, or far less.
+ * Guards against a workspace that is granted several times its allowance, or far less. It sends
+ * requests to all hosts, each of which sees one every few seconds, while hosts are isolated, killed
+ * and restarted.
  *
- * <p>Events: it asks at all hosts, each of which sees one of its requests every few seconds; hosts
- * are cut off, killed and started again meanwhile.
- *
- * <p>Cause looked for: hosts that each decide by their own part only. With equal shares a 77th of
- * an allowance is one long prompt in 24 s, so that nearly everything allowed is refused; without
- * sums nothing is.
+ * <p>The cause would be hosts that decide by their own part only. With equal shares, a 77th of an
+ * allowance is one long prompt in 24 s, so nearly all allowed requests are refused. Without sums,
+ * none is refused.
  */
 class AllowanceTest {
 
   private static final int JOIN_MILLIS = 12_000;
 
-  /** What a workspace usually asks for, as a part of its limit. */
-  private static final double USUAL = 1 / 1.8;
+  /** What a workspace usually requests, as a part of its limit. */
+  private static final double USUAL_LOAD = 1 / 1.8;
 
-  /** What one that asks seven and a half times its usual asks for. */
-  private static final double HOT = 7.5 * USUAL;
+  /** Seven and a half times the usual load, as a part of the limit. */
+  private static final double OVERLOAD = 7.5 * USUAL_LOAD;
 
-  private static AllowanceWorld world(int hosts) {
-    return world(7, hosts);
+  private static AllowanceSimulation simulation(int hosts) {
+    return simulation(7, hosts);
   }
 
-  private static AllowanceWorld world(long seed, int hosts) {
-    AllowanceWorld world = new AllowanceWorld(seed, hosts, AllowanceWorld.LATE_SUMS);
-    world.peers.loseOneIn(20);
-    world.ask(JOIN_MILLIS, 0);
-    return world;
+  private static AllowanceSimulation simulation(long seed, int hosts) {
+    AllowanceSimulation simulation =
+        new AllowanceSimulation(seed, hosts, AllowanceSimulation.DELAYED_SUMS);
+    simulation.peers.loseOneIn(20);
+    simulation.offerLoad(JOIN_MILLIS, 0);
+    return simulation;
   }
 
   @ParameterizedTest
   @ValueSource(ints = {1, 7, 77})
   void usualLoadIsNotRefused(int hosts) {
-    AllowanceWorld world = world(hosts);
-    world.countFromNow();
-    world.ask(30_000, USUAL);
-    assertThat(world.refusedPart()).isLessThan(0.01);
+    AllowanceSimulation simulation = simulation(hosts);
+    simulation.countFromNow();
+    simulation.offerLoad(30_000, USUAL_LOAD);
+    assertThat(simulation.refusedShare()).isLessThan(0.01);
   }
 
   @ParameterizedTest
   @ValueSource(ints = {7, 77})
   void suddenLoadAtAllHostsStaysWithinTheBoundAndGetsItsAllowance(int hosts) {
-    AllowanceWorld world = world(hosts);
-    world.ask(10_000, USUAL);
-    world.countAllFromNow();
-    world.ask(15_000, HOT);
-    assertThat(world.worstWindow()).isAtMost(1.0);
-    assertThat(world.grantedPart()).isGreaterThan(0.95);
+    AllowanceSimulation simulation = simulation(hosts);
+    simulation.offerLoad(10_000, USUAL_LOAD);
+    simulation.countAllFromNow();
+    simulation.offerLoad(15_000, OVERLOAD);
+    assertThat(simulation.worstWindow()).isAtMost(1.0);
+    assertThat(simulation.grantedShare()).isGreaterThan(0.95);
   }
 
   @ParameterizedTest
   @ValueSource(ints = {7, 77})
   void suddenLoadAtOneHostStaysWithinTheBoundAndGetsItsAllowance(int hosts) {
-    AllowanceWorld world = world(hosts);
-    world.ask(10_000, USUAL);
-    world.countAllFromNow();
-    world.ask(15_000, HOT, hosts - 1);
-    assertThat(world.worstWindow()).isAtMost(1.0);
-    assertThat(world.grantedPart()).isGreaterThan(0.95);
+    AllowanceSimulation simulation = simulation(hosts);
+    simulation.offerLoad(10_000, USUAL_LOAD);
+    simulation.countAllFromNow();
+    simulation.offerLoad(15_000, OVERLOAD, hosts - 1);
+    assertThat(simulation.worstWindow()).isAtMost(1.0);
+    assertThat(simulation.grantedShare()).isGreaterThan(0.95);
   }
 
   @Nested
   class Cuts {
-    /** Two parts that each granted the whole limit would grant it twice. */
+    /** Two parts that each grant the whole limit would grant it twice. */
     @ParameterizedTest
     @ValueSource(ints = {7, 77})
-    void partsThatCannotHearEachOtherStayWithinTheBoundTogether(int hosts) {
-      AllowanceWorld world = world(hosts);
-      world.ask(10_000, USUAL);
-      world.peers.cut((from, to) -> from % 2 != to % 2);
-      world.ask(1_500, USUAL);
-      world.countAllFromNow();
-      world.ask(8_000, HOT);
-      assertThat(world.worstWindow()).isAtMost(1.0);
+    void disconnectedPartsStayWithinTheBoundTogether(int hosts) {
+      AllowanceSimulation simulation = simulation(hosts);
+      simulation.offerLoad(10_000, USUAL_LOAD);
+      simulation.peers.cut((from, to) -> from % 2 != to % 2);
+      simulation.offerLoad(1_500, USUAL_LOAD);
+      simulation.countAllFromNow();
+      simulation.offerLoad(8_000, OVERLOAD);
+      assertThat(simulation.worstWindow()).isAtMost(1.0);
     }
 
-    /** A third of the hosts hear nobody at all, each for itself. */
+    /** A third of the hosts receive nothing from any other host. */
     @ParameterizedTest
     @ValueSource(longs = {1, 2, 3, 7})
-    void hostsCutOffOneByOneStayWithinTheBoundTogether(long seed) {
-      AllowanceWorld world = world(seed, 77);
-      world.ask(10_000, USUAL);
-      world.peers.cut((from, to) -> from % 3 == 0 || to % 3 == 0);
-      world.ask(1_500, USUAL);
-      world.countAllFromNow();
-      world.ask(8_000, HOT);
-      assertThat(world.worstWindow()).isAtMost(1.0);
+    void isolatedHostsStayWithinTheBoundTogether(long seed) {
+      AllowanceSimulation simulation = simulation(seed, 77);
+      simulation.offerLoad(10_000, USUAL_LOAD);
+      simulation.peers.cut((from, to) -> from % 3 == 0 || to % 3 == 0);
+      simulation.offerLoad(1_500, USUAL_LOAD);
+      simulation.countAllFromNow();
+      simulation.offerLoad(8_000, OVERLOAD);
+      assertThat(simulation.worstWindow()).isAtMost(1.0);
     }
 
     @Test
     void usualLoadIsMostlyServedDuringCuts() {
-      AllowanceWorld world = world(77);
-      world.ask(10_000, USUAL);
-      world.peers.cut((from, to) -> from % 2 != to % 2);
-      world.countFromNow();
-      world.ask(8_000, USUAL);
-      assertThat(world.refusedPart()).isLessThan(0.2);
+      AllowanceSimulation simulation = simulation(77);
+      simulation.offerLoad(10_000, USUAL_LOAD);
+      simulation.peers.cut((from, to) -> from % 2 != to % 2);
+      simulation.countFromNow();
+      simulation.offerLoad(8_000, USUAL_LOAD);
+      assertThat(simulation.refusedShare()).isLessThan(0.2);
     }
   }
 
   @Nested
   class Restarts {
-    /** Their part of the window's sum goes with them. */
+    /** Their part of the window's sum is lost with them. */
     @Test
-    void halfOfTheHostsStartAnewUnderLoad() {
-      AllowanceWorld world = world(77);
-      world.ask(10_000, USUAL);
-      world.countAllFromNow();
-      world.ask(4_000, HOT);
+    void halfOfTheHostsRestartUnderLoad() {
+      AllowanceSimulation simulation = simulation(77);
+      simulation.offerLoad(10_000, USUAL_LOAD);
+      simulation.countAllFromNow();
+      simulation.offerLoad(4_000, OVERLOAD);
       for (int number = 0; number < 77; number += 2) {
-        world.peers.kill(number);
+        simulation.peers.kill(number);
       }
-      world.ask(1_500, HOT);
+      simulation.offerLoad(1_500, OVERLOAD);
       for (int number = 0; number < 77; number += 2) {
-        world.restart(number);
+        simulation.restart(number);
       }
-      world.ask(10_000, HOT);
-      assertThat(world.worstWindow()).isAtMost(1.0);
-      assertThat(world.grantedPart()).isGreaterThan(0.7);
+      simulation.offerLoad(10_000, OVERLOAD);
+      assertThat(simulation.worstWindow()).isAtMost(1.0);
+      assertThat(simulation.grantedShare()).isGreaterThan(0.7);
     }
 
-    /** Nobody knows the window any more: it must not be granted a second time. */
+    /** No host remembers the window, which must not be granted a second time. */
     @ParameterizedTest
     @ValueSource(ints = {7, 77})
-    void allHostsStartAnewUnderLoad(int hosts) {
-      AllowanceWorld world = world(hosts);
-      world.ask(10_000, USUAL);
-      world.countAllFromNow();
-      world.ask(4_000, HOT);
+    void allHostsRestartUnderLoad(int hosts) {
+      AllowanceSimulation simulation = simulation(hosts);
+      simulation.offerLoad(10_000, USUAL_LOAD);
+      simulation.countAllFromNow();
+      simulation.offerLoad(4_000, OVERLOAD);
       for (int number = 0; number < hosts; number++) {
-        world.peers.kill(number);
+        simulation.peers.kill(number);
       }
-      world.peers.pass(700);
+      simulation.peers.advance(700);
       for (int number = 0; number < hosts; number++) {
-        world.restart(number);
+        simulation.restart(number);
       }
-      world.ask(10_000, HOT);
-      assertThat(world.worstWindow()).isAtMost(1.0);
+      simulation.offerLoad(10_000, OVERLOAD);
+      assertThat(simulation.worstWindow()).isAtMost(1.0);
     }
   }
 
-  /** It binds one window after it is known. */
+  /** A lowered limit is in force one window after it is known. */
   @Test
   void loweredLimitHolds() {
-    AllowanceWorld world = world(77);
-    world.ask(10_000, USUAL);
-    world.limit(AllowanceWorld.PER_SECOND / 4);
-    world.countFromNow();
-    world.ask(20_000, USUAL);
-    assertThat(world.worstWindow()).isAtMost(1.0);
-    assertThat(world.grantedPart()).isGreaterThan(0.95);
+    AllowanceSimulation simulation = simulation(77);
+    simulation.offerLoad(10_000, USUAL_LOAD);
+    simulation.setLimit(AllowanceSimulation.LIMIT_PER_SECOND / 4);
+    simulation.countFromNow();
+    simulation.offerLoad(20_000, USUAL_LOAD);
+    assertThat(simulation.worstWindow()).isAtMost(1.0);
+    assertThat(simulation.grantedShare()).isGreaterThan(0.95);
   }
 }
