--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/LargeFleetTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/LargeFleetTest.java
@@ -8,47 +8,50 @@
 import org.junit.jupiter.api.Nested;
 import org.junit.jupiter.api.Test;
 
-/** A fleet of 40 hosts in 4 failure domains, in which delegates pass everything on. */
+/** A fleet of 40 hosts in 4 failure domains, in which delegates forward all states. */
 class LargeFleetTest {
 
   private static final int HOSTS = 40;
   private static final int DOMAINS = 4;
   private static final String RUNNER = "i-1";
 
-  /** A change at a host (100 ms), two digests (150 ms each), one of them lost (150 ms). */
-  private static final long NEWS_MILLIS = 600;
+  /** A change at a host (100 ms), two digests (150 ms each), one of which is lost (150 ms). */
+  private static final long PROPAGATION_MILLIS = 600;
 
-  private final PeerWorld world = new PeerWorld(5, HOSTS, DOMAINS);
+  private final PeerSimulation simulation = new PeerSimulation(5, HOSTS, DOMAINS);
 
   @BeforeEach
   void join() {
-    world.pass(4_000);
+    simulation.advance(4_000);
   }
 
-  private void everyoneIsAlive(int hosts) {
-    for (PeerWorld.Host host : world.running()) {
+  private void assertAllAlive(int hosts) {
+    for (PeerSimulation.Host host : simulation.running()) {
       assertWithMessage("hosts that host %s knows", host.number)
-          .that(host.members.alive(world.now()))
+          .that(host.members.alive(simulation.now()))
           .hasSize(hosts - 1);
     }
   }
 
-  private PeerWorld.Host ordinary() {
-    return world.running().stream().filter(host -> !host.shape.isDelegate()).findFirst().get();
+  private PeerSimulation.Host anyNonDelegate() {
+    return simulation.running().stream()
+        .filter(host -> !host.topology.isDelegate())
+        .findFirst()
+        .get();
   }
 
   private List<Integer> delegates() {
-    return world.running().stream()
-        .filter(host -> host.shape.isDelegate())
+    return simulation.running().stream()
+        .filter(host -> host.topology.isDelegate())
         .map(host -> host.number)
         .toList();
   }
 
-  private void changeAt(PeerWorld.Host host) {
+  private void assertChangeReachesAll(PeerSimulation.Host host) {
     host.configRevision++;
     host.heartbeats.changed();
-    world.pass(NEWS_MILLIS);
-    for (PeerWorld.Host other : world.running()) {
+    simulation.advance(PROPAGATION_MILLIS);
+    for (PeerSimulation.Host other : simulation.running()) {
       assertWithMessage("revision at host %s", other.number)
           .that(other.configRevision)
           .isEqualTo(host.configRevision);
@@ -56,39 +59,37 @@
   }
 
   @Nested
-  class Calm {
+  class Idle {
     @Test
     void everyDomainHasTwoDelegatesOfWhichOneIsStrong() {
-      everyoneIsAlive(HOSTS);
+      assertAllAlive(HOSTS);
       assertThat(delegates()).hasSize(2 * DOMAINS);
       assertThat(delegates()).containsAtLeast(0, 1, 2, 3, 4, 5);
     }
 
     @Test
-    void newsOfOneHostReachesAll() {
-      changeAt(ordinary());
+    void changeOfOneHostReachesAll() {
+      assertChangeReachesAll(anyNonDelegate());
     }
 
     /**
-     * Symptom: some runners get far more requests than others in a large fleet.
-     *
-     * <p>Events: three hosts of different domains each send two requests to one runner.
-     *
-     * <p>Cause looked for: sums that leave a domain out or count one twice.
+     * Guards against some runners getting far more requests than others in a large fleet, because
+     * the sums leave a failure domain out or count one twice. Hosts of different domains each send
+     * two requests to one runner.
      */
     @Test
     void loadsAreSummedOnceOverTheFleet() {
       for (int host : List.of(1, 2, 3, 5)) {
-        PeerWorld.Host sender = world.running().get(host);
+        PeerSimulation.Host sender = simulation.running().get(host);
         sender.loads.add(RUNNER, 2, 100, 0, "m/a1");
         sender.heartbeats.changed();
       }
-      world.pass(NEWS_MILLIS);
-      for (PeerWorld.Host host : world.running()) {
+      simulation.advance(PROPAGATION_MILLIS);
+      for (PeerSimulation.Host host : simulation.running()) {
         assertWithMessage("requests that host %s counts", host.number)
-            .that(host.loads.requests(RUNNER, world.now()))
+            .that(host.loads.requests(RUNNER, simulation.now()))
             .isEqualTo(8);
-        assertThat(host.loads.unreadTokens(RUNNER, world.now())).isEqualTo(400);
+        assertThat(host.loads.unreadTokens(RUNNER, simulation.now())).isEqualTo(400);
       }
     }
   }
@@ -96,71 +97,66 @@
   @Nested
   class Failures {
     /**
-     * Symptom: the hosts of a domain take the rest of the fleet for dead.
-     *
-     * <p>Events: both delegates of each domain die at once.
-     *
-     * <p>Cause looked for: hosts that speak to dead delegates only.
+     * Guards against the hosts of a failure domain considering the rest of the fleet dead. Both
+     * delegates of each domain die at once, and hosts must not address dead delegates only.
      */
     @Test
     void deadDelegatesAreReplaced() {
-      delegates().forEach(world::kill);
-      world.pass(4_000);
-      everyoneIsAlive(HOSTS - 2 * DOMAINS);
-      changeAt(ordinary());
+      delegates().forEach(simulation::kill);
+      simulation.advance(4_000);
+      assertAllAlive(HOSTS - 2 * DOMAINS);
+      assertChangeReachesAll(anyNonDelegate());
     }
 
     @Test
-    void deadHostIsNoticedByAll() {
-      world.kill(ordinary().number);
-      world.pass(4_000);
-      everyoneIsAlive(HOSTS - 1);
+    void deadHostIsDetectedByAll() {
+      simulation.kill(anyNonDelegate().number);
+      simulation.advance(4_000);
+      assertAllAlive(HOSTS - 1);
     }
 
     /**
-     * Symptom: after a cut between two domains each takes the other for dead for good.
-     *
-     * <p>Events: the halves of the fleet are cut off from each other for 10 s, then again for 25 s,
-     * after which they have forgotten each other.
-     *
-     * <p>Cause: delegates that tell living delegates only; nobody is left to begin.
+     * Guards against two failure domains that consider each other dead forever after a network
+     * partition. The halves of the fleet are disconnected for 10 s, then again for 25 s, after
+     * which they have forgotten each other. If delegates addressed live delegates only, no host
+     * would start.
      */
     @Test
     void halvesFindEachOtherAfterCuts() {
       for (long millis : new long[] {10_000, 25_000}) {
-        world.cut((from, to) -> from % 2 != to % 2);
-        world.pass(millis);
-        world.cut((from, to) -> false);
-        world.pass(5_000);
-        everyoneIsAlive(HOSTS);
+        simulation.cut((from, to) -> from % 2 != to % 2);
+        simulation.advance(millis);
+        simulation.cut((from, to) -> false);
+        simulation.advance(5_000);
+        assertAllAlive(HOSTS);
       }
     }
 
     @Test
     void allFindEachOtherAfterLossOfPower() {
       for (int host = 0; host < HOSTS; host++) {
-        world.kill(host);
+        simulation.kill(host);
       }
-      world.pass(1_400);
+      simulation.advance(1_400);
       for (int host = 0; host < HOSTS; host++) {
-        world.start(host);
-        world.pass(20);
+        simulation.start(host);
+        simulation.advance(20);
       }
-      world.pass(2_500);
-      everyoneIsAlive(HOSTS);
+      simulation.advance(2_500);
+      assertAllAlive(HOSTS);
       assertThat(delegates()).hasSize(2 * DOMAINS);
     }
 
     @Test
     void hostThatIsCutOffBecomesItsOwnDelegate() {
-      PeerWorld.Host alone = ordinary();
-      world.cut((from, to) -> from == alone.number || to == alone.number);
-      world.pass(4_000);
-      assertThat(alone.shape.isDelegate()).isTrue();
-      world.cut((from, to) -> false);
-      world.pass(3_000);
-      everyoneIsAlive(HOSTS);
-      assertThat(alone.shape.isDelegate()).isFalse();
+      PeerSimulation.Host alone = anyNonDelegate();
+      simulation.cut((from, to) -> from == alone.number || to == alone.number);
+      simulation.advance(4_000);
+      assertThat(alone.topology.isDelegate()).isTrue();
+      simulation.cut((from, to) -> false);
+      simulation.advance(3_000);
+      assertAllAlive(HOSTS);
+      assertThat(alone.topology.isDelegate()).isFalse();
     }
   }
 }
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/PeerCostTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/PeerCostTest.java
@@ -4,32 +4,29 @@
 
 import org.junit.jupiter.api.Test;
 
-/** What it costs a host to know the others, at three sizes of the fleet, in virtual time. */
+/** Measures a host's cost of knowing the others at three fleet sizes, in virtual time. */
 class PeerCostTest {
 
   private static final int JOIN_MILLIS = 12_000;
-  private static final int COUNTED_MILLIS = 3_600;
+  private static final int MEASURED_MILLIS = 3_600;
 
   /** Returns the bytes that one idle host sends in a second. */
   private static long bytesPerSecond(int hosts) {
-    PeerWorld world = new PeerWorld(3, hosts, 4);
-    world.pass(JOIN_MILLIS);
-    long before = world.bytes();
-    world.pass(COUNTED_MILLIS);
-    for (PeerWorld.Host host : world.running()) {
-      assertThat(host.members.alive(world.now())).hasSize(hosts - 1);
+    PeerSimulation simulation = new PeerSimulation(3, hosts, 4);
+    simulation.advance(JOIN_MILLIS);
+    long before = simulation.bytes();
+    simulation.advance(MEASURED_MILLIS);
+    for (PeerSimulation.Host host : simulation.running()) {
+      assertThat(host.members.alive(simulation.now())).hasSize(hosts - 1);
     }
-    return (world.bytes() - before) * 1_000 / COUNTED_MILLIS / hosts;
+    return (simulation.bytes() - before) * 1_000 / MEASURED_MILLIS / hosts;
   }
 
   /**
-   * Symptom: hosts of a large fleet spend their link and processor on telling each other that they
-   * live; or some of them never learn of each other.
-   *
-   * <p>Events: none; all start within 20 ms and the fleet is idle.
-   *
-   * <p>Cause looked for: heartbeats to everybody at a fixed period; delegates that are told of
-   * other groups by these groups' delegates only, which may not know them.
+   * Guards against hosts of a large fleet that spend their network and processor on heartbeats, or
+   * that never learn of each other. All start within 20 ms and the fleet is idle. The causes would
+   * be heartbeats to all hosts at a fixed period, and delegates that receive other groups only from
+   * the delegates of these groups, which may not know them.
    */
   @Test
   void doesNotGrowWithLargeFleets() {
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/PeerWorld.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/PeerSimulation.java
@@ -12,7 +12,7 @@
 import java.util.function.BiPredicate;
 import java.util.function.Function;
 import org.jspecify.annotations.Nullable;
-import org.sequoiahub.core.allowance.AllowanceKeeper;
+import org.sequoiahub.core.allowance.AllowanceLimiter;
 import org.sequoiahub.core.allowance.AllowanceSettings;
 import org.sequoiahub.core.allowance.FleetSpending;
 import org.sequoiahub.core.dispatch.FleetLoad;
@@ -21,68 +21,68 @@
 import org.sequoiahub.core.member.Members;
 import org.sequoiahub.core.quarantine.QuarantineSettings;
 import org.sequoiahub.core.quarantine.RequestQuarantine;
-import org.sequoiahub.core.quarantine.RunnerEnd;
+import org.sequoiahub.core.quarantine.RunnerTermination;
 import org.sequoiahub.core.retry.RetryBudgetSettings;
 import org.sequoiahub.runtime.log.EventLog;
 import org.sequoiahub.schema.peer.HostState;
 import org.sequoiahub.schema.peer.PeerDatagram;
 import org.sequoiahub.usersplatform.HostSettings;
 
-/** Hosts that tell each other of themselves, in virtual time; datagrams are late and get lost. */
-final class PeerWorld {
+/** Simulates, in virtual time, hosts that exchange states over a network with delay and loss. */
+final class PeerSimulation {
 
-  /** The users' figure. */
+  /** With the window of the users' deployments. */
   static final AllowanceSettings ALLOWANCES = new AllowanceSettings(8_000);
 
   private static final int TICK_MILLIS = 10;
   private static final int MAX_DELAY_MILLIS = 5;
 
-  /** One datagram in so many is lost. */
-  private static final int LOSS = 100;
+  /** By default one datagram in this many is lost. */
+  private static final int DEFAULT_LOSS_ONE_IN = 100;
 
-  private int lossOneIn = LOSS;
+  private int lossOneIn = DEFAULT_LOSS_ONE_IN;
 
   private final Function<Host, Records> recordsOf;
   private final Random random;
   private final int domains;
   private final int size;
   private final List<@Nullable Host> hosts = new ArrayList<>();
-  private final PriorityQueue<Late> late = new PriorityQueue<>();
+  private final PriorityQueue<Delivery> inTransit = new PriorityQueue<>();
   private BiPredicate<Integer, Integer> cut = (from, to) -> false;
   private long now = 1_000_000;
-  private long number;
+  private long deliveries;
   private long bytes;
   private final Map<Integer, Long> frozenUntil = new HashMap<>();
 
-  private record Late(long atMillis, long number, int from, int to, byte[] datagram)
-      implements Comparable<Late> {
+  private record Delivery(long atMillis, long number, int from, int to, byte[] datagram)
+      implements Comparable<Delivery> {
     @Override
-    public int compareTo(Late other) {
+    public int compareTo(Delivery other) {
       int byTime = Long.compare(atMillis, other.atMillis);
       return byTime != 0 ? byTime : Long.compare(number, other.number);
     }
   }
 
-  /** What a host knows of the store's records. */
+  /** A host's view of the store's records. */
   interface Records {
     long operatorRevision();
 
     long runnersRevision();
 
-    /** Takes in another host's state. */
-    void told(String from, HostState state);
+    /** Applies another host's state. */
+    void stateReceived(String from, HostState state);
 
-    /** Told that a datagram of another host came. */
-    default void heard(String from) {}
+    /** Called when a datagram of another host was received. */
+    default void datagramReceived(String from) {}
 
     void tick(long nowMillis);
   }
 
-  /** Numbers only: a host that is behind another takes its records at once. */
-  private static final class Numbers implements Records {
+  /** Tracks revisions only: a host that is behind another has its records at once. */
+  private static final class RevisionsOnly implements Records {
     private final Host host;
 
-    Numbers(Host host) {
+    RevisionsOnly(Host host) {
       this.host = host;
     }
 
@@ -97,13 +97,13 @@
     }
 
     @Override
-    public void told(String from, HostState state) {
+    public void stateReceived(String from, HostState state) {
       host.configRevision = Math.max(host.configRevision, state.getConfigRevision());
     }
 
     @Override
     public void tick(long nowMillis) {
-      // Nothing is asked for.
+      // Nothing is pulled.
     }
   }
 
@@ -114,13 +114,13 @@
     final FleetLoad loads = new FleetLoad();
     final Holdings holdings = new Holdings();
     final FleetSpending spending = new FleetSpending(ALLOWANCES.windowMillis());
-    final AllowanceKeeper allowances =
-        new AllowanceKeeper(spending, ALLOWANCES, size > 1, random::nextDouble, now);
+    final AllowanceLimiter allowances =
+        new AllowanceLimiter(spending, ALLOWANCES, size > 1, random::nextDouble, now);
     final Set<String> words = new HashSet<>();
-    final FleetShape shape;
+    final FleetTopology topology;
     final PeerHeartbeats heartbeats;
     final RequestQuarantine quarantine = new RequestQuarantine(QuarantineSettings.DEFAULT);
-    final RunnerEndExchange runnerEnds;
+    final RunnerTerminationExchange terminations;
     final Records records;
     long configRevision = 1_000;
 
@@ -128,27 +128,27 @@
       this.number = number;
       this.members = new Members<>("host-" + number, MemberSettings.DEFAULT);
       HostSettings settings = settings(number);
-      this.shape = new FleetShape(settings, members);
+      this.topology = new FleetTopology(settings, members);
       this.heartbeats =
           new PeerHeartbeats(
               settings,
               now,
               members,
-              shape,
+              topology,
               loads,
               holdings,
               spending,
               (ip, datagram) -> send(number, ip, datagram),
               this::state,
-              this::told,
-              this::word,
+              this::stateReceived,
+              this::reportReceived,
               random,
               new EventLog("test", "host-" + number));
-      this.runnerEnds =
-          new RunnerEndExchange(
+      this.terminations =
+          new RunnerTerminationExchange(
               quarantine,
               members,
-              shape,
+              topology,
               heartbeats::datagram,
               (ip, datagram) -> send(number, ip, datagram),
               random);
@@ -166,49 +166,50 @@
               .setFleetSize(1 + members.reachable(now).size())
               .setConfigRevision(records.operatorRevision())
               .setRunnersRevision(records.runnersRevision());
-      StateCodec.addUses(state, loads.own());
+      StateCodec.addLoads(state, loads.own());
       return state.setLoadsComplete(true);
     }
 
-    private void told(String from, HostState state) {
-      loads.told(from, StateCodec.uses(state.getLoadsList()), true, now);
-      word(from, state);
+    private void stateReceived(String from, HostState state) {
+      loads.update(from, StateCodec.decodeLoads(state.getLoadsList()), true, now);
+      reportReceived(from, state);
     }
 
-    /** A runner ends under a request of this host's; the others are told. */
-    void runnerEnded(long request, long runner, long startedMillis, long endedMillis) {
-      RunnerEnd end = new RunnerEnd(request, runner, startedMillis, endedMillis, false, true);
-      if (quarantine.ended(end, now)) {
-        runnerEnds.ended(end, now);
+    /** Terminates a runner that processes a request of this host, and informs the other hosts. */
+    void runnerTerminated(long request, long runner, long startedMillis, long endedMillis) {
+      RunnerTermination end =
+          new RunnerTermination(request, runner, startedMillis, endedMillis, false, true);
+      if (quarantine.recordTermination(end, now)) {
+        terminations.onTermination(end, now);
       }
     }
 
-    /** A request of this host's has a good answer. */
-    void succeeded(long request) {
-      if (quarantine.cleared(request, now)) {
-        runnerEnds.cleared(request, now, now);
+    /** Records a successful response to a request of this host, and informs the other hosts. */
+    void requestSucceeded(long request) {
+      if (quarantine.clear(request, now)) {
+        terminations.onCleared(request, now, now);
       }
     }
 
-    boolean holdsBack(long request) {
-      return quarantine.hold(request, now).isPresent();
+    boolean isQuarantined(long request) {
+      return quarantine.activeQuarantine(request, now).isPresent();
     }
 
-    private void word(String from, HostState state) {
-      records.told(from, state);
+    private void reportReceived(String from, HostState state) {
+      records.stateReceived(from, state);
     }
   }
 
-  PeerWorld(long seed, int count, int domains) {
-    this(seed, count, domains, Numbers::new);
+  PeerSimulation(long seed, int count, int domains) {
+    this(seed, count, domains, RevisionsOnly::new);
   }
 
   /**
    * Creates a fleet.
    *
-   * @param recordsOf makes what each process knows of the store's records
+   * @param recordsOf creates the view that each process has of the store's records
    */
-  PeerWorld(long seed, int count, int domains, Function<Host, Records> recordsOf) {
+  PeerSimulation(long seed, int count, int domains, Function<Host, Records> recordsOf) {
     this.recordsOf = recordsOf;
     this.size = count;
     this.random = new Random(seed);
@@ -250,12 +251,12 @@
     return now;
   }
 
-  /** Returns the bytes that were sent so far. */
+  /** Returns the bytes sent so far. */
   long bytes() {
     return bytes;
   }
 
-  /** Returns the hosts that run. */
+  /** Returns the running hosts. */
   List<Host> running() {
     List<Host> running = new ArrayList<>();
     for (Host host : hosts) {
@@ -274,7 +275,7 @@
     hosts.set(host, new Host(host));
   }
 
-  /** Stops a host's process until a moment; what comes for it meanwhile waits. */
+  /** Suspends a host's process until the given time; datagrams for it are delivered then. */
   void freeze(int host, long untilMillis) {
     frozenUntil.put(host, untilMillis);
   }
@@ -283,17 +284,17 @@
     return frozenUntil.getOrDefault(host, 0L) > now;
   }
 
-  /** Loses all datagrams for which {@code lost} holds, until the next call. */
+  /** Drops all datagrams for which {@code lost} holds, until the next call. */
   void cut(BiPredicate<Integer, Integer> lost) {
     cut = lost;
   }
 
-  /** From now on one datagram in so many is lost. */
+  /** From now on one datagram in the given number is lost. */
   void loseOneIn(int datagrams) {
     lossOneIn = datagrams;
   }
 
-  /** Returns the host with a number, if it runs. */
+  /** Returns the host with the given number, if it is running. */
   @Nullable Host host(int number) {
     return hosts.get(number);
   }
@@ -302,24 +303,24 @@
     return size;
   }
 
-  /** Returns whether two hosts run and datagrams of one reach the other. */
+  /** Returns whether two hosts are running and datagrams of the first reach the second. */
   boolean reaches(int from, int to) {
     return hosts.get(from) != null && hosts.get(to) != null && !cut.test(from, to);
   }
 
-  void pass(long millis) {
+  void advance(long millis) {
     for (long end = now + millis; now < end; now += TICK_MILLIS) {
-      while (!late.isEmpty() && late.peek().atMillis <= now) {
-        deliver(late.poll());
+      while (!inTransit.isEmpty() && inTransit.peek().atMillis <= now) {
+        deliver(inTransit.poll());
       }
       for (Host host : running()) {
         if (isFrozen(host.number)) {
           continue;
         }
         host.heartbeats.tick(now);
-        host.runnerEnds.tick(now);
-        host.members.forget(now);
-        host.allowances.upkeep(now);
+        host.terminations.tick(now);
+        host.members.removeExpired(now);
+        host.allowances.assumeSilentSpending(now);
         host.records.tick(now);
       }
     }
@@ -330,31 +331,33 @@
     int to = Integer.parseInt(ip.substring("ip-".length()));
     boolean lost = cut.test(from, to) || random.nextInt(lossOneIn) == 0;
     if (to < hosts.size() && !lost) {
-      late.add(new Late(now + 1 + random.nextInt(MAX_DELAY_MILLIS), number++, from, to, datagram));
+      inTransit.add(
+          new Delivery(
+              now + 1 + random.nextInt(MAX_DELAY_MILLIS), deliveries++, from, to, datagram));
     }
   }
 
-  private void deliver(Late arrived) {
+  private void deliver(Delivery arrived) {
     Host to = hosts.get(arrived.to);
     if (to == null) {
       return;
     }
     if (isFrozen(arrived.to)) {
       long until = frozenUntil.getOrDefault(arrived.to, now);
-      late.add(new Late(until, number++, arrived.from, arrived.to, arrived.datagram));
+      inTransit.add(new Delivery(until, deliveries++, arrived.from, arrived.to, arrived.datagram));
       return;
     }
     try {
       PeerDatagram datagram = PeerDatagram.parseFrom(arrived.datagram);
       String ip = "ip-" + arrived.from;
-      to.records.heard(datagram.getHost());
+      to.records.datagramReceived(datagram.getHost());
       if (datagram.hasDigest()) {
         to.heartbeats.receivedDigest(ip, datagram, now);
       } else if (datagram.hasEnds()) {
-        to.runnerEnds.received(datagram.getHost(), ip, datagram.getEnds(), now);
+        to.terminations.received(datagram.getHost(), ip, datagram.getEnds(), now);
       } else {
         to.heartbeats.received(ip, datagram, now);
-        to.runnerEnds.heard(datagram.getHost(), datagram.getIncarnation(), ip, now);
+        to.terminations.stateReceived(datagram.getHost(), datagram.getIncarnation(), ip, now);
       }
     } catch (InvalidProtocolBufferException e) {
       throw new AssertionError(e);
