--- a/sequoia-cli/src/main/java/org/sequoiahub/cli/bench/PolicySimulation.java
+++ b/sequoia-cli/src/main/java/org/sequoiahub/cli/bench/PolicySimulation.java
@@ -135,7 +135,7 @@
     }
     Runner runner = chosen.get();
     RunnerHints own = hints.get(request.entry);
-    own.sent(runner.id());
+    own.requestSent(runner.id());
     at(
         now + HOP_MILLIS,
         () -> {
@@ -151,10 +151,10 @@
             waiting.put(id, request);
             long wait = admitted.expectedWaitMillis();
             boolean resident = admitted.resident();
-            at(now + HOP_MILLIS, () -> own.heard(runner.id(), adapter, wait, resident, now));
+            at(now + HOP_MILLIS, () -> own.update(runner.id(), adapter, wait, resident, now));
             settle(target);
           } else {
-            own.ended(runner.id());
+            own.requestEnded(runner.id());
             excluded.add(runner.id());
             offer(request, excluded);
           }
@@ -175,7 +175,7 @@
       case CHEAPEST ->
           chooser.choose(
               adapter,
-              Placement.candidates(adapter, active(request, all), routing.candidates()),
+              Placement.candidates(adapter, active(request, all), routing.candidateCount()),
               excluded,
               hints.get(request.entry),
               now);
@@ -187,8 +187,8 @@
     int here = own.inFlight(all);
     String baseModel = request.arrival.pool().baseModel();
     return activePools
-        .computeIfAbsent(request.entry + baseModel, k -> new ActivePool(routing.leastShare()))
-        .active(baseModel, all, (double) here * ENTRIES, now);
+        .computeIfAbsent(request.entry + baseModel, k -> new ActivePool(routing.minActiveShare()))
+        .select(baseModel, all, (double) here * ENTRIES, now);
   }
 
   private void settle(SimulatedRunner runner) {
@@ -264,8 +264,8 @@
       at(
           now + HOP_MILLIS,
           () -> {
-            own.ended(runner.runner.id());
-            own.heard(runner.runner.id(), adapter, wait, true, now);
+            own.requestEnded(runner.runner.id());
+            own.update(runner.runner.id(), adapter, wait, true, now);
           });
     }
   }
--- a/sequoia-cli/src/main/java/org/sequoiahub/cli/bench/SlopesCommand.java
+++ b/sequoia-cli/src/main/java/org/sequoiahub/cli/bench/SlopesCommand.java
@@ -69,17 +69,17 @@
   }
 
   private static void records(int size, PrintStream out) {
-    double stored = heapOf(() -> filled(size, AcceptedRecords.Keep.VALUES)) / size;
-    double parsed = heapOf(() -> filled(size, AcceptedRecords.Keep.PARSED)) / size;
-    AcceptedRecords records = filled(size, AcceptedRecords.Keep.PARSED);
+    double stored = heapOf(() -> filled(size, AcceptedRecords.Retention.VALUES)) / size;
+    double parsed = heapOf(() -> filled(size, AcceptedRecords.Retention.PARSED)) / size;
+    AcceptedRecords records = filled(size, AcceptedRecords.Retention.PARSED);
     double offer = microsOf(20_000, i -> records.offer(record(i % size, size + 1L + i)));
     double resolve =
         microsOf(200_000, i -> ModelResolver.resolve("adapter-" + i % size, records, 0.5));
-    AcceptedRecords watched = filled(size, AcceptedRecords.Keep.VALUES);
+    AcceptedRecords watched = filled(size, AcceptedRecords.Retention.VALUES);
     long[] digest = watched.digest();
-    double equal = microsOf(2_000, i -> watched.heldWhereDifferent(digest));
+    double equal = microsOf(2_000, i -> watched.revisionsInDifferingBuckets(digest));
     watched.offer(record(0, 2L * size));
-    double oneDiffers = microsOf(50, i -> watched.heldWhereDifferent(digest));
+    double oneDiffers = microsOf(50, i -> watched.revisionsInDifferingBuckets(digest));
     line(
         out,
         "record",
@@ -98,7 +98,7 @@
         oneDiffers);
   }
 
-  private static AcceptedRecords filled(int size, AcceptedRecords.Keep keep) {
+  private static AcceptedRecords filled(int size, AcceptedRecords.Retention keep) {
     AcceptedRecords records = new AcceptedRecords(new DefaultRecordParser(), keep);
     for (int i = 0; i < size; i++) {
       records.offer(record(i, i + 1));
@@ -187,7 +187,7 @@
               .forEach(
                   id -> {
                     table.begin(id, 0);
-                    table.answered(id, "answer");
+                    table.completed(id, "answer");
                   });
           return table;
         };
@@ -228,7 +228,7 @@
                 Chunk.newBuilder().setSequence(500).setData(ByteString.copyFrom(new byte[200])))
             .build();
     Digest.Builder digest = Digest.newBuilder().setHostsRevision(9);
-    for (int i = 0; i < AcceptedRecords.BUCKETS; i++) {
+    for (int i = 0; i < AcceptedRecords.BUCKET_COUNT; i++) {
       digest.addBuckets(Long.MAX_VALUE - i);
     }
     Envelope digestCall = Envelope.newBuilder().setCall(1_000).setDigest(digest).build();
--- a/sequoia-cli/src/main/java/org/sequoiahub/cli/bench/Variant.java
+++ b/sequoia-cli/src/main/java/org/sequoiahub/cli/bench/Variant.java
@@ -64,9 +64,9 @@
 
   RouteSettings routing(RouteSettings full) {
     return new RouteSettings(
-        without.contains("replicas") ? 1 : full.candidates(),
+        without.contains("replicas") ? 1 : full.candidateCount(),
         full.loadCostMillis(),
-        without.contains("fill") ? 0 : full.fillWeight(),
-        without.contains("packing") ? 1 : full.leastShare());
+        without.contains("fill") ? 0 : full.batchFillWeight(),
+        without.contains("packing") ? 1 : full.minActiveShare());
   }
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/authority/Authority.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/authority/Authority.java
@@ -22,5 +22,5 @@
   long fencingNumber();
 
   /** Ends the authority at once; the next claim starts a new term. */
-  void giveUp();
+  void release();
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/authority/FencedAuthority.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/authority/FencedAuthority.java
@@ -16,8 +16,8 @@
 
   private final long durationMillis;
   private final Term term;
-  private final long tag;
-  private long number;
+  private final long holderTag;
+  private long fencingNumber;
   private long nextClaimMillis = Long.MIN_VALUE;
 
   /**
@@ -31,8 +31,8 @@
     checkArgument(durationMillis > 0, "durationMillis must be above 0");
     this.durationMillis = durationMillis;
     this.term = new Term(durationMillis);
-    this.tag = Integer.toUnsignedLong(tag);
-    this.number = numberAbove(0);
+    this.holderTag = Integer.toUnsignedLong(tag);
+    this.fencingNumber = nextNumberAbove(0);
   }
 
   @Override
@@ -54,8 +54,8 @@
    * Records that the engine accepted the claim with {@code claimed}, sent at {@code sentMillis}.
    */
   public void claimAccepted(long claimed, long sentMillis, long nowMillis) {
-    if (claimed == number) {
-      term.accepted(sentMillis, nowMillis);
+    if (claimed == fencingNumber) {
+      term.claimAccepted(sentMillis, nowMillis);
     }
   }
 
@@ -66,13 +66,13 @@
    *
    * @param highest the highest number that the engine has accepted
    */
-  public void refused(long refused, long highest, long nowMillis) {
-    if (refused != number) {
+  public void fencingNumberRefused(long refused, long highest, long nowMillis) {
+    if (refused != fencingNumber) {
       return;
     }
     boolean preempted = term.held(nowMillis);
     term.end();
-    number = numberAbove(Math.max(number, highest));
+    fencingNumber = nextNumberAbove(Math.max(fencingNumber, highest));
     // A new owner exceeds the number at once. One that was pre-empted waits a term first: otherwise
     // two dispatchers with different host lists would take turns at the engine with every order.
     nextClaimMillis = preempted ? nowMillis + durationMillis : nowMillis;
@@ -80,13 +80,13 @@
 
   @Override
   public long fencingNumber() {
-    return number;
+    return fencingNumber;
   }
 
   @Override
-  public void giveUp() {
+  public void release() {
     term.end();
-    number = numberAbove(number);
+    fencingNumber = nextNumberAbove(fencingNumber);
     nextClaimMillis = Long.MIN_VALUE;
   }
 
@@ -97,7 +97,7 @@
    * Were two dispatchers to choose the same number, both would hold authority at once, and one
    * would evict under the other's request. So the low half of a number is the holder's own tag.
    */
-  private long numberAbove(long other) {
-    return ((other >>> TAG_BITS) + 1) << TAG_BITS | tag;
+  private long nextNumberAbove(long other) {
+    return ((other >>> TAG_BITS) + 1) << TAG_BITS | holderTag;
   }
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/authority/LeaseGranter.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/authority/LeaseGranter.java
@@ -19,7 +19,7 @@
   private final Map<String, Grant> grants = new HashMap<>();
 
   /** Runners whose lease has been held by more than one holder, or was given up by one. */
-  private final Set<String> shared = new HashSet<>();
+  private final Set<String> previouslyHeld = new HashSet<>();
 
   /**
    * Creates a granter.
@@ -42,7 +42,7 @@
       return false;
     }
     if (current != null && !current.holder.equals(holder)) {
-      shared.add(runner);
+      previouslyHeld.add(runner);
     }
     grants.put(runner, new Grant(holder, nowMillis + durationMillis));
     return true;
@@ -54,13 +54,13 @@
    */
   public boolean grantedOnlyTo(String runner, String holder) {
     Grant current = grants.get(runner);
-    return !shared.contains(runner) && (current == null || current.holder.equals(holder));
+    return !previouslyHeld.contains(runner) && (current == null || current.holder.equals(holder));
   }
 
   /** Forgets runners that are gone. */
-  public void retain(Set<String> runners) {
+  public void retainRunners(Set<String> runners) {
     grants.keySet().retainAll(runners);
-    shared.retainAll(runners);
+    previouslyHeld.retainAll(runners);
   }
 
   /** Ends {@code holder}'s lease on {@code runner}, if it holds one. */
@@ -68,7 +68,7 @@
     Grant current = grants.get(runner);
     if (current != null && current.holder.equals(holder)) {
       grants.remove(runner);
-      shared.add(runner);
+      previouslyHeld.add(runner);
     }
   }
 
--- a/sequoia-core/src/main/java/org/sequoiahub/core/authority/LeasedAuthority.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/authority/LeasedAuthority.java
@@ -32,12 +32,12 @@
 
   private final long durationMillis;
   private final Term term;
-  private final List<Quorum> former = new ArrayList<>();
-  private Set<String> granters = Set.of();
+  private final List<Electorate> formerElectorates = new ArrayList<>();
+  private Set<String> updateGranters = Set.of();
   private final Set<String> grantedBy = new HashSet<>();
   private long roundSentMillis;
   private long nextClaimMillis = Long.MIN_VALUE;
-  private boolean renewed;
+  private boolean lastRoundSucceeded;
 
   /**
    * Creates an authority that is not held.
@@ -51,21 +51,21 @@
   }
 
   /** Sets the hosts that may grant the lease. */
-  public void granters(Set<String> hosts, long nowMillis) {
-    if (hosts.equals(granters)) {
+  public void updateGranters(Set<String> hosts, long nowMillis) {
+    if (hosts.equals(updateGranters)) {
       return;
     }
-    if (!granters.isEmpty()) {
-      former.add(new Quorum(granters, nowMillis + durationMillis));
+    if (!updateGranters.isEmpty()) {
+      formerElectorates.add(new Electorate(updateGranters, nowMillis + durationMillis));
     }
-    granters = Set.copyOf(hosts);
+    updateGranters = Set.copyOf(hosts);
   }
 
   /** Returns the hosts to ask for a grant, those of former lists included. */
-  public Set<String> toAsk(long nowMillis) {
-    Set<String> hosts = new HashSet<>(granters);
-    former.removeIf(quorum -> nowMillis >= quorum.untilMillis);
-    former.forEach(quorum -> hosts.addAll(quorum.hosts));
+  public Set<String> hostsToAsk(long nowMillis) {
+    Set<String> hosts = new HashSet<>(updateGranters);
+    formerElectorates.removeIf(quorum -> nowMillis >= quorum.expiresMillis);
+    formerElectorates.forEach(quorum -> hosts.addAll(quorum.hosts));
     return hosts;
   }
 
@@ -80,29 +80,29 @@
   }
 
   /** Returns whether a majority granted the claim of the latest round. */
-  public boolean renewedByLastRound() {
-    return renewed;
+  public boolean lastRoundSucceeded() {
+    return lastRoundSucceeded;
   }
 
   /** Records that a round of claims is being sent; answers to earlier rounds no longer count. */
   public void roundSent(long nowMillis) {
     roundSentMillis = nowMillis;
-    renewed = false;
+    lastRoundSucceeded = false;
     grantedBy.clear();
     int rounds = term.rights(nowMillis).held() ? RENEWALS_PER_TERM : CLAIMS_PER_TERM;
     nextClaimMillis = nowMillis + durationMillis / rounds;
   }
 
   /** Records that {@code host} granted the claim of the round sent at {@code sentMillis}. */
-  public void granted(String host, long sentMillis, long nowMillis) {
+  public void claimGranted(String host, long sentMillis, long nowMillis) {
     if (sentMillis != roundSentMillis) {
       return;
     }
     grantedBy.add(host);
-    former.removeIf(quorum -> nowMillis >= quorum.untilMillis);
-    if (isMajority(granters) && former.stream().allMatch(quorum -> isMajority(quorum.hosts))) {
-      renewed = true;
-      term.accepted(sentMillis, nowMillis);
+    formerElectorates.removeIf(quorum -> nowMillis >= quorum.expiresMillis);
+    if (isMajority(updateGranters) && formerElectorates.stream().allMatch(quorum -> isMajority(quorum.hosts))) {
+      lastRoundSucceeded = true;
+      term.claimAccepted(sentMillis, nowMillis);
     }
   }
 
@@ -112,9 +112,9 @@
   }
 
   @Override
-  public void giveUp() {
+  public void release() {
     term.end();
-    renewed = false;
+    lastRoundSucceeded = false;
     roundSentMillis = Long.MIN_VALUE;
     nextClaimMillis = Long.MIN_VALUE;
   }
@@ -124,5 +124,5 @@
     return !hosts.isEmpty() && 2 * count > hosts.size();
   }
 
-  private record Quorum(Set<String> hosts, long untilMillis) {}
+  private record Electorate(Set<String> hosts, long expiresMillis) {}
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/authority/RenewalRound.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/authority/RenewalRound.java
@@ -20,7 +20,7 @@
    * Part of the electorate that is asked. A majority of all is 0.5; with 0.65 a round succeeds
    * while 23% of those asked do not answer, which is the loss of a failure domain out of five.
    */
-  private static final double ASKED_PART = 0.65;
+  private static final double SELECTED_FRACTION = 0.65;
 
   private RenewalRound() {}
 
@@ -31,9 +31,9 @@
    * @param electorate how many hosts a majority is counted of, the holder itself included
    * @param round the number of the round; each begins where the one before ended
    */
-  public static <T> List<T> asked(List<T> reachable, int electorate, long round) {
+  public static <T> List<T> selectHosts(List<T> reachable, int electorate, long round) {
     checkArgument(electorate > 0, "electorate must be above 0, was %s", electorate);
-    int count = (int) Math.ceil(electorate * ASKED_PART);
+    int count = (int) Math.ceil(electorate * SELECTED_FRACTION);
     if (count >= reachable.size()) {
       return reachable;
     }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/authority/Term.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/authority/Term.java
@@ -6,25 +6,25 @@
   private final long durationMillis;
   private long number;
   private long expiresMillis = Long.MIN_VALUE;
-  private long soleSinceMillis = Long.MAX_VALUE / 2;
+  private long exclusiveSinceMillis = Long.MAX_VALUE / 2;
 
   Term(long durationMillis) {
     this.durationMillis = durationMillis;
   }
 
   /** Records that a claim sent at {@code sentMillis} was accepted. */
-  void accepted(long sentMillis, long nowMillis) {
+  void claimAccepted(long sentMillis, long nowMillis) {
     if (!held(nowMillis)) {
       number++;
       // The previous holder's last renewal was accepted before this claim was, at the latest now.
-      soleSinceMillis = nowMillis + durationMillis;
+      exclusiveSinceMillis = nowMillis + durationMillis;
     }
     expiresMillis = Math.max(expiresMillis, sentMillis + durationMillis);
   }
 
   void end() {
     expiresMillis = Long.MIN_VALUE;
-    soleSinceMillis = Long.MAX_VALUE / 2;
+    exclusiveSinceMillis = Long.MAX_VALUE / 2;
   }
 
   boolean held(long nowMillis) {
@@ -32,6 +32,6 @@
   }
 
   Rights rights(long nowMillis) {
-    return held(nowMillis) ? new Rights(true, number, soleSinceMillis) : Rights.NONE;
+    return held(nowMillis) ? new Rights(true, number, exclusiveSinceMillis) : Rights.NONE;
   }
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/config/AcceptedRecords.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/config/AcceptedRecords.java
@@ -14,7 +14,7 @@
 import java.util.Optional;
 import java.util.TreeMap;
 import org.jspecify.annotations.Nullable;
-import org.sequoiahub.core.record.ParsedRecord;
+import org.sequoiahub.core.record.RecordParseResult;
 import org.sequoiahub.core.record.PlatformRecord;
 import org.sequoiahub.core.record.RecordParser;
 import org.sequoiahub.core.record.RecordProblem;
@@ -33,15 +33,15 @@
   private static final byte[] NO_VALUE = new byte[0];
 
   /** Number of buckets that a digest is made of. */
-  public static final int BUCKETS = 256;
+  public static final int BUCKET_COUNT = 256;
 
   private final RecordParser parser;
-  private final Keep keep;
+  private final Retention retention;
   private final Map<String, Entry> accepted = new TreeMap<>();
   private final Map<String, RefusedRecord> refused = new HashMap<>();
-  private final long[] buckets = new long[BUCKETS];
+  private final long[] bucketHashes = new long[BUCKET_COUNT];
   private long highestRevision;
-  private long live;
+  private long liveCount;
 
   /**
    * Creates an empty set.
@@ -49,13 +49,13 @@
    * @param parser reads values
    * @param keep what is kept of each record
    */
-  public AcceptedRecords(RecordParser parser, Keep keep) {
+  public AcceptedRecords(RecordParser parser, Retention keep) {
     this.parser = requireNonNull(parser, "parser must not be null");
-    this.keep = requireNonNull(keep, "keep must not be null");
+    this.retention = requireNonNull(keep, "keep must not be null");
   }
 
   /** What is kept of each record; keeping both would double the memory of the largest state. */
-  public enum Keep {
+  public enum Retention {
     /** The stored value, to pass on; {@link #record} finds nothing. */
     VALUES,
     /** The parsed record, to use; stored records are empty. */
@@ -63,22 +63,22 @@
   }
 
   /** Offers one record, from the service or from a peer. */
-  public Offered offer(StoredRecord record) {
+  public OfferResult offer(StoredRecord record) {
     requireNonNull(record, "record must not be null");
     Entry current = accepted.get(record.key());
     if (current != null && current.stored.revision() >= record.revision()) {
-      return new Offered.Older();
+      return new OfferResult.NotNewer();
     }
     if (record.deleted()) {
       accept(record, current, Optional.empty());
-      return new Offered.Accepted();
+      return new OfferResult.Accepted();
     }
     return parser
         .parse(record.key(), record.value())
         .fold(
             valid -> {
               accept(record, current, Optional.of(valid.record()));
-              return new Offered.Accepted();
+              return new OfferResult.Accepted();
             },
             invalid -> refuse(record, invalid));
   }
@@ -101,7 +101,7 @@
 
   /** Returns how many records are in force, tombstones not counted. */
   public long size() {
-    return live;
+    return liveCount;
   }
 
   /** Returns the highest revision in force. */
@@ -116,17 +116,17 @@
 
   /** Returns one hash a bucket over the keys and revisions in force. */
   public long[] digest() {
-    return buckets.clone();
+    return bucketHashes.clone();
   }
 
   /** Returns the keys and revisions held in the buckets whose hash differs from {@code theirs}. */
-  public Map<String, Long> heldWhereDifferent(long[] theirs) {
+  public Map<String, Long> revisionsInDifferingBuckets(long[] theirs) {
     Map<String, Long> held = new TreeMap<>();
-    if (Arrays.equals(buckets, theirs)) {
+    if (Arrays.equals(bucketHashes, theirs)) {
       return held;
     }
     for (Entry entry : accepted.values()) {
-      if (buckets[entry.bucket] != theirs[entry.bucket]) {
+      if (bucketHashes[entry.bucket] != theirs[entry.bucket]) {
         held.put(entry.stored.key(), entry.stored.revision());
       }
     }
@@ -134,7 +134,7 @@
   }
 
   /** Returns the keys in {@code theirs} that are held here in no or an older revision. */
-  public List<String> missing(Map<String, Long> theirs) {
+  public List<String> missingOrOutdatedKeys(Map<String, Long> theirs) {
     List<String> keys = new ArrayList<>();
     theirs.forEach(
         (key, revision) -> {
@@ -152,7 +152,7 @@
    * <p>A listing read at a revision below a record's own says nothing about that record: an older
    * replica of the service lists what was there before it. Such records stay in force.
    */
-  public List<StoredRecord> deletedBy(Collection<String> listedKeys, long listRevision) {
+  public List<StoredRecord> tombstonesForUnlisted(Collection<String> listedKeys, long listRevision) {
     List<StoredRecord> gone = new ArrayList<>();
     for (Entry entry : accepted.values()) {
       StoredRecord mine = entry.stored;
@@ -168,13 +168,13 @@
       StoredRecord record, @Nullable Entry previous, Optional<PlatformRecord> parsed) {
     int bucket = previous == null ? bucketOf(record.key()) : previous.bucket;
     if (previous != null) {
-      buckets[bucket] ^= hash(previous.stored);
+      bucketHashes[bucket] ^= hash(previous.stored);
     }
-    buckets[bucket] ^= hash(record);
-    live += (record.deleted() ? 0 : 1) - (previous == null || previous.stored.deleted() ? 0 : 1);
+    bucketHashes[bucket] ^= hash(record);
+    liveCount += (record.deleted() ? 0 : 1) - (previous == null || previous.stored.deleted() ? 0 : 1);
     accepted.put(
         record.key(),
-        keep == Keep.VALUES
+        retention == Retention.VALUES
             ? new Entry(record, null, bucket)
             : new Entry(withoutValue(record), parsed.orElse(null), bucket));
     highestRevision = Math.max(highestRevision, record.revision());
@@ -184,18 +184,18 @@
     }
   }
 
-  private Offered refuse(StoredRecord record, ParsedRecord.Invalid invalid) {
+  private OfferResult refuse(StoredRecord record, RecordParseResult.Invalid invalid) {
     RefusedRecord earlier = refused.get(record.key());
     if (earlier == null || earlier.revision() < record.revision()) {
       refused.put(
           record.key(), new RefusedRecord(record.key(), record.revision(), invalid.problems()));
     }
-    return new Offered.Refused(invalid.problems());
+    return new OfferResult.Refused(invalid.problems());
   }
 
   private static int bucketOf(String key) {
     return Hashing.murmur3_32_fixed().hashString(key, StandardCharsets.UTF_8).asInt()
-        & (BUCKETS - 1);
+        & (BUCKET_COUNT - 1);
   }
 
   private static long hash(StoredRecord record) {
--- a/sequoia-core/src/main/java/org/sequoiahub/core/config/Offered.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/config/OfferResult.java
@@ -4,18 +4,18 @@
 import org.sequoiahub.core.record.RecordProblem;
 
 /** What became of an offered record. */
-public sealed interface Offered {
+public sealed interface OfferResult {
 
   /** The record is now the one in force. */
-  record Accepted() implements Offered {}
+  record Accepted() implements OfferResult {}
 
   /** The same or a newer revision is in force already; nothing changed. */
-  record Older() implements Offered {}
+  record NotNewer() implements OfferResult {}
 
   /**
    * The record cannot be accepted; the accepted one, if any, stays in force.
    *
    * @param problems why, never empty
    */
-  record Refused(List<RecordProblem> problems) implements Offered {}
+  record Refused(List<RecordProblem> problems) implements OfferResult {}
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/fleet/FleetJson.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/fleet/FleetJson.java
@@ -35,36 +35,36 @@
       throw new IllegalArgumentException("the host list must be JSON: " + e.getMessage(), e);
     }
     return new Fleet(
-        Item.at(root, "host list").number("revision"),
+        JsonItem.at(root, "host list").number("revision"),
         items(root, "hosts", FleetJson::host, Host::id),
         items(root, "runners", FleetJson::runner, Runner::id),
         items(root, "upstreams", FleetJson::upstream, ServiceUpstream::id));
   }
 
-  private static Host host(Item item) {
+  private static Host host(JsonItem item) {
     return new Host(
         item.text("id"),
         item.text("address"),
         item.text("failure_domain"),
         item.state(),
-        item.positive("entry_port"),
-        item.positive("dispatcher_port"),
-        item.positive("watcher_port"));
+        item.positiveInt("entry_port"),
+        item.positiveInt("dispatcher_port"),
+        item.positiveInt("watcher_port"));
   }
 
-  private static Runner runner(Item item) {
+  private static Runner runner(JsonItem item) {
     return new Runner(
         item.text("id"),
         item.text("address"),
         item.text("failure_domain"),
         item.state(),
         item.text("base_model"),
-        item.positive("slots"),
-        item.positive("batch"),
-        item.flag("checks_fencing"));
+        item.positiveInt("slots"),
+        item.positiveInt("batch"),
+        item.bool("checks_fencing"));
   }
 
-  private static ServiceUpstream upstream(Item item) {
+  private static ServiceUpstream upstream(JsonItem item) {
     return new ServiceUpstream(
         item.text("id"),
         item.text("service"),
@@ -74,11 +74,11 @@
   }
 
   private static <T> List<T> items(
-      JsonNode root, String field, Function<Item, T> read, Function<T, String> id) {
+      JsonNode root, String field, Function<JsonItem, T> read, Function<T, String> id) {
     List<T> items = new ArrayList<>();
     Set<String> ids = new HashSet<>();
     for (JsonNode node : root.path(field)) {
-      T item = read.apply(Item.at(node, field + "[" + items.size() + "]"));
+      T item = read.apply(JsonItem.at(node, field + "[" + items.size() + "]"));
       if (!ids.add(id.apply(item))) {
         throw new IllegalArgumentException(field + ": id '" + id.apply(item) + "' is listed twice");
       }
@@ -87,37 +87,37 @@
     return items;
   }
 
-  private record Item(JsonNode node, String path) {
-    static Item at(JsonNode node, String path) {
-      return new Item(node, path);
+  private record JsonItem(JsonNode node, String path) {
+    static JsonItem at(JsonNode node, String path) {
+      return new JsonItem(node, path);
     }
 
     String text(String field) {
       @Nullable String text = node.path(field).textValue();
       if (text == null || text.isEmpty()) {
-        throw wrong(field, "must be a text");
+        throw invalid(field, "must be a text");
       }
       return text;
     }
 
     long number(String field) {
       if (!node.path(field).isIntegralNumber()) {
-        throw wrong(field, "must be a whole number");
+        throw invalid(field, "must be a whole number");
       }
       return node.path(field).longValue();
     }
 
-    int positive(String field) {
+    int positiveInt(String field) {
       long value = number(field);
       if (value < 1 || value > 1_000_000) {
-        throw wrong(field, "must be from 1 to 1000000");
+        throw invalid(field, "must be from 1 to 1000000");
       }
       return (int) value;
     }
 
-    boolean flag(String field) {
+    boolean bool(String field) {
       if (!node.path(field).isBoolean()) {
-        throw wrong(field, "must be true or false");
+        throw invalid(field, "must be true or false");
       }
       return node.path(field).booleanValue();
     }
@@ -127,11 +127,11 @@
       try {
         return State.valueOf(text.toUpperCase(Locale.ROOT));
       } catch (IllegalArgumentException e) {
-        throw wrong("state", "must be live or leaving");
+        throw invalid("state", "must be live or leaving");
       }
     }
 
-    private IllegalArgumentException wrong(String field, String rule) {
+    private IllegalArgumentException invalid(String field, String rule) {
       return new IllegalArgumentException(path + "." + field + " " + rule);
     }
   }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/operation/Begin.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/operation/BeginDecision.java
@@ -7,17 +7,17 @@
  *
  * @param <A> the type of a kept answer
  */
-public sealed interface Begin<A> {
+public sealed interface BeginDecision<A> {
 
   /** Run it now: it has not run, and no other call will be told to run it. */
-  record Run<A>() implements Begin<A> {}
+  record Run<A>() implements BeginDecision<A> {}
 
   /** It is running: wait for the answer of the first call. */
-  record Wait<A>() implements Begin<A> {}
+  record Wait<A>() implements BeginDecision<A> {}
 
   /** It has run: repeat this answer. */
-  record Repeat<A>(A answer) implements Begin<A> {}
+  record Replay<A>(A answer) implements BeginDecision<A> {}
 
   /** It must not run; the verdict says what is known of it. */
-  record Refuse<A>(Verdict verdict) implements Begin<A> {}
+  record Refuse<A>(Verdict verdict) implements BeginDecision<A> {}
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/operation/OperationId.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/operation/OperationId.java
@@ -15,7 +15,7 @@
  */
 public record OperationId(String host, long incarnation, long sequence) {
 
-  private static final Pattern FORM =
+  private static final Pattern ID_PATTERN =
       Pattern.compile("op1:([A-Za-z0-9][A-Za-z0-9._-]{0,127}):([0-9a-f]{16}):([1-9][0-9]{0,17})");
 
   /** Checks the arguments. */
@@ -26,7 +26,7 @@
 
   /** Reads an id; empty if {@code text} is not of the form that {@link #toString} writes. */
   public static Optional<OperationId> parse(String text) {
-    Matcher matcher = FORM.matcher(text);
+    Matcher matcher = ID_PATTERN.matcher(text);
     if (!matcher.matches()) {
       return Optional.empty();
     }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/operation/OperationTable.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/operation/OperationTable.java
@@ -26,16 +26,16 @@
  */
 public final class OperationTable<A> {
 
-  private static final long RETRY_AFTER_FULL_MILLIS = 1_000;
+  private static final long FULL_TABLE_RETRY_AFTER_MILLIS = 1_000;
 
   private final String host;
   private final long incarnation;
   private final long lifetimeMillis;
-  private final int limit;
+  private final int maxOperations;
   private final Map<Long, Entry<A>> entries = new HashMap<>();
-  private final Deque<Minted> minted = new ArrayDeque<>();
+  private final Deque<MintedBatch> mintedBatches = new ArrayDeque<>();
   private long lastSequence;
-  private long expiredThrough;
+  private long lastExpiredSequence;
 
   /**
    * Creates an empty table.
@@ -51,7 +51,7 @@
     this.host = requireNonNull(host, "host must not be null");
     this.incarnation = incarnation;
     this.lifetimeMillis = lifetimeMillis;
-    this.limit = limit;
+    this.maxOperations = limit;
   }
 
   /** Mints ids that this incarnation will run at most once each. */
@@ -62,12 +62,12 @@
     for (int i = 0; i < count; i++) {
       ids.add(new OperationId(host, incarnation, ++lastSequence));
     }
-    minted.add(new Minted(lastSequence, nowMillis + lifetimeMillis));
+    mintedBatches.add(new MintedBatch(lastSequence, nowMillis + lifetimeMillis));
     return ids;
   }
 
   /** Says what to do with a call that carries {@code id}; on {@code Run} it is taken as begun. */
-  public Begin<A> begin(OperationId id, long nowMillis) {
+  public BeginDecision<A> begin(OperationId id, long nowMillis) {
     expire(nowMillis);
     if (!id.host().equals(host) || id.incarnation() != incarnation) {
       return mayHaveRun(
@@ -79,24 +79,24 @@
     Entry<A> known = entries.get(id.sequence());
     if (known != null) {
       return known.answer != null
-          ? new Begin.Repeat<>(known.answer)
+          ? new BeginDecision.Replay<>(known.answer)
           : known.ended
               ? mayHaveRun("answer-lost", "the operation's outcome is not known")
-              : new Begin.Wait<>();
+              : new BeginDecision.Wait<>();
     }
-    if (id.sequence() <= expiredThrough) {
+    if (id.sequence() <= lastExpiredSequence) {
       return mayHaveRun("operation-expired", "this operation id has expired");
     }
-    if (entries.size() >= limit) {
+    if (entries.size() >= maxOperations) {
       return refuseNotRun(
-          "operations-full", "too many operations are remembered", RETRY_AFTER_FULL_MILLIS);
+          "operations-full", "too many operations are remembered", FULL_TABLE_RETRY_AFTER_MILLIS);
     }
     entries.put(id.sequence(), new Entry<>());
-    return new Begin.Run<>();
+    return new BeginDecision.Run<>();
   }
 
   /** Records that a begun operation ran and answered; repeats get {@code answer}. */
-  public void answered(OperationId id, A answer) {
+  public void completed(OperationId id, A answer) {
     Entry<A> entry = entries.get(id.sequence());
     if (entry != null) {
       entry.answer = requireNonNull(answer, "answer must not be null");
@@ -105,7 +105,7 @@
   }
 
   /** Records that nobody can tell whether a begun operation ran; it will not be run again. */
-  public void unknown(OperationId id) {
+  public void outcomeUnknown(OperationId id) {
     Entry<A> entry = entries.get(id.sequence());
     if (entry != null) {
       entry.ended = true;
@@ -128,31 +128,31 @@
   }
 
   private void expire(long nowMillis) {
-    while (!minted.isEmpty() && minted.getFirst().expiresMillis <= nowMillis) {
-      long through = minted.removeFirst().throughSequence;
-      for (long sequence = expiredThrough + 1; sequence <= through; sequence++) {
-        forgetUnlessRunning(sequence);
+    while (!mintedBatches.isEmpty() && mintedBatches.getFirst().expiresMillis <= nowMillis) {
+      long through = mintedBatches.removeFirst().lastSequence;
+      for (long sequence = lastExpiredSequence + 1; sequence <= through; sequence++) {
+        removeUnlessRunning(sequence);
       }
-      expiredThrough = through;
+      lastExpiredSequence = through;
     }
   }
 
-  private void forgetUnlessRunning(long sequence) {
+  private void removeUnlessRunning(long sequence) {
     Entry<A> entry = entries.get(sequence);
     if (entry != null && entry.ended) {
       entries.remove(sequence);
     }
   }
 
-  private Begin<A> refuseNotRun(String reason, String message, long retryAfterMillis) {
-    return new Begin.Refuse<>(new Verdict.NotRun(reason, message, retryAfterMillis));
+  private BeginDecision<A> refuseNotRun(String reason, String message, long retryAfterMillis) {
+    return new BeginDecision.Refuse<>(new Verdict.NotRun(reason, message, retryAfterMillis));
   }
 
-  private Begin<A> mayHaveRun(String reason, String message) {
-    return new Begin.Refuse<>(new Verdict.MayHaveRun(reason, message));
+  private BeginDecision<A> mayHaveRun(String reason, String message) {
+    return new BeginDecision.Refuse<>(new Verdict.MayHaveRun(reason, message));
   }
 
-  private record Minted(long throughSequence, long expiresMillis) {}
+  private record MintedBatch(long lastSequence, long expiresMillis) {}
 
   private static final class Entry<A> {
     private @Nullable A answer;
--- a/sequoia-core/src/main/java/org/sequoiahub/core/record/AdapterVersion.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/record/AdapterVersion.java
@@ -12,8 +12,8 @@
 
   /** Checks the arguments. */
   public AdapterVersion {
-    checkArgument(Names.isName(adapter), "adapter must be a name, was '%s'", adapter);
-    checkArgument(Names.isName(version), "version must be a name, was '%s'", version);
+    checkArgument(Names.isValid(adapter), "adapter must be a name, was '%s'", adapter);
+    checkArgument(Names.isValid(version), "version must be a name, was '%s'", version);
   }
 
   /** Returns the name by which engines are asked for this version. */
--- a/sequoia-core/src/main/java/org/sequoiahub/core/record/DefaultRecordParser.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/record/DefaultRecordParser.java
@@ -46,7 +46,7 @@
           .enable(StreamReadFeature.STRICT_DUPLICATE_DETECTION)
           .enable(DeserializationFeature.FAIL_ON_TRAILING_TOKENS)
           .build();
-  private final Map<String, Map<Integer, KindReader>> readers =
+  private final Map<String, Map<Integer, SchemaReader>> readers =
       Map.of(
           "adapters",
               Map.of(
@@ -55,10 +55,10 @@
           "teams", Map.of(1, DefaultRecordParser::team, 2, DefaultRecordParser::team));
 
   @Override
-  public ParsedRecord parse(String key, byte[] value) {
+  public RecordParseResult parse(String key, byte[] value) {
     int slash = key.indexOf('/');
     if (slash < 0 || !readers.containsKey(key.substring(0, slash))) {
-      return invalid(key, "", "key must start with one of " + kinds());
+      return invalid(key, "", "key must start with one of " + keyPrefixes());
     }
     if (value.length > MAX_VALUE_BYTES) {
       return invalid(key, "", "value must be at most " + MAX_VALUE_BYTES + " bytes");
@@ -77,8 +77,8 @@
     return parseObject(key, key.substring(0, slash), key.substring(slash + 1), object);
   }
 
-  private ParsedRecord parseObject(String key, String kind, String nameInKey, JsonNode object) {
-    Map<Integer, KindReader> schemas = readers.getOrDefault(kind, Map.of());
+  private RecordParseResult parseObject(String key, String kind, String nameInKey, JsonNode object) {
+    Map<Integer, SchemaReader> schemas = readers.getOrDefault(kind, Map.of());
     JsonNode schema = object.get("schema");
     if (schema == null || !schema.isInt() || !schemas.containsKey(schema.intValue())) {
       List<Integer> known = schemas.keySet().stream().sorted().toList();
@@ -87,15 +87,15 @@
     FieldReader fields = new FieldReader(key, object);
     PlatformRecord record = schemas.get(schema.intValue()).read(fields);
     if (!record.name().isEmpty() && !record.name().equals(nameInKey)) {
-      fields.problem(
+      fields.addProblem(
           "", "the name '" + record.name() + "' must equal the key's '" + nameInKey + "'");
     }
     return fields.problems().isEmpty()
-        ? new ParsedRecord.Valid(record, schema.intValue())
-        : new ParsedRecord.Invalid(fields.problems());
+        ? new RecordParseResult.Valid(record, schema.intValue())
+        : new RecordParseResult.Invalid(fields.problems());
   }
 
-  private List<String> kinds() {
+  private List<String> keyPrefixes() {
     return readers.keySet().stream().sorted().map(kind -> kind + "/").toList();
   }
 
@@ -138,16 +138,16 @@
       String version = item.name("version");
       int weight = item.integer("weight", 1, 0, MAX_WEIGHT);
       if (!seen.add(version)) {
-        item.problem("version", "is named twice: '" + version + "'");
+        item.addProblem("version", "is named twice: '" + version + "'");
       }
       sum += weight;
       shares.add(new TrafficShare(version, weight));
     }
     if (!shares.isEmpty() && sum == 0) {
-      fields.problem("versions", "at least one weight must be above 0");
+      fields.addProblem("versions", "at least one weight must be above 0");
     }
     if (shares.size() > MAX_VERSIONS) {
-      fields.problem("versions", "must be at most " + MAX_VERSIONS);
+      fields.addProblem("versions", "must be at most " + MAX_VERSIONS);
     }
     return shares;
   }
@@ -155,7 +155,7 @@
   private static PlatformRecord service(FieldReader fields) {
     return new Service(
         fields.name("name"),
-        fields.texts("idempotent_methods", List.of("GET", "HEAD"), METHODS),
+        fields.strings("idempotent_methods", List.of("GET", "HEAD"), METHODS),
         fields.integer("timeout_ms", DEFAULT_TIMEOUT_MILLIS, 1, MAX_TIMEOUT_MILLIS));
   }
 
@@ -163,13 +163,13 @@
     return new Team(fields.name("name"), fields.integer("share", 1, 1, MAX_SHARE));
   }
 
-  private static ParsedRecord invalid(String key, String field, String reason) {
-    return new ParsedRecord.Invalid(List.of(new RecordProblem(key, field, reason)));
+  private static RecordParseResult invalid(String key, String field, String reason) {
+    return new RecordParseResult.Invalid(List.of(new RecordProblem(key, field, reason)));
   }
 
   /** Reads the fields of one kind of record in one schema. */
   @FunctionalInterface
-  private interface KindReader {
+  private interface SchemaReader {
     PlatformRecord read(FieldReader fields);
   }
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/record/FieldReader.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/record/FieldReader.java
@@ -28,7 +28,7 @@
     return problems;
   }
 
-  void problem(String field, String reason) {
+  void addProblem(String field, String reason) {
     problems.add(new RecordProblem(key, path + field, reason));
   }
 
@@ -36,15 +36,15 @@
   String name(String field) {
     JsonNode node = object.get(field);
     if (node == null) {
-      problem(field, "is missing");
+      addProblem(field, "is missing");
       return "";
     }
-    return checkedName(field, node);
+    return validName(field, node);
   }
 
   String name(String field, String absent) {
     JsonNode node = object.get(field);
-    return node == null ? absent : checkedName(field, node);
+    return node == null ? absent : validName(field, node);
   }
 
   int integer(String field, int absent, int min, int max) {
@@ -53,11 +53,11 @@
       return absent;
     }
     if (!node.canConvertToInt() || !node.isIntegralNumber()) {
-      problem(field, "must be a whole number from " + min + " to " + max);
+      addProblem(field, "must be a whole number from " + min + " to " + max);
       return absent;
     }
     if (node.intValue() < min || node.intValue() > max) {
-      problem(field, "must be from " + min + " to " + max + ", was " + node.intValue());
+      addProblem(field, "must be from " + min + " to " + max + ", was " + node.intValue());
       return absent;
     }
     return node.intValue();
@@ -69,7 +69,7 @@
       return absent;
     }
     if (!node.isTextual() || !allowed.contains(node.textValue())) {
-      problem(field, "must be one of " + allowed + ", was " + node);
+      addProblem(field, "must be one of " + allowed + ", was " + node);
       return absent;
     }
     return node.textValue();
@@ -79,7 +79,7 @@
   List<FieldReader> objects(String field) {
     JsonNode node = object.get(field);
     if (node == null || !node.isArray() || node.isEmpty()) {
-      problem(field, "must be an array of at least one object");
+      addProblem(field, "must be an array of at least one object");
       return List.of();
     }
     List<FieldReader> readers = new ArrayList<>();
@@ -94,13 +94,13 @@
     return readers;
   }
 
-  List<String> texts(String field, List<String> absent, List<String> allowed) {
+  List<String> strings(String field, List<String> absent, List<String> allowed) {
     JsonNode node = object.get(field);
     if (node == null) {
       return absent;
     }
     if (!node.isArray()) {
-      problem(field, "must be an array of texts");
+      addProblem(field, "must be an array of texts");
       return absent;
     }
     List<String> texts = new ArrayList<>();
@@ -108,16 +108,16 @@
       if (item.isTextual() && allowed.contains(item.textValue())) {
         texts.add(item.textValue());
       } else {
-        problem(field, "may hold only " + allowed + ", was " + item);
+        addProblem(field, "may hold only " + allowed + ", was " + item);
       }
     }
     return texts;
   }
 
-  private String checkedName(String field, JsonNode node) {
+  private String validName(String field, JsonNode node) {
     @Nullable String text = node.textValue();
-    if (text == null || !Names.isName(text)) {
-      problem(field, "must be a name (" + Names.FORM + "), was " + node);
+    if (text == null || !Names.isValid(text)) {
+      addProblem(field, "must be a name (" + Names.FORMAT + "), was " + node);
       return "";
     }
     return text;
--- a/sequoia-core/src/main/java/org/sequoiahub/core/record/Names.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/record/Names.java
@@ -6,7 +6,7 @@
 public final class Names {
 
   /** The form of a name, as error messages show it. */
-  public static final String FORM =
+  public static final String FORMAT =
       "1 to 128 of A-Z a-z 0-9 . _ -, starting with a letter or digit";
 
   private static final Pattern NAME = Pattern.compile("[A-Za-z0-9][A-Za-z0-9._-]{0,127}");
@@ -14,7 +14,7 @@
   private Names() {}
 
   /** Returns whether {@code text} is a valid name. */
-  public static boolean isName(String text) {
+  public static boolean isValid(String text) {
     return NAME.matcher(text).matches();
   }
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/record/ParsedRecord.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/record/RecordParseResult.java
@@ -4,7 +4,7 @@
 import java.util.function.Function;
 
 /** What became of a record's value. */
-public sealed interface ParsedRecord {
+public sealed interface RecordParseResult {
 
   /**
    * The value is valid.
@@ -12,14 +12,14 @@
    * @param record the typed record
    * @param schema the schema version that the value carries
    */
-  record Valid(PlatformRecord record, int schema) implements ParsedRecord {}
+  record Valid(PlatformRecord record, int schema) implements RecordParseResult {}
 
   /**
    * The value is not valid.
    *
    * @param problems every problem found, never empty
    */
-  record Invalid(List<RecordProblem> problems) implements ParsedRecord {
+  record Invalid(List<RecordProblem> problems) implements RecordParseResult {
     /** Copies the list. */
     public Invalid {
       problems = List.copyOf(problems);
--- a/sequoia-core/src/main/java/org/sequoiahub/core/record/RecordParser.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/record/RecordParser.java
@@ -19,5 +19,5 @@
    * @param value UTF-8 JSON, at most a megabyte
    * @return the typed record, or every problem found
    */
-  ParsedRecord parse(String key, byte[] value);
+  RecordParseResult parse(String key, byte[] value);
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/route/ActivePool.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/route/ActivePool.java
@@ -24,9 +24,9 @@
   /** Places in batches for each request in flight: entries' estimates of the load vary. */
   private static final double HEADROOM = 1.3;
 
-  private final double leastShare;
-  private double load;
-  private long loadMillis;
+  private final double minActiveShare;
+  private double smoothedInFlight;
+  private long smoothedAtMillis;
 
   /**
    * Creates the chooser of one pool.
@@ -36,7 +36,7 @@
    */
   public ActivePool(double leastShare) {
     checkArgument(leastShare > 0 && leastShare <= 1, "leastShare must be above 0 to 1");
-    this.leastShare = leastShare;
+    this.minActiveShare = leastShare;
   }
 
   /**
@@ -46,16 +46,16 @@
    * @param pool its runners that may be given new work
    * @param inFlight the estimated requests in flight in the whole pool
    */
-  public List<Runner> active(String baseModel, List<Runner> pool, double inFlight, long nowMillis) {
-    if (leastShare == 1 || pool.isEmpty()) {
+  public List<Runner> select(String baseModel, List<Runner> pool, double inFlight, long nowMillis) {
+    if (minActiveShare == 1 || pool.isEmpty()) {
       return pool;
     }
-    double decay = Math.pow(0.5, (nowMillis - loadMillis) / SHRINK_HALF_LIFE_MILLIS);
-    load = Math.max(inFlight, inFlight + (load - inFlight) * decay);
-    loadMillis = nowMillis;
+    double decay = Math.pow(0.5, (nowMillis - smoothedAtMillis) / SHRINK_HALF_LIFE_MILLIS);
+    smoothedInFlight = Math.max(inFlight, inFlight + (smoothedInFlight - inFlight) * decay);
+    smoothedAtMillis = nowMillis;
     int batch = pool.get(0).batch();
-    int forLoad = (int) Math.ceil(load * HEADROOM / batch);
-    int least = (int) Math.ceil(pool.size() * leastShare);
+    int forLoad = (int) Math.ceil(smoothedInFlight * HEADROOM / batch);
+    int least = (int) Math.ceil(pool.size() * minActiveShare);
     int count = Math.min(pool.size(), Math.max(least, forLoad));
     return Rendezvous.spread(
         baseModel, pool, count, Runner::id, Runner::failureDomain, runner -> 1);
--- a/sequoia-core/src/main/java/org/sequoiahub/core/route/ModelResolver.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/route/ModelResolver.java
@@ -24,7 +24,7 @@
   public static Resolution resolve(String model, AcceptedRecords records, double draw) {
     int at = model.indexOf('@');
     String name = at < 0 ? model : model.substring(0, at);
-    if (!Names.isName(name) || (at >= 0 && !Names.isName(model.substring(at + 1)))) {
+    if (!Names.isValid(name) || (at >= 0 && !Names.isValid(model.substring(at + 1)))) {
       return unknown("bad-model", "model must be adapter or adapter@version");
     }
     String key = "adapters/" + name;
@@ -33,7 +33,7 @@
       return unknown("unknown-adapter", "no adapter '" + name + "' is configured");
     }
     Adapter adapter = found.get();
-    String version = at < 0 ? drawn(adapter, draw) : model.substring(at + 1);
+    String version = at < 0 ? chooseVersion(adapter, draw) : model.substring(at + 1);
     if (!adapter.hasVersion(version)) {
       return unknown("unknown-version", "adapter '" + name + "' has no version '" + version + "'");
     }
@@ -41,7 +41,7 @@
     return new Resolution.Resolved(new AdapterVersion(name, version), adapter, revision);
   }
 
-  private static String drawn(Adapter adapter, double draw) {
+  private static String chooseVersion(Adapter adapter, double draw) {
     long sum = adapter.traffic().stream().mapToLong(TrafficShare::weight).sum();
     double left = draw * sum;
     for (TrafficShare share : adapter.traffic()) {
--- a/sequoia-core/src/main/java/org/sequoiahub/core/route/RouteSettings.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/route/RouteSettings.java
@@ -3,14 +3,14 @@
 /**
  * The weights by which a runner is chosen.
  *
- * @param candidates how many candidates are compared
+ * @param candidateCount how many candidates are compared
  * @param loadCostMillis what sending a request to a runner that lacks its adapter costs
- * @param leastShare the least share of a pool that is used; 1 spreads work over all of it
- * @param fillWeight how strongly a runner that is already busy, but not full, is preferred; 0
+ * @param minActiveShare the least share of a pool that is used; 1 spreads work over all of it
+ * @param batchFillWeight how strongly a runner that is already busy, but not full, is preferred; 0
  *     prefers the emptiest
  */
 public record RouteSettings(
-    int candidates, double loadCostMillis, double fillWeight, double leastShare) {
+    int candidateCount, double loadCostMillis, double batchFillWeight, double minActiveShare) {
 
   /** Load stalls weigh most: a load is expensive. */
   public static RouteSettings ashcombe() {
--- a/sequoia-core/src/main/java/org/sequoiahub/core/route/RunnerChooser.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/route/RunnerChooser.java
@@ -48,7 +48,7 @@
     for (int i = 0; i < left.size(); i++) {
       Runner runner = left.get(i);
       boolean free = hints.isResident(runner.id(), adapter, nowMillis) || (!anyResident && i == 0);
-      double cost = startCost(runner, hints, nowMillis) + (free ? 0 : settings.loadCostMillis());
+      double cost = startCostMillis(runner, hints, nowMillis) + (free ? 0 : settings.loadCostMillis());
       if (cost < bestCost) {
         best = runner;
         bestCost = cost;
@@ -57,10 +57,10 @@
     return Optional.ofNullable(best);
   }
 
-  private double startCost(Runner runner, RunnerHints hints, long nowMillis) {
+  private double startCostMillis(Runner runner, RunnerHints hints, long nowMillis) {
     double fill = (double) hints.inFlight(runner.id()) / runner.batch();
     double crowding = fill > 1 ? (fill - 1) * FULL_BATCH_MILLIS * 2 : 0;
-    double preference = settings.fillWeight() > 0 ? 1 - Math.min(1, fill) : fill;
-    return hints.waitMillis(runner.id(), nowMillis) + crowding + preference;
+    double preference = settings.batchFillWeight() > 0 ? 1 - Math.min(1, fill) : fill;
+    return hints.expectedWaitMillis(runner.id(), nowMillis) + crowding + preference;
   }
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/route/RunnerHints.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/route/RunnerHints.java
@@ -16,35 +16,35 @@
  */
 public final class RunnerHints {
 
-  private static final int MAX_PAIRS = 20_000;
-  private static final long RESIDENT_MILLIS = 15_000;
-  private static final double HALF_LIFE_MILLIS = 500;
+  private static final int MAX_RESIDENCY_HINTS = 20_000;
+  private static final long RESIDENCY_HINT_TTL_MILLIS = 15_000;
+  private static final double WAIT_HALF_LIFE_MILLIS = 500;
 
-  private final Map<String, Wait> waits = new HashMap<>();
+  private final Map<String, ObservedWait> waits = new HashMap<>();
   private final Map<String, Integer> inFlight = new HashMap<>();
-  private final Cache<Pair, Long> residentSince =
-      CacheBuilder.newBuilder().maximumSize(MAX_PAIRS).build();
+  private final Cache<RunnerAdapter, Long> residencySeenMillis =
+      CacheBuilder.newBuilder().maximumSize(MAX_RESIDENCY_HINTS).build();
 
   /** Takes in what a runner's owner said of a request for {@code adapter}. */
-  public void heard(
+  public void update(
       String runner, AdapterVersion adapter, long waitMillis, boolean isResident, long nowMillis) {
-    Pair pair = new Pair(runner, adapter);
+    RunnerAdapter pair = new RunnerAdapter(runner, adapter);
     if (isResident) {
-      residentSince.put(pair, nowMillis);
-      waits.put(runner, new Wait(waitMillis, nowMillis));
+      residencySeenMillis.put(pair, nowMillis);
+      waits.put(runner, new ObservedWait(waitMillis, nowMillis));
     } else {
       // The wait for a load says nothing about adapters that are loaded there, so it is not kept.
-      residentSince.invalidate(pair);
+      residencySeenMillis.invalidate(pair);
     }
   }
 
   /** Counts a request that is being sent to a runner. */
-  public void sent(String runner) {
+  public void requestSent(String runner) {
     inFlight.merge(runner, 1, Integer::sum);
   }
 
   /** Counts a request that ended. */
-  public void ended(String runner) {
+  public void requestEnded(String runner) {
     inFlight.computeIfPresent(runner, (r, count) -> count > 1 ? count - 1 : null);
   }
 
@@ -59,11 +59,11 @@
   }
 
   /** Returns the last wait of loaded adapters heard of, decayed by its age, in milliseconds. */
-  public double waitMillis(String runner, long nowMillis) {
-    Wait wait = waits.get(runner);
+  public double expectedWaitMillis(String runner, long nowMillis) {
+    ObservedWait wait = waits.get(runner);
     return wait == null
         ? 0
-        : wait.millis * Math.pow(0.5, (nowMillis - wait.atMillis) / HALF_LIFE_MILLIS);
+        : wait.millis * Math.pow(0.5, (nowMillis - wait.observedAtMillis) / WAIT_HALF_LIFE_MILLIS);
   }
 
   /**
@@ -73,11 +73,11 @@
    * it, while other entries send it to its first candidate, and it is loaded twice.
    */
   public boolean isResident(String runner, AdapterVersion adapter, long nowMillis) {
-    Long since = residentSince.getIfPresent(new Pair(runner, adapter));
-    return since != null && nowMillis - since < RESIDENT_MILLIS;
+    Long since = residencySeenMillis.getIfPresent(new RunnerAdapter(runner, adapter));
+    return since != null && nowMillis - since < RESIDENCY_HINT_TTL_MILLIS;
   }
 
-  private record Wait(double millis, long atMillis) {}
+  private record ObservedWait(double millis, long observedAtMillis) {}
 
-  private record Pair(String runner, AdapterVersion adapter) {}
+  private record RunnerAdapter(String runner, AdapterVersion adapter) {}
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/runner/RunnerController.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/runner/RunnerController.java
@@ -536,7 +536,7 @@
    * owner sent just before its authority ended may be on its way for the order lifetime.
    */
   private long nothingArrivesSince(Rights rights) {
-    return rights.soleSinceMillis() + policy.orderLifetimeMillis();
+    return rights.exclusiveSinceMillis() + policy.orderLifetimeMillis();
   }
 
   private void usedNow(AdapterVersion adapter, long nowMillis) {
--- a/sequoia-core/src/test/java/org/sequoiahub/core/authority/AuthorityTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/authority/AuthorityTest.java
@@ -23,7 +23,7 @@
      * <p>Cause guarded against: counting authority from the answer's arrival, not from the sending.
      */
     @Test
-    void lateAnswerDoesNotLengthenAuthority() {
+    void lateResponseDoesNotExtendAuthority() {
       authority.claimSent(0);
       authority.claimAccepted(authority.fencingNumber(), 0, 900);
       assertThat(authority.rights(999).held()).isTrue();
@@ -33,19 +33,19 @@
     }
 
     @Test
-    void refusalOfAnOlderNumberSaysNothing() {
+    void refusalOfOlderNumberIsIgnored() {
       long old = authority.fencingNumber();
-      authority.giveUp();
+      authority.release();
       authority.claimAccepted(authority.fencingNumber(), 0, 1);
-      authority.refused(old, Long.MAX_VALUE >> 1, 2);
+      authority.fencingNumberRefused(old, Long.MAX_VALUE >> 1, 2);
       assertThat(authority.rights(3).held()).isTrue();
     }
 
     @Test
-    void twoHoldersNeverChooseTheSameNumber() {
+    void holdersNeverChooseTheSameNumber() {
       FencedAuthority other = new FencedAuthority(TERM, 8);
       assertThat(authority.fencingNumber()).isNotEqualTo(other.fencingNumber());
-      other.refused(other.fencingNumber(), authority.fencingNumber(), 0);
+      other.fencingNumberRefused(other.fencingNumber(), authority.fencingNumber(), 0);
       assertThat(other.fencingNumber()).isGreaterThan(authority.fencingNumber());
     }
   }
@@ -56,20 +56,20 @@
     private final LeasedAuthority authority = new LeasedAuthority(TERM);
 
     @Test
-    void needsMajorityOfTheFormerHostsWhileTheChangeIsYoung() {
-      authority.granters(Set.of("a", "b", "c"), 0);
-      authority.granters(Set.of("a", "x", "y"), 10);
+    void requiresMajorityOfFormerHostsAfterRecentChange() {
+      authority.updateGranters(Set.of("a", "b", "c"), 0);
+      authority.updateGranters(Set.of("a", "x", "y"), 10);
       authority.roundSent(20);
-      authority.granted("x", 20, 21);
-      authority.granted("y", 20, 21);
+      authority.claimGranted("x", 20, 21);
+      authority.claimGranted("y", 20, 21);
       assertThat(authority.rights(22).held()).isFalse();
-      authority.granted("a", 20, 22);
-      authority.granted("b", 20, 22);
+      authority.claimGranted("a", 20, 22);
+      authority.claimGranted("b", 20, 22);
       assertThat(authority.rights(23).held()).isTrue();
     }
 
     @Test
-    void restartedGranterAbstainsUntilWhatItForgotHasExpired() {
+    void restartedGranterAbstainsUntilEarlierLeasesHaveExpired() {
       LeaseGranter granter = new LeaseGranter(500, TERM);
       assertThat(granter.grant("r", "b", TERM, 1_499)).isFalse();
       assertThat(granter.grant("r", "b", TERM, 1_500)).isTrue();
--- a/sequoia-core/src/test/java/org/sequoiahub/core/authority/LeaseGranterTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/authority/LeaseGranterTest.java
@@ -20,7 +20,7 @@
   private final LeaseGranter granter = new LeaseGranter(0, LEASE);
 
   @Test
-  void tellsFirstHolder() {
+  void reportsOnlyHolder() {
     assertThat(granter.grantedOnlyTo("r", "a")).isTrue();
     assertThat(granter.grant("r", "a", LEASE, 2_000)).isTrue();
     assertThat(granter.grantedOnlyTo("r", "a")).isTrue();
@@ -28,7 +28,7 @@
   }
 
   @Test
-  void remembersAnEarlierHolderThatDied() {
+  void remembersEarlierHolderThatDied() {
     granter.grant("r", "a", LEASE, 2_000);
     assertThat(granter.grant("r", "b", LEASE, 2_000 + LEASE)).isTrue();
     assertThat(granter.grantedOnlyTo("r", "b")).isFalse();
@@ -36,7 +36,7 @@
   }
 
   @Test
-  void remembersAnEarlierHolderThatGaveUp() {
+  void remembersEarlierHolderThatReleasedItsLease() {
     granter.grant("r", "a", LEASE, 2_000);
     granter.release("r", "a");
     assertThat(granter.grant("r", "b", LEASE, 2_100)).isTrue();
@@ -44,9 +44,9 @@
   }
 
   @Test
-  void forgetsRunnersThatAreGone() {
+  void forgetsRemovedRunners() {
     granter.grant("r", "a", LEASE, 2_000);
-    granter.retain(Set.of("other"));
+    granter.retainRunners(Set.of("other"));
     assertThat(granter.grantedOnlyTo("r", "b")).isTrue();
   }
 }
--- a/sequoia-core/src/test/java/org/sequoiahub/core/authority/RenewalRoundTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/authority/RenewalRoundTest.java
@@ -22,11 +22,11 @@
   }
 
   @Property(tries = 300)
-  void isMoreThanMajorityAndEachHostOnce(
+  void selectsMajorityWithoutDuplicates(
       @ForAll @IntRange(max = 300) int reachable,
       @ForAll @IntRange(min = 1, max = 300) int electorate,
       @ForAll @IntRange(max = 1_000_000) int round) {
-    List<Integer> asked = RenewalRound.asked(hosts(reachable), electorate, round);
+    List<Integer> asked = RenewalRound.selectHosts(hosts(reachable), electorate, round);
     assertThat(new HashSet<>(asked)).hasSize(asked.size());
     if (asked.size() < reachable) {
       assertThat(2 * asked.size()).isGreaterThan(electorate);
@@ -34,10 +34,10 @@
   }
 
   @Test
-  void asksAllHostsInTurn() {
+  void successiveRoundsCoverAllHosts() {
     Set<Integer> seen = new HashSet<>();
     for (int round = 0; round < 3; round++) {
-      seen.addAll(RenewalRound.asked(hosts(94), 95, round));
+      seen.addAll(RenewalRound.selectHosts(hosts(94), 95, round));
     }
     assertThat(seen).hasSize(94);
   }
@@ -51,11 +51,11 @@
    * <p>Cause looked for: a renewal that asks few hosts, without asking all once it has failed.
    */
   @Property(tries = 60)
-  void keepsTheLeaseThroughLossAndDeadHosts(@ForAll long seed) {
+  void keepsLeaseDespitePacketLossAndDeadHosts(@ForAll long seed) {
     Random random = new Random(seed);
     int count = 95;
     LeasedAuthority authority = new LeasedAuthority(LEASE_MILLIS);
-    authority.granters(Set.copyOf(names(hosts(count))), 0);
+    authority.updateGranters(Set.copyOf(names(hosts(count))), 0);
     long round = 0;
     long begun = -1;
     for (long now = 0; now < 20_000; now += 10) {
@@ -63,14 +63,14 @@
       if (authority.claimDue(now)) {
         List<Integer> reachable = hosts(count);
         List<Integer> asked =
-            authority.renewedByLastRound()
-                ? RenewalRound.asked(reachable, count, round++)
+            authority.lastRoundSucceeded()
+                ? RenewalRound.selectHosts(reachable, count, round++)
                 : reachable;
         authority.roundSent(now);
         for (int host : asked) {
           boolean dead = fifthIsDead && host % 5 == 0;
           if (!dead && random.nextDouble() > 0.04) {
-            authority.granted("h" + host, now, now + ROUND_TRIP_MILLIS);
+            authority.claimGranted("h" + host, now, now + ROUND_TRIP_MILLIS);
           }
         }
       }
--- a/sequoia-core/src/test/java/org/sequoiahub/core/config/WatchersActions.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/config/WatchersActions.java
@@ -42,7 +42,7 @@
 
   /** Ends the faults and checks what must hold then. */
   public static void finish(Object world) {
-    ((Watchers) world).spreadAndCompare();
+    ((Watchers) world).convergeAndCompare();
   }
 
   private static Action<Watchers> event(String label, int max, ObjIntConsumer<Watchers> happen) {
@@ -64,13 +64,13 @@
   static final class Watchers {
     private static final int COUNT = 3;
     private final List<AcceptedRecords> watchers = new ArrayList<>();
-    private final List<Map<String, Long>> seen = new ArrayList<>();
+    private final List<Map<String, Long>> highestSeen = new ArrayList<>();
     private final List<Map<String, StoredRecord>> replicas = new ArrayList<>();
 
     Watchers() {
       for (int i = 0; i < COUNT; i++) {
-        watchers.add(new AcceptedRecords(new DefaultRecordParser(), AcceptedRecords.Keep.VALUES));
-        seen.add(new HashMap<>());
+        watchers.add(new AcceptedRecords(new DefaultRecordParser(), AcceptedRecords.Retention.VALUES));
+        highestSeen.add(new HashMap<>());
       }
       replicas.add(Map.of());
     }
@@ -109,7 +109,7 @@
                 .filter(r -> !r.deleted())
                 .map(StoredRecord::key)
                 .collect(Collectors.toSet());
-        target.deletedBy(listed, at).forEach(target::offer);
+        target.tombstonesForUnlisted(listed, at).forEach(target::offer);
       }
       check();
     }
@@ -117,20 +117,20 @@
     void exchange(int n) {
       int from = n % COUNT;
       int to = (from + 1 + n / COUNT) % COUNT;
-      Map<String, Long> held = watchers.get(from).heldWhereDifferent(watchers.get(to).digest());
-      for (String key : watchers.get(to).missing(held)) {
+      Map<String, Long> held = watchers.get(from).revisionsInDifferingBuckets(watchers.get(to).digest());
+      for (String key : watchers.get(to).missingOrOutdatedKeys(held)) {
         watchers.get(from).stored(key).ifPresent(watchers.get(to)::offer);
       }
       check();
     }
 
     void restart(int n) {
-      watchers.set(n, new AcceptedRecords(new DefaultRecordParser(), AcceptedRecords.Keep.VALUES));
-      seen.get(n).clear();
+      watchers.set(n, new AcceptedRecords(new DefaultRecordParser(), AcceptedRecords.Retention.VALUES));
+      highestSeen.get(n).clear();
     }
 
     /** After the exchanges that a few seconds allow, every watcher holds what any of them held. */
-    void spreadAndCompare() {
+    void convergeAndCompare() {
       Map<String, Long> best = new TreeMap<>();
       each(w -> w.all().forEach(r -> best.merge(r.key(), r.revision(), Math::max)));
       for (int round = 0; round < 2; round++) {
@@ -153,13 +153,13 @@
     private void check() {
       for (int i = 0; i < COUNT; i++) {
         for (StoredRecord record : watchers.get(i).all()) {
-          long before = seen.get(i).getOrDefault(record.key(), 0L);
+          long before = highestSeen.get(i).getOrDefault(record.key(), 0L);
           assertWithMessage("watcher %s went back on %s", i, record.key())
               .that(record.revision())
               .isAtLeast(before);
-          seen.get(i).put(record.key(), record.revision());
+          highestSeen.get(i).put(record.key(), record.revision());
         }
-        for (String key : seen.get(i).keySet()) {
+        for (String key : highestSeen.get(i).keySet()) {
           assertWithMessage("watcher %s forgot %s", i, key)
               .that(watchers.get(i).stored(key).isPresent())
               .isTrue();
--- a/sequoia-core/src/test/java/org/sequoiahub/core/config/WatchersPropertiesTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/config/WatchersPropertiesTest.java
@@ -19,9 +19,9 @@
 class WatchersPropertiesTest {
 
   @Property(tries = 2_000, seed = "20261204")
-  void acceptedRecordsNeverRevertAndSpread(
+  void acceptedRecordsNeverRevertAndConverge(
       @ForAll("chains") ActionChain<WatchersActions.Watchers> chain) {
-    chain.run().spreadAndCompare();
+    chain.run().convergeAndCompare();
   }
 
   @Provide
--- a/sequoia-core/src/test/java/org/sequoiahub/core/operation/OperationsActions.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/operation/OperationsActions.java
@@ -25,34 +25,34 @@
 
   /** Returns chains of events. */
   public static ActionChainArbitrary<?> chains() {
-    return ActionChain.startWith(Fleet::new)
-        .withAction(3, event("mint", 1, Fleet::mint))
-        .withAction(8, event("call", 200, Fleet::call))
-        .withAction(4, event("runPending", 20, Fleet::runPending))
-        .withAction(4, event("answer", 20, Fleet::answer))
-        .withAction(2, event("loseAnswer", 20, Fleet::loseAnswer))
-        .withAction(2, event("refusedBeforeSent", 20, Fleet::refusedBeforeSent))
-        .withAction(1, event("restart", 1, Fleet::restart))
+    return ActionChain.startWith(Simulation::new)
+        .withAction(3, event("mint", 1, Simulation::mint))
+        .withAction(8, event("call", 200, Simulation::call))
+        .withAction(4, event("runPending", 20, Simulation::runPending))
+        .withAction(4, event("answer", 20, Simulation::answer))
+        .withAction(2, event("loseAnswer", 20, Simulation::loseAnswer))
+        .withAction(2, event("refusedBeforeSent", 20, Simulation::refusedBeforeSent))
+        .withAction(1, event("restart", 1, Simulation::restart))
         .withAction(2, event("pass", 900, (f, n) -> f.now += n))
         .withMaxTransformations(100);
   }
 
-  private static Action<Fleet> event(String label, int max, ObjIntConsumer<Fleet> happen) {
+  private static Action<Simulation> event(String label, int max, ObjIntConsumer<Simulation> happen) {
     return new Event(
         Arbitraries.integers()
             .between(0, max)
             .map(n -> Transformer.mutate(label + "(" + n + ")", f -> happen.accept(f, n))));
   }
 
-  private record Event(Arbitrary<Transformer<Fleet>> events) implements Action.Independent<Fleet> {
+  private record Event(Arbitrary<Transformer<Simulation>> events) implements Action.Independent<Simulation> {
     @Override
-    public Arbitrary<Transformer<Fleet>> transformer() {
+    public Arbitrary<Transformer<Simulation>> transformer() {
       return events;
     }
   }
 
   /** Two dispatchers, the upstream that counts, and calls that are decided but not yet sent. */
-  static final class Fleet {
+  static final class Simulation {
     private static final int LIMIT = 6;
     private static final long LIFETIME = 1_000;
     private final List<OperationTable<String>> tables = new ArrayList<>();
@@ -64,7 +64,7 @@
     private long incarnations;
     private long now;
 
-    Fleet() {
+    Simulation() {
       tables.add(table(0));
       tables.add(table(1));
     }
@@ -80,15 +80,15 @@
       }
       OperationId id = minted.get(n % minted.size());
       OperationTable<String> table = tables.get(n / 100 % 2);
-      Begin<String> begin = table.begin(id, now);
-      if (begin instanceof Begin.Run<String>) {
+      BeginDecision<String> begin = table.begin(id, now);
+      if (begin instanceof BeginDecision.Run<String>) {
         pending.add(new Decided(table, id));
-      } else if (begin instanceof Begin.Refuse<String> refuse
+      } else if (begin instanceof BeginDecision.Refuse<String> refuse
           && refuse.verdict() instanceof Verdict.NotRun) {
         assertWithMessage("told not-run although it ran: %s", id)
             .that(runs.getOrDefault(id, 0))
             .isEqualTo(0);
-      } else if (begin instanceof Begin.Repeat<String> repeat) {
+      } else if (begin instanceof BeginDecision.Replay<String> repeat) {
         assertWithMessage("another operation's answer").that(repeat.answer()).isEqualTo("" + id);
       }
     }
@@ -108,13 +108,13 @@
       take(sent, n)
           .ifPresent(
               decided -> {
-                decided.table.answered(decided.id, "" + decided.id);
+                decided.table.completed(decided.id, "" + decided.id);
                 answered.add(decided.id);
               });
     }
 
     void loseAnswer(int n) {
-      take(sent, n).ifPresent(decided -> decided.table.unknown(decided.id));
+      take(sent, n).ifPresent(decided -> decided.table.outcomeUnknown(decided.id));
     }
 
     void refusedBeforeSent(int n) {
--- a/sequoia-core/src/test/java/org/sequoiahub/core/operation/OperationsPropertiesTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/operation/OperationsPropertiesTest.java
@@ -17,7 +17,7 @@
 class OperationsPropertiesTest {
 
   @Property(tries = 3_000, seed = "20261205")
-  void anOperationRunsAtMostOnce(@ForAll("chains") ActionChain<OperationsActions.Fleet> chain) {
+  void operationRunsAtMostOnce(@ForAll("chains") ActionChain<OperationsActions.Simulation> chain) {
     chain.run();
   }
 
--- a/sequoia-core/src/test/java/org/sequoiahub/core/record/DefaultRecordParserTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/record/DefaultRecordParserTest.java
@@ -13,8 +13,8 @@
   private final DefaultRecordParser parser = new DefaultRecordParser();
 
   private Adapter adapter(String json) {
-    ParsedRecord parsed = parser.parse("adapters/soot", json.getBytes(UTF_8));
-    return (Adapter) parsed.fold(ParsedRecord.Valid::record, invalid -> null);
+    RecordParseResult parsed = parser.parse("adapters/soot", json.getBytes(UTF_8));
+    return (Adapter) parsed.fold(RecordParseResult.Valid::record, invalid -> null);
   }
 
   private List<String> problems(String key, String json) {
@@ -34,7 +34,7 @@
     }
 
     @Test
-    void schema2SplitsTrafficAndKeepsWhatItDoesNotKnow() {
+    void schema2SplitsTrafficAndIgnoresUnknownFields() {
       Adapter soot =
           adapter(
               "{\"schema\":2,\"name\":\"soot\",\"base_model\":\"m1\",\"note\":\"kept\","
@@ -51,7 +51,7 @@
                   "{\"schema\":2,\"name\":\"soot\",\"base_model\":7,\"max_replicas\":0,"
                       + "\"versions\":[{\"version\":\"3\",\"weight\":-1},{\"weight\":1}]}"))
           .containsExactly(
-              "record=adapters/soot field=base_model: must be a name (" + Names.FORM + "), was 7",
+              "record=adapters/soot field=base_model: must be a name (" + Names.FORMAT + "), was 7",
               "record=adapters/soot field=max_replicas: must be from 1 to 10000, was 0",
               "record=adapters/soot field=versions[0].weight: must be from 0 to 1000000, was -1",
               "record=adapters/soot field=versions[1].version: is missing");
@@ -62,18 +62,18 @@
   class AnyRecord {
 
     @Test
-    void anUnknownSchemaIsRefusedByItsField() {
+    void unknownSchemaIsReportedForItsField() {
       assertThat(problems("adapters/soot", "{\"schema\":3}"))
           .containsExactly("record=adapters/soot field=schema: must be one of [1, 2], was 3");
     }
 
     @Test
-    void theNameMustEqualTheKeys() {
+    void nameMustMatchKey() {
       assertThat(problems("services/a", "{\"schema\":1,\"name\":\"b\"}")).hasSize(1);
     }
 
     @Test
-    void malformedJsonIsRefusedWhole() {
+    void malformedJsonIsReportedForTheWholeValue() {
       assertThat(problems("teams/a", "{\"schema\":1,").get(0)).contains("field=(whole)");
       assertThat(problems("teams/a", "{} {}").get(0)).contains("field=(whole)");
     }
--- a/sequoia-core/src/test/java/org/sequoiahub/core/runner/RunnerWorld.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/runner/RunnerWorld.java
@@ -300,7 +300,7 @@
     }
 
     void handOver() {
-      authority.giveUp();
+      authority.release();
       readReport();
       controller.refuseQueued("moved", "another dispatcher owns the runner", 1);
       settle();
@@ -389,7 +389,7 @@
           heard(
               () -> {
                 if (fencedOff[0] && authority instanceof FencedAuthority own) {
-                  own.refused(number, engine.highestFencing(), now);
+                  own.fencingNumberRefused(number, engine.highestFencing(), now);
                 }
                 answered(adapter, load, result[0]);
               }));
@@ -421,11 +421,11 @@
                   if (passed[0]) {
                     own.claimAccepted(number, sent, now);
                   } else {
-                    own.refused(number, highest[0], now);
+                    own.fencingNumberRefused(number, highest[0], now);
                   }
                 }));
       } else if (authority instanceof LeasedAuthority own) {
-        own.granters(Set.of("g0", "g1", "g2"), now);
+        own.updateGranters(Set.of("g0", "g1", "g2"), now);
         own.roundSent(now);
         for (int i = 0; i < GRANTERS; i++) {
           int granter = i;
@@ -436,7 +436,7 @@
               heard(
                   () -> {
                     if (granted[0]) {
-                      own.granted("g" + granter, sent, now);
+                      own.claimGranted("g" + granter, sent, now);
                     }
                   }));
         }
--- a/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/LeaseService.java
+++ b/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/LeaseService.java
@@ -59,12 +59,12 @@
 
   /** Sends one round of claims for a runner. */
   void claim(String runner, LeasedAuthority authority, long nowMillis) {
-    authority.granters(hostIds(), nowMillis);
+    authority.updateGranters(hostIds(), nowMillis);
     authority.roundSent(nowMillis);
-    for (String host : authority.toAsk(nowMillis)) {
+    for (String host : authority.hostsToAsk(nowMillis)) {
       if (host.equals(settings.getHostId())) {
         if (granter.grant(runner, holder, settings.getAuthorityMs(), nowMillis)) {
-          authority.granted(host, nowMillis, nowMillis);
+          authority.claimGranted(host, nowMillis, nowMillis);
         }
       } else {
         ask(runner, host, nowMillis);
--- a/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/OwnedRunnerController.java
+++ b/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/OwnedRunnerController.java
@@ -206,7 +206,7 @@
     if (runner != null
         && event.granted()
         && runner.authority() instanceof LeasedAuthority authority) {
-      authority.granted(event.host(), event.sentMillis(), nowMillis);
+      authority.claimGranted(event.host(), event.sentMillis(), nowMillis);
       noteAuthority(runner, nowMillis);
       settle(runner, nowMillis);
     }
@@ -373,7 +373,7 @@
       OwnedRunner runner, long number, EngineClient.OrderAnswer answer, long nowMillis) {
     if (answer.fenced() && runner.authority() instanceof FencedAuthority authority) {
       claimsRefused.inc();
-      authority.refused(number, answer.highestFencing(), nowMillis);
+      authority.fencingNumberRefused(number, answer.highestFencing(), nowMillis);
       boolean wasHeld = noteAuthority(runner, nowMillis) < 0;
       if (wasHeld && !isComputedOwner(runner.runner().id())) {
         runner.preempted(nowMillis, TERMS_LEFT_TO_OWNER * settings.getAuthorityMs());
@@ -459,7 +459,7 @@
   }
 
   private void giveUp(OwnedRunner runner) {
-    runner.authority().giveUp();
+    runner.authority().release();
     if (runner.authority() instanceof LeasedAuthority) {
       leases.release(runner.runner().id());
     }
--- a/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/ServiceForwarder.java
+++ b/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/ServiceForwarder.java
@@ -15,7 +15,7 @@
 import org.sequoiahub.core.fleet.Fleet;
 import org.sequoiahub.core.fleet.Fleet.ServiceUpstream;
 import org.sequoiahub.core.fleet.Fleet.State;
-import org.sequoiahub.core.operation.Begin;
+import org.sequoiahub.core.operation.BeginDecision;
 import org.sequoiahub.core.operation.OperationId;
 import org.sequoiahub.core.operation.OperationTable;
 import org.sequoiahub.core.verdict.Verdict;
@@ -124,7 +124,7 @@
             .setBody(ByteString.copyFrom(event.body()))
             .setRunner(job.upstream.id());
     if (job.operation != null) {
-      operations.answered(job.operation, outcome.build());
+      operations.completed(job.operation, outcome.build());
     }
     end(job, outcome);
   }
@@ -140,7 +140,7 @@
             : notRun("upstream-unreachable", event.why());
     if (job.operation != null && event.sent()) {
       unknown.inc();
-      operations.unknown(job.operation);
+      operations.outcomeUnknown(job.operation);
     } else if (job.operation != null) {
       operations.notRun(job.operation);
     }
@@ -158,14 +158,14 @@
   }
 
   private void begin(ServiceCall message, Waiter caller, OperationId id, long nowMillis) {
-    Begin<Outcome> begin = operations.begin(id, nowMillis);
-    if (begin instanceof Begin.Repeat<Outcome> repeat) {
+    BeginDecision<Outcome> begin = operations.begin(id, nowMillis);
+    if (begin instanceof BeginDecision.Replay<Outcome> repeat) {
       repeated.inc();
       caller.answer(repeat.answer().toBuilder());
-    } else if (begin instanceof Begin.Wait<Outcome>) {
+    } else if (begin instanceof BeginDecision.Wait<Outcome>) {
       repeated.inc();
       waiters.computeIfAbsent(id, i -> new ArrayList<>()).add(caller);
-    } else if (begin instanceof Begin.Refuse<Outcome> refuse) {
+    } else if (begin instanceof BeginDecision.Refuse<Outcome> refuse) {
       caller.answer(Outcomes.of(refuse.verdict()));
     } else if (stopping) {
       operations.notRun(id);
--- a/sequoia-entry/src/main/java/org/sequoiahub/entry/EntryHandler.java
+++ b/sequoia-entry/src/main/java/org/sequoiahub/entry/EntryHandler.java
@@ -100,7 +100,7 @@
   private void handleService(Request request, Reply reply, String rest) {
     int slash = rest.indexOf('/');
     String name = slash < 0 ? rest : rest.substring(0, slash);
-    if (!Names.isName(name)) {
+    if (!Names.isValid(name)) {
       reply.notRun(
           HttpStatus.NOT_FOUND_404,
           new NotRun("bad-service", "the path must be /services/NAME/...", 0));
--- a/sequoia-entry/src/main/java/org/sequoiahub/entry/InFlightRequests.java
+++ b/sequoia-entry/src/main/java/org/sequoiahub/entry/InFlightRequests.java
@@ -195,7 +195,7 @@
     // A limited adapter's requests all meet at one runner, where its limit is counted.
     boolean limited = flight.resolved().record().maxInFlight() > 0;
     int count =
-        limited ? 1 : Math.min(routing.candidates(), flight.resolved().record().maxReplicas());
+        limited ? 1 : Math.min(routing.candidateCount(), flight.resolved().record().maxReplicas());
     List<Runner> candidates =
         Placement.candidates(flight.adapter(), limited ? pool : active(flight, pool), count);
     Optional<Runner> chosen =
@@ -219,8 +219,8 @@
     String baseModel = flight.resolved().record().baseModel();
     double inFlight = (double) hints.inFlight(pool) * view.fleet().liveHosts().size();
     return activePools
-        .computeIfAbsent(baseModel, model -> new ActivePool(routing.leastShare()))
-        .active(baseModel, pool, inFlight, nowMillis);
+        .computeIfAbsent(baseModel, model -> new ActivePool(routing.minActiveShare()))
+        .select(baseModel, pool, inFlight, nowMillis);
   }
 
   /** Hands the run to a dispatcher: the runner's owner first, then those that may claim it. */
@@ -256,7 +256,7 @@
       message.setResumeAfter(flight.delivered());
     } else {
       message.setBody(ByteString.copyFrom(flight.engineBody()));
-      hints.sent(runner.id());
+      hints.requestSent(runner.id());
     }
     WireClient client = dispatchers.client(host.get());
     flight.calling(client, 0);
@@ -269,7 +269,7 @@
   }
 
   private void admitted(Flight flight, Admitted admitted) {
-    hints.heard(
+    hints.update(
         admitted.getRunner(),
         flight.adapter(),
         admitted.getExpectedWaitMs(),
@@ -281,9 +281,9 @@
     flight.endCall();
     Runner runner = flight.runner();
     if (runner != null) {
-      hints.ended(runner.id());
+      hints.requestEnded(runner.id());
       boolean resident = outcome.getComplete() || outcome.getResident();
-      hints.heard(runner.id(), flight.adapter(), outcome.getExpectedWaitMs(), resident, nowMillis);
+      hints.update(runner.id(), flight.adapter(), outcome.getExpectedWaitMs(), resident, nowMillis);
     }
     if (outcome.getComplete()) {
       complete(flight, outcome);
@@ -401,7 +401,7 @@
     askToCancel(flight);
     Runner runner = flight.runner();
     if (runner != null) {
-      hints.ended(runner.id());
+      hints.requestEnded(runner.id());
     }
     flight.endCall();
   }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/holder/HolderService.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/holder/HolderService.java
@@ -313,7 +313,7 @@
     boolean any = presentMillis.values().removeIf(at -> nowMillis - at > RETAIN_MILLIS);
     if (any) {
       seenMillis.keySet().retainAll(presentMillis.keySet());
-      granter.retain(presentMillis.keySet());
+      granter.retainRunners(presentMillis.keySet());
     }
   }
 
@@ -415,7 +415,7 @@
         } else {
           entry.neverElsewhere.remove(host);
         }
-        entry.authority.granted(host, grant.getClaimSentMs(), nowMillis);
+        entry.authority.claimGranted(host, grant.getClaimSentMs(), nowMillis);
       }
     }
   }
@@ -512,7 +512,7 @@
     Set<String> electorate = members.electorate(nowMillis);
     boolean due = false;
     for (Held entry : held.values()) {
-      entry.authority.granters(electorate, nowMillis);
+      entry.authority.updateGranters(electorate, nowMillis);
       due |= entry.authority.claimDue(nowMillis);
     }
     if (!due) {
@@ -528,7 +528,7 @@
     for (Held entry : held.values()) {
       entry.authority.roundSent(nowMillis);
       if (granter.grant(entry.runner.instance(), settings.host(), LEASE_MILLIS, nowMillis)) {
-        entry.authority.granted(settings.host(), nowMillis, nowMillis);
+        entry.authority.claimGranted(settings.host(), nowMillis, nowMillis);
       }
     }
   }
@@ -537,9 +537,9 @@
   private List<Member<HostState>> toClaimFrom(int electorate, long nowMillis) {
     List<Member<HostState>> reachable = members.reachable(nowMillis);
     boolean renewed =
-        held.values().stream().allMatch(entry -> entry.authority.renewedByLastRound());
+        held.values().stream().allMatch(entry -> entry.authority.lastRoundSucceeded());
     return shape.isLarge() && renewed
-        ? RenewalRound.asked(reachable, electorate, claimRound++)
+        ? RenewalRound.selectHosts(reachable, electorate, claimRound++)
         : reachable;
   }
 
--- a/sequoia-watcher/src/main/java/org/sequoiahub/watcher/WatcherDuty.java
+++ b/sequoia-watcher/src/main/java/org/sequoiahub/watcher/WatcherDuty.java
@@ -15,7 +15,7 @@
 import java.util.stream.Collectors;
 import org.jspecify.annotations.Nullable;
 import org.sequoiahub.core.config.AcceptedRecords;
-import org.sequoiahub.core.config.Offered;
+import org.sequoiahub.core.config.OfferResult;
 import org.sequoiahub.core.config.StoredRecord;
 import org.sequoiahub.core.fleet.Fleet;
 import org.sequoiahub.core.fleet.Fleet.Host;
@@ -52,7 +52,7 @@
   private final SplittableRandom random;
   private final EventLog log;
   private final AcceptedRecords records =
-      new AcceptedRecords(new DefaultRecordParser(), AcceptedRecords.Keep.VALUES);
+      new AcceptedRecords(new DefaultRecordParser(), AcceptedRecords.Retention.VALUES);
   private final Map<WireConnection, Subscriber> subscribers = new HashMap<>();
   private final Counter accepted;
   private final Counter refused;
@@ -139,7 +139,7 @@
     if (listing.complete()) {
       Set<String> listed =
           listing.records().stream().map(StoredRecord::key).collect(Collectors.toSet());
-      offered.addAll(records.deletedBy(listed, listing.revision()));
+      offered.addAll(records.tombstonesForUnlisted(listed, listing.revision()));
     }
     offerAll(offered, "service");
     heardAnySource = true;
@@ -149,8 +149,8 @@
   private void offerAll(List<StoredRecord> offered, String source) {
     List<StoredRecord> news = new ArrayList<>();
     for (StoredRecord record : offered) {
-      Offered result = records.offer(record);
-      if (result instanceof Offered.Accepted) {
+      OfferResult result = records.offer(record);
+      if (result instanceof OfferResult.Accepted) {
         accepted.inc();
         news.add(record);
         log.debug(
@@ -161,7 +161,7 @@
             record.revision(),
             "source",
             source);
-      } else if (result instanceof Offered.Refused refusal) {
+      } else if (result instanceof OfferResult.Refused refusal) {
         refused.inc();
         log.warning(
             "record-refused",
@@ -226,10 +226,10 @@
   private DigestAnswer compare(Digest digest) {
     long[] theirs = digest.getBucketsList().stream().mapToLong(Long::longValue).toArray();
     DigestAnswer.Builder answer = DigestAnswer.newBuilder().setHostsRevision(fleet.revision());
-    if (theirs.length != AcceptedRecords.BUCKETS) {
+    if (theirs.length != AcceptedRecords.BUCKET_COUNT) {
       return answer.build();
     }
-    Map<String, Long> held = records.heldWhereDifferent(theirs);
+    Map<String, Long> held = records.revisionsInDifferingBuckets(theirs);
     held.forEach(
         (key, revision) ->
             answer.addHeld(DigestAnswer.Held.newBuilder().setKey(key).setRevision(revision)));
@@ -253,7 +253,7 @@
             .collect(
                 Collectors.toMap(
                     DigestAnswer.Held::getKey, DigestAnswer.Held::getRevision, Math::max));
-    List<String> missing = records.missing(held);
+    List<String> missing = records.missingOrOutdatedKeys(held);
     boolean hosts = answer.getHostsRevision() > fleet.revision();
     if (missing.isEmpty() && !hosts) {
       heard(peer);
--- a/sequoia-wire/src/main/java/org/sequoiahub/wire/LocalView.java
+++ b/sequoia-wire/src/main/java/org/sequoiahub/wire/LocalView.java
@@ -20,7 +20,7 @@
 
   /** Creates an empty view. */
   public LocalView(RecordParser parser) {
-    this.records = new AcceptedRecords(parser, AcceptedRecords.Keep.PARSED);
+    this.records = new AcceptedRecords(parser, AcceptedRecords.Retention.PARSED);
   }
 
   /**
