--- a/sequoia-core/src/main/java/org/sequoiahub/core/authority/FencedAuthority.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/authority/FencedAuthority.java
@@ -3,16 +3,16 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * Authority over a runner whose engine checks fencing numbers: the engine itself is the arbiter.
+ * Authority over a runner whose engine checks fencing numbers and so arbitrates between holders.
  *
- * <p>A claim is a harmless order with a higher number. An accepted one makes the engine refuse
- * every order with a lower number; a refused one ends the authority at once and tells the number to
- * exceed.
+ * <p>A claim is an order without side effects that carries a higher number. Once the engine has
+ * accepted it, the engine refuses every order with a lower number. A refusal ends the authority
+ * immediately and reports the number to exceed.
  */
 public final class FencedAuthority implements Authority {
 
   private static final int RENEWALS_PER_TERM = 3;
-  private static final int TAG_BITS = 32;
+  private static final int HOLDER_TAG_BITS = 32;
 
   private final long durationMillis;
   private final Term term;
@@ -23,9 +23,9 @@
   /**
    * Creates an authority that is not held.
    *
-   * @param durationMillis how long authority lasts after the sending of an accepted renewal
-   * @param tag a number drawn at random by this holder; it makes the holder's fencing numbers its
-   *     own
+   * @param durationMillis how long authority lasts after an accepted renewal was sent
+   * @param tag a number that this holder drew at random; it keeps the holder's fencing numbers
+   *     distinct from those of other holders
    */
   public FencedAuthority(long durationMillis, int tag) {
     checkArgument(durationMillis > 0, "durationMillis must be above 0");
@@ -51,30 +51,34 @@
   }
 
   /**
-   * Records that the engine accepted the claim with {@code claimed}, sent at {@code sentMillis}.
+   * Records that the engine accepted the claim that carried {@code claimedNumber}.
+   *
+   * @param sentMillis when the claim was sent
    */
-  public void claimAccepted(long claimed, long sentMillis, long nowMillis) {
-    if (claimed == fencingNumber) {
+  public void claimAccepted(long claimedNumber, long sentMillis, long nowMillis) {
+    if (claimedNumber == fencingNumber) {
       term.claimAccepted(sentMillis, nowMillis);
     }
   }
 
   /**
-   * Records that the engine refused an order or claim that carried {@code refused}.
+   * Records that the engine refused an order or claim that carried {@code refusedNumber}.
    *
-   * <p>A refusal of an older number of this holder's own says nothing about the present one.
+   * <p>The refusal of an older number of this holder is ignored, because the current number may
+   * still be accepted.
    *
-   * @param highest the highest number that the engine has accepted
+   * @param highestAccepted the highest number that the engine has accepted
    */
-  public void fencingNumberRefused(long refused, long highest, long nowMillis) {
-    if (refused != fencingNumber) {
+  public void fencingNumberRefused(long refusedNumber, long highestAccepted, long nowMillis) {
+    if (refusedNumber != fencingNumber) {
       return;
     }
     boolean preempted = term.held(nowMillis);
     term.end();
-    fencingNumber = nextNumberAbove(Math.max(fencingNumber, highest));
-    // A new owner exceeds the number at once. One that was pre-empted waits a term first: otherwise
-    // two dispatchers with different host lists would take turns at the engine with every order.
+    fencingNumber = nextNumberAbove(Math.max(fencingNumber, highestAccepted));
+    // A dispatcher that did not hold authority claims with a higher number immediately, but a
+    // pre-empted holder waits for one term first. Otherwise, two dispatchers with different host
+    // lists would pre-empt each other with every order.
     nextClaimMillis = preempted ? nowMillis + durationMillis : nowMillis;
   }
 
@@ -91,13 +95,14 @@
   }
 
   /**
-   * Returns the next number of this holder above {@code other}.
+   * Returns the next number of this holder above {@code floor}.
    *
-   * <p>An engine accepts the highest number again and again, as its owner's renewals need it to.
-   * Were two dispatchers to choose the same number, both would hold authority at once, and one
-   * would evict under the other's request. So the low half of a number is the holder's own tag.
+   * <p>An engine accepts the highest number repeatedly, because renewals reuse it. If two
+   * dispatchers chose the same number, both would hold authority at once, and one could evict an
+   * adapter that a request of the other is using. The low half of a number is therefore the
+   * holder's own tag.
    */
-  private long nextNumberAbove(long other) {
-    return ((other >>> TAG_BITS) + 1) << TAG_BITS | holderTag;
+  private long nextNumberAbove(long floor) {
+    return ((floor >>> HOLDER_TAG_BITS) + 1) << HOLDER_TAG_BITS | holderTag;
   }
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/authority/LeaseGranter.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/authority/LeaseGranter.java
@@ -8,31 +8,36 @@
 import java.util.Set;
 
 /**
- * Grants soft leases on runners, from memory only.
+ * Grants leases on runners and keeps them in memory only.
  *
- * <p>A granter that was restarted has forgotten what it granted. It therefore grants nothing for
- * one lease duration: by then every lease that it may have forgotten has expired.
+ * <p>A restarted granter has no record of the leases that it granted before. It therefore grants
+ * nothing until the longest lease duration has passed, when all of those leases have expired.
  */
 public final class LeaseGranter {
 
   private final long abstainUntilMillis;
   private final Map<String, Grant> grants = new HashMap<>();
 
-  /** Runners whose lease has been held by more than one holder, or was given up by one. */
+  /** Runners whose lease has been granted to more than one holder or has been released. */
   private final Set<String> previouslyHeld = new HashSet<>();
 
   /**
    * Creates a granter.
    *
    * @param startedMillis when this process started
-   * @param longestMillis the longest lease that is ever granted
+   * @param longestMillis the longest duration for which a lease is granted
    */
   public LeaseGranter(long startedMillis, long longestMillis) {
     checkArgument(longestMillis > 0, "longestMillis must be above 0");
     this.abstainUntilMillis = startedMillis + longestMillis;
   }
 
-  /** Grants or renews {@code holder}'s lease on {@code runner}, unless another holds it. */
+  /**
+   * Grants or renews {@code holder}'s lease on {@code runner}.
+   *
+   * @return whether the lease was granted; false if another holder has it or the granter still
+   *     abstains after its start
+   */
   public boolean grant(String runner, String holder, long durationMillis, long nowMillis) {
     if (nowMillis < abstainUntilMillis) {
       return false;
@@ -49,15 +54,15 @@
   }
 
   /**
-   * Returns whether {@code holder} is the only one to whom this granter ever granted the runner's
-   * lease, since it started.
+   * Returns whether this granter has granted the runner's lease to nobody but {@code holder} since
+   * it started.
    */
   public boolean grantedOnlyTo(String runner, String holder) {
     Grant current = grants.get(runner);
     return !previouslyHeld.contains(runner) && (current == null || current.holder.equals(holder));
   }
 
-  /** Forgets runners that are gone. */
+  /** Removes the state of all runners that are not in {@code runners}. */
   public void retainRunners(Set<String> runners) {
     grants.keySet().retainAll(runners);
     previouslyHeld.retainAll(runners);
--- a/sequoia-core/src/main/java/org/sequoiahub/core/authority/LeasedAuthority.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/authority/LeasedAuthority.java
@@ -8,32 +8,34 @@
 import java.util.Set;
 
 /**
- * Authority over a runner whose engine does not check fencing numbers: a soft lease from a majority
- * of the hosts.
+ * Authority over a runner whose engine does not check fencing numbers, held as a lease from a
+ * majority of the hosts.
  *
- * <p>While a change of the host list is younger than the lease's duration, a majority of the hosts
- * before the change is needed as well, so that two holders that read the list at different moments
- * cannot both find a majority.
+ * <p>For one lease duration after a change of the host list, a majority of the previous hosts is
+ * required as well. Otherwise, two holders that read the list at different times could both obtain
+ * a majority.
  */
 public final class LeasedAuthority implements Authority {
 
   /**
-   * A holder whose round of renewals failed asks all hosts in the next one, at the end of the
-   * lease. Until then it may miss some milliseconds of the lease, but nobody else can have got it.
+   * Rounds of claims per lease duration while the lease is held. After a failed round, the holder
+   * asks all hosts in the next one, at the end of the lease. It may be without the lease for a few
+   * milliseconds by then, but no other holder can have obtained it.
    */
   private static final int RENEWALS_PER_TERM = 2;
 
   /**
-   * Claims in the time of a lease while it is not held. After a restart of all hosts the granters
-   * abstain until each has run for a lease's duration, so the first rounds fail; with three rounds
-   * in that time the holders were found 0.1 to 1.5 s after the last granter was willing.
+   * Rounds of claims per lease duration while the lease is not held. After a restart of all hosts,
+   * the granters abstain until each has run for a lease duration, so the first rounds fail. With
+   * three rounds per lease duration, holders obtained their leases only 0.1 to 1.5 s after the last
+   * granter had stopped abstaining.
    */
   private static final int CLAIMS_PER_TERM = 6;
 
   private final long durationMillis;
   private final Term term;
   private final List<Electorate> formerElectorates = new ArrayList<>();
-  private Set<String> updateGranters = Set.of();
+  private Set<String> granters = Set.of();
   private final Set<String> grantedBy = new HashSet<>();
   private long roundSentMillis;
   private long nextClaimMillis = Long.MIN_VALUE;
@@ -42,7 +44,7 @@
   /**
    * Creates an authority that is not held.
    *
-   * @param durationMillis how long authority lasts after the sending of an accepted renewal
+   * @param durationMillis how long authority lasts after an accepted renewal was sent
    */
   public LeasedAuthority(long durationMillis) {
     checkArgument(durationMillis > 0, "durationMillis must be above 0");
@@ -50,22 +52,22 @@
     this.term = new Term(durationMillis);
   }
 
-  /** Sets the hosts that may grant the lease. */
+  /** Replaces the hosts that may grant the lease; the previous ones count for a lease duration. */
   public void updateGranters(Set<String> hosts, long nowMillis) {
-    if (hosts.equals(updateGranters)) {
+    if (hosts.equals(granters)) {
       return;
     }
-    if (!updateGranters.isEmpty()) {
-      formerElectorates.add(new Electorate(updateGranters, nowMillis + durationMillis));
+    if (!granters.isEmpty()) {
+      formerElectorates.add(new Electorate(granters, nowMillis + durationMillis));
     }
-    updateGranters = Set.copyOf(hosts);
+    granters = Set.copyOf(hosts);
   }
 
-  /** Returns the hosts to ask for a grant, those of former lists included. */
+  /** Returns the hosts to ask for a grant, including those of former lists that still count. */
   public Set<String> hostsToAsk(long nowMillis) {
-    Set<String> hosts = new HashSet<>(updateGranters);
-    formerElectorates.removeIf(quorum -> nowMillis >= quorum.expiresMillis);
-    formerElectorates.forEach(quorum -> hosts.addAll(quorum.hosts));
+    Set<String> hosts = new HashSet<>(granters);
+    formerElectorates.removeIf(electorate -> nowMillis >= electorate.expiresMillis);
+    formerElectorates.forEach(electorate -> hosts.addAll(electorate.hosts));
     return hosts;
   }
 
@@ -79,12 +81,12 @@
     return nowMillis >= nextClaimMillis;
   }
 
-  /** Returns whether a majority granted the claim of the latest round. */
+  /** Returns whether the required majorities granted the claim of the latest round. */
   public boolean lastRoundSucceeded() {
     return lastRoundSucceeded;
   }
 
-  /** Records that a round of claims is being sent; answers to earlier rounds no longer count. */
+  /** Records that a round of claims is being sent; grants of earlier rounds no longer count. */
   public void roundSent(long nowMillis) {
     roundSentMillis = nowMillis;
     lastRoundSucceeded = false;
@@ -99,8 +101,9 @@
       return;
     }
     grantedBy.add(host);
-    formerElectorates.removeIf(quorum -> nowMillis >= quorum.expiresMillis);
-    if (isMajority(updateGranters) && formerElectorates.stream().allMatch(quorum -> isMajority(quorum.hosts))) {
+    formerElectorates.removeIf(electorate -> nowMillis >= electorate.expiresMillis);
+    if (isMajority(granters)
+        && formerElectorates.stream().allMatch(electorate -> isMajority(electorate.hosts))) {
       lastRoundSucceeded = true;
       term.claimAccepted(sentMillis, nowMillis);
     }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/authority/RenewalRound.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/authority/RenewalRound.java
@@ -6,42 +6,46 @@
 import java.util.List;
 
 /**
- * Which hosts a holder asks to renew its leases.
+ * Selects the hosts that a holder asks to renew its leases.
  *
- * <p>A lease needs a majority, and in a large fleet each host hears every holder: at 95 hosts with
- * 12 holders that renew three times a second, 36 claims and as many grants a second, three times as
- * many datagrams as all else that an idle host handles. So a renewal asks somewhat more than a
- * majority, others each time. Whoever asked too few (lost datagrams, hosts that died) notices when
- * the round after it is due, and asks all then, with most of the lease left.
+ * <p>A lease needs a majority of the hosts. If every holder asked all hosts, the load on each host
+ * would grow with the number of holders: at 95 hosts with 12 holders that renew three times a
+ * second, each host would receive 36 claims and send as many grants a second, which is three times
+ * as many datagrams as an idle host handles otherwise. A renewal therefore asks slightly more than
+ * a majority, and different hosts in each round. If too few of them respond (lost datagrams, dead
+ * hosts), the holder detects this when the next round is due and then asks all hosts, while most of
+ * the lease remains.
  */
 public final class RenewalRound {
 
   /**
-   * Part of the electorate that is asked. A majority of all is 0.5; with 0.65 a round succeeds
-   * while 23% of those asked do not answer, which is the loss of a failure domain out of five.
+   * Fraction of the electorate that is asked. A majority needs more than 0.5. With 0.65, a round
+   * succeeds even if 23% of the hosts asked do not respond, which covers the loss of one failure
+   * domain out of five.
    */
   private static final double SELECTED_FRACTION = 0.65;
 
   private RenewalRound() {}
 
   /**
-   * Returns the hosts to ask.
+   * Returns the hosts to ask in a round, or all reachable hosts if there are too few to choose
+   * from.
    *
-   * @param reachable hosts that may answer, in an order that seldom changes
-   * @param electorate how many hosts a majority is counted of, the holder itself included
-   * @param round the number of the round; each begins where the one before ended
+   * @param reachable hosts that are expected to respond, in an order that rarely changes
+   * @param electorateSize the number of hosts of which a majority is needed, including the holder
+   * @param round the number of the round; each round continues after the hosts of the previous one
    */
-  public static <T> List<T> selectHosts(List<T> reachable, int electorate, long round) {
-    checkArgument(electorate > 0, "electorate must be above 0, was %s", electorate);
-    int count = (int) Math.ceil(electorate * SELECTED_FRACTION);
+  public static <T> List<T> selectHosts(List<T> reachable, int electorateSize, long round) {
+    checkArgument(electorateSize > 0, "electorateSize must be above 0, was %s", electorateSize);
+    int count = (int) Math.ceil(electorateSize * SELECTED_FRACTION);
     if (count >= reachable.size()) {
       return reachable;
     }
-    List<T> asked = new ArrayList<>(count);
+    List<T> selected = new ArrayList<>(count);
     int first = (int) Math.floorMod(round * count, (long) reachable.size());
     for (int i = 0; i < count; i++) {
-      asked.add(reachable.get((first + i) % reachable.size()));
+      selected.add(reachable.get((first + i) % reachable.size()));
     }
-    return asked;
+    return selected;
   }
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/authority/Rights.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/authority/Rights.java
@@ -1,14 +1,16 @@
 package org.sequoiahub.core.authority;
 
 /**
- * What a dispatcher may do with a runner at one moment.
+ * The authority that a dispatcher holds over a runner at one moment.
  *
- * @param held whether authority is held: work may be started, adapters loaded and evicted
- * @param term counts how often authority was gained; it changes whenever another dispatcher may
- *     have used the runner in between
- * @param exclusiveSinceMillis since when no other dispatcher can have held authority; may lie ahead
+ * @param held whether authority is held, so that the dispatcher may start work and load or evict
+ *     adapters
+ * @param term the number of times that authority was acquired; a change means that another
+ *     dispatcher may have used the runner in between
+ * @param exclusiveSinceMillis the time from which no other dispatcher can hold authority; may be in
+ *     the future
  */
 public record Rights(boolean held, long term, long exclusiveSinceMillis) {
-  /** No authority. */
+  /** The state in which no authority is held. */
   public static final Rights NONE = new Rights(false, 0, Long.MAX_VALUE / 2);
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/authority/Term.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/authority/Term.java
@@ -1,6 +1,6 @@
 package org.sequoiahub.core.authority;
 
-/** One holder's authority in time, however it is granted. */
+/** Tracks when one holder's authority begins and expires, independent of how it is granted. */
 final class Term {
 
   private final long durationMillis;
@@ -16,7 +16,8 @@
   void claimAccepted(long sentMillis, long nowMillis) {
     if (!held(nowMillis)) {
       number++;
-      // The previous holder's last renewal was accepted before this claim was, at the latest now.
+      // The previous holder's last renewal was accepted before this claim, at the latest now, so
+      // its authority expires within one duration from now.
       exclusiveSinceMillis = nowMillis + durationMillis;
     }
     expiresMillis = Math.max(expiresMillis, sentMillis + durationMillis);
--- a/sequoia-core/src/main/java/org/sequoiahub/core/authority/package-info.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/authority/package-info.java
@@ -1,4 +1,4 @@
-/** The right to start work on, and to evict from, one runner. */
+/** Exclusive authority to start work on a runner and to evict adapters from it. */
 @NullMarked
 package org.sequoiahub.core.authority;
 
--- a/sequoia-core/src/main/java/org/sequoiahub/core/config/AcceptedRecords.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/config/AcceptedRecords.java
@@ -14,8 +14,8 @@
 import java.util.Optional;
 import java.util.TreeMap;
 import org.jspecify.annotations.Nullable;
-import org.sequoiahub.core.record.RecordParseResult;
 import org.sequoiahub.core.record.PlatformRecord;
+import org.sequoiahub.core.record.RecordParseResult;
 import org.sequoiahub.core.record.RecordParser;
 import org.sequoiahub.core.record.RecordProblem;
 
@@ -152,7 +152,8 @@
    * <p>A listing read at a revision below a record's own says nothing about that record: an older
    * replica of the service lists what was there before it. Such records stay in force.
    */
-  public List<StoredRecord> tombstonesForUnlisted(Collection<String> listedKeys, long listRevision) {
+  public List<StoredRecord> tombstonesForUnlisted(
+      Collection<String> listedKeys, long listRevision) {
     List<StoredRecord> gone = new ArrayList<>();
     for (Entry entry : accepted.values()) {
       StoredRecord mine = entry.stored;
@@ -171,7 +172,8 @@
       bucketHashes[bucket] ^= hash(previous.stored);
     }
     bucketHashes[bucket] ^= hash(record);
-    liveCount += (record.deleted() ? 0 : 1) - (previous == null || previous.stored.deleted() ? 0 : 1);
+    liveCount +=
+        (record.deleted() ? 0 : 1) - (previous == null || previous.stored.deleted() ? 0 : 1);
     accepted.put(
         record.key(),
         retention == Retention.VALUES
--- a/sequoia-core/src/main/java/org/sequoiahub/core/record/DefaultRecordParser.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/record/DefaultRecordParser.java
@@ -77,7 +77,8 @@
     return parseObject(key, key.substring(0, slash), key.substring(slash + 1), object);
   }
 
-  private RecordParseResult parseObject(String key, String kind, String nameInKey, JsonNode object) {
+  private RecordParseResult parseObject(
+      String key, String kind, String nameInKey, JsonNode object) {
     Map<Integer, SchemaReader> schemas = readers.getOrDefault(kind, Map.of());
     JsonNode schema = object.get("schema");
     if (schema == null || !schema.isInt() || !schemas.containsKey(schema.intValue())) {
--- a/sequoia-core/src/main/java/org/sequoiahub/core/route/RunnerChooser.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/route/RunnerChooser.java
@@ -48,7 +48,8 @@
     for (int i = 0; i < left.size(); i++) {
       Runner runner = left.get(i);
       boolean free = hints.isResident(runner.id(), adapter, nowMillis) || (!anyResident && i == 0);
-      double cost = startCostMillis(runner, hints, nowMillis) + (free ? 0 : settings.loadCostMillis());
+      double cost =
+          startCostMillis(runner, hints, nowMillis) + (free ? 0 : settings.loadCostMillis());
       if (cost < bestCost) {
         best = runner;
         bestCost = cost;
--- a/sequoia-core/src/test/java/org/sequoiahub/core/authority/AuthorityTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/authority/AuthorityTest.java
@@ -8,19 +8,19 @@
 
 class AuthorityTest {
 
-  private static final long TERM = 1_000;
+  private static final long TERM_MILLIS = 1_000;
 
   @Nested
   class Fenced {
 
-    private final FencedAuthority authority = new FencedAuthority(TERM, 7);
+    private final FencedAuthority authority = new FencedAuthority(TERM_MILLIS, 7);
 
     /**
-     * Symptom: a dispatcher that was paused acts as owner after another has taken over.
+     * Guards against a paused dispatcher that acts as the holder after another has taken over.
      *
-     * <p>Events: it sends a renewal, is paused, and reads the engine's acceptance when it wakes.
-     *
-     * <p>Cause guarded against: counting authority from the answer's arrival, not from the sending.
+     * <p>It sends a renewal, is paused, and reads the engine's acceptance when it resumes. The
+     * failure occurs if authority is counted from the arrival of the response instead of from the
+     * sending of the claim.
      */
     @Test
     void lateResponseDoesNotExtendAuthority() {
@@ -43,7 +43,7 @@
 
     @Test
     void holdersNeverChooseTheSameNumber() {
-      FencedAuthority other = new FencedAuthority(TERM, 8);
+      FencedAuthority other = new FencedAuthority(TERM_MILLIS, 8);
       assertThat(authority.fencingNumber()).isNotEqualTo(other.fencingNumber());
       other.fencingNumberRefused(other.fencingNumber(), authority.fencingNumber(), 0);
       assertThat(other.fencingNumber()).isGreaterThan(authority.fencingNumber());
@@ -53,7 +53,7 @@
   @Nested
   class Leased {
 
-    private final LeasedAuthority authority = new LeasedAuthority(TERM);
+    private final LeasedAuthority authority = new LeasedAuthority(TERM_MILLIS);
 
     @Test
     void requiresMajorityOfFormerHostsAfterRecentChange() {
@@ -70,10 +70,10 @@
 
     @Test
     void restartedGranterAbstainsUntilEarlierLeasesHaveExpired() {
-      LeaseGranter granter = new LeaseGranter(500, TERM);
-      assertThat(granter.grant("r", "b", TERM, 1_499)).isFalse();
-      assertThat(granter.grant("r", "b", TERM, 1_500)).isTrue();
-      assertThat(granter.grant("r", "c", TERM, 2_499)).isFalse();
+      LeaseGranter granter = new LeaseGranter(500, TERM_MILLIS);
+      assertThat(granter.grant("r", "b", TERM_MILLIS, 1_499)).isFalse();
+      assertThat(granter.grant("r", "b", TERM_MILLIS, 1_500)).isTrue();
+      assertThat(granter.grant("r", "c", TERM_MILLIS, 2_499)).isFalse();
     }
   }
 }
--- a/sequoia-core/src/test/java/org/sequoiahub/core/authority/LeaseGranterTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/authority/LeaseGranterTest.java
@@ -6,46 +6,45 @@
 import org.junit.jupiter.api.Test;
 
 /**
- * Symptom: two hosts order a new runner within the lease time.
+ * Guards against two hosts that send orders to a new runner within one lease duration.
  *
- * <p>Events: a host gains the lease of a runner that has just appeared, orders it and dies; another
- * one gains the lease after it.
- *
- * <p>Cause looked for: a granter that tells the second one that nobody held the lease before.
+ * <p>A host acquires the lease of a runner that has just appeared, sends it orders and dies; then
+ * another host acquires the lease. The failure occurs if a granter reports to the second host that
+ * nobody held the lease before.
  */
 class LeaseGranterTest {
 
-  private static final long LEASE = 1_500;
+  private static final long LEASE_MILLIS = 1_500;
 
-  private final LeaseGranter granter = new LeaseGranter(0, LEASE);
+  private final LeaseGranter granter = new LeaseGranter(0, LEASE_MILLIS);
 
   @Test
   void reportsOnlyHolder() {
     assertThat(granter.grantedOnlyTo("r", "a")).isTrue();
-    assertThat(granter.grant("r", "a", LEASE, 2_000)).isTrue();
+    assertThat(granter.grant("r", "a", LEASE_MILLIS, 2_000)).isTrue();
     assertThat(granter.grantedOnlyTo("r", "a")).isTrue();
     assertThat(granter.grantedOnlyTo("r", "b")).isFalse();
   }
 
   @Test
   void remembersEarlierHolderThatDied() {
-    granter.grant("r", "a", LEASE, 2_000);
-    assertThat(granter.grant("r", "b", LEASE, 2_000 + LEASE)).isTrue();
+    granter.grant("r", "a", LEASE_MILLIS, 2_000);
+    assertThat(granter.grant("r", "b", LEASE_MILLIS, 2_000 + LEASE_MILLIS)).isTrue();
     assertThat(granter.grantedOnlyTo("r", "b")).isFalse();
     assertThat(granter.grantedOnlyTo("r", "a")).isFalse();
   }
 
   @Test
   void remembersEarlierHolderThatReleasedItsLease() {
-    granter.grant("r", "a", LEASE, 2_000);
+    granter.grant("r", "a", LEASE_MILLIS, 2_000);
     granter.release("r", "a");
-    assertThat(granter.grant("r", "b", LEASE, 2_100)).isTrue();
+    assertThat(granter.grant("r", "b", LEASE_MILLIS, 2_100)).isTrue();
     assertThat(granter.grantedOnlyTo("r", "b")).isFalse();
   }
 
   @Test
   void forgetsRemovedRunners() {
-    granter.grant("r", "a", LEASE, 2_000);
+    granter.grant("r", "a", LEASE_MILLIS, 2_000);
     granter.retainRunners(Set.of("other"));
     assertThat(granter.grantedOnlyTo("r", "b")).isTrue();
   }
--- a/sequoia-core/src/test/java/org/sequoiahub/core/authority/RenewalRoundTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/authority/RenewalRoundTest.java
@@ -24,12 +24,12 @@
   @Property(tries = 300)
   void selectsMajorityWithoutDuplicates(
       @ForAll @IntRange(max = 300) int reachable,
-      @ForAll @IntRange(min = 1, max = 300) int electorate,
+      @ForAll @IntRange(min = 1, max = 300) int electorateSize,
       @ForAll @IntRange(max = 1_000_000) int round) {
-    List<Integer> asked = RenewalRound.selectHosts(hosts(reachable), electorate, round);
+    List<Integer> asked = RenewalRound.selectHosts(hosts(reachable), electorateSize, round);
     assertThat(new HashSet<>(asked)).hasSize(asked.size());
     if (asked.size() < reachable) {
-      assertThat(2 * asked.size()).isGreaterThan(electorate);
+      assertThat(2 * asked.size()).isGreaterThan(electorateSize);
     }
   }
 
@@ -43,12 +43,11 @@
   }
 
   /**
-   * Symptom: a holder in a large fleet loses its leases although nobody wants them, and its runners
-   * get no orders for more than three seconds.
+   * Guards against a holder in a large fleet that loses its leases although no other host claims
+   * them, so that its runners receive no orders for more than three seconds.
    *
-   * <p>Events: claims and grants are lost; a fifth of the hosts dies at once.
-   *
-   * <p>Cause looked for: a renewal that asks few hosts, without asking all once it has failed.
+   * <p>Claims and grants are lost, and a fifth of the hosts die at once. The failure occurs if a
+   * renewal asks a subset of the hosts and the next round does not ask all of them after a failure.
    */
   @Property(tries = 60)
   void keepsLeaseDespitePacketLossAndDeadHosts(@ForAll long seed) {
@@ -57,7 +56,7 @@
     LeasedAuthority authority = new LeasedAuthority(LEASE_MILLIS);
     authority.updateGranters(Set.copyOf(names(hosts(count))), 0);
     long round = 0;
-    long begun = -1;
+    long firstHeldMillis = -1;
     for (long now = 0; now < 20_000; now += 10) {
       boolean fifthIsDead = now >= 10_000;
       if (authority.claimDue(now)) {
@@ -75,10 +74,10 @@
         }
       }
       boolean held = authority.rights(now + ROUND_TRIP_MILLIS).held();
-      begun = held && begun < 0 ? now : begun;
-      assertThat(begun < 0 || held).isTrue();
+      firstHeldMillis = held && firstHeldMillis < 0 ? now : firstHeldMillis;
+      assertThat(firstHeldMillis < 0 || held).isTrue();
     }
-    assertThat(begun).isAtLeast(0);
+    assertThat(firstHeldMillis).isAtLeast(0);
   }
 
   private static List<String> names(List<Integer> hosts) {
--- a/sequoia-core/src/test/java/org/sequoiahub/core/config/WatchersActions.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/config/WatchersActions.java
@@ -69,7 +69,8 @@
 
     Watchers() {
       for (int i = 0; i < COUNT; i++) {
-        watchers.add(new AcceptedRecords(new DefaultRecordParser(), AcceptedRecords.Retention.VALUES));
+        watchers.add(
+            new AcceptedRecords(new DefaultRecordParser(), AcceptedRecords.Retention.VALUES));
         highestSeen.add(new HashMap<>());
       }
       replicas.add(Map.of());
@@ -117,7 +118,8 @@
     void exchange(int n) {
       int from = n % COUNT;
       int to = (from + 1 + n / COUNT) % COUNT;
-      Map<String, Long> held = watchers.get(from).revisionsInDifferingBuckets(watchers.get(to).digest());
+      Map<String, Long> held =
+          watchers.get(from).revisionsInDifferingBuckets(watchers.get(to).digest());
       for (String key : watchers.get(to).missingOrOutdatedKeys(held)) {
         watchers.get(from).stored(key).ifPresent(watchers.get(to)::offer);
       }
@@ -125,7 +127,8 @@
     }
 
     void restart(int n) {
-      watchers.set(n, new AcceptedRecords(new DefaultRecordParser(), AcceptedRecords.Retention.VALUES));
+      watchers.set(
+          n, new AcceptedRecords(new DefaultRecordParser(), AcceptedRecords.Retention.VALUES));
       highestSeen.get(n).clear();
     }
 
--- a/sequoia-core/src/test/java/org/sequoiahub/core/operation/OperationsActions.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/operation/OperationsActions.java
@@ -37,14 +37,16 @@
         .withMaxTransformations(100);
   }
 
-  private static Action<Simulation> event(String label, int max, ObjIntConsumer<Simulation> happen) {
+  private static Action<Simulation> event(
+      String label, int max, ObjIntConsumer<Simulation> happen) {
     return new Event(
         Arbitraries.integers()
             .between(0, max)
             .map(n -> Transformer.mutate(label + "(" + n + ")", f -> happen.accept(f, n))));
   }
 
-  private record Event(Arbitrary<Transformer<Simulation>> events) implements Action.Independent<Simulation> {
+  private record Event(Arbitrary<Transformer<Simulation>> events)
+      implements Action.Independent<Simulation> {
     @Override
     public Arbitrary<Transformer<Simulation>> transformer() {
       return events;
