--- a/sequoia-core/src/main/java/org/sequoiahub/core/operation/BeginDecision.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/operation/BeginDecision.java
@@ -3,21 +3,29 @@
 import org.sequoiahub.core.verdict.Verdict;
 
 /**
- * What to do with a call that carries an operation id.
+ * Decision on a call that carries an operation id.
  *
- * @param <A> the type of a kept answer
+ * @param <A> the type of a stored response
  */
 public sealed interface BeginDecision<A> {
 
-  /** Run it now: it has not run, and no other call will be told to run it. */
+  /** Run the operation now: it has not run, and no other call receives this decision. */
   record Run<A>() implements BeginDecision<A> {}
 
-  /** It is running: wait for the answer of the first call. */
+  /** The operation is running: wait for the response to the first call. */
   record Wait<A>() implements BeginDecision<A> {}
 
-  /** It has run: repeat this answer. */
+  /**
+   * The operation has run: return the stored response.
+   *
+   * @param answer the response to the first call
+   */
   record Replay<A>(A answer) implements BeginDecision<A> {}
 
-  /** It must not run; the verdict says what is known of it. */
+  /**
+   * The operation must not run.
+   *
+   * @param verdict whether it certainly has not run or may have run
+   */
   record Refuse<A>(Verdict verdict) implements BeginDecision<A> {}
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/operation/OperationTable.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/operation/OperationTable.java
@@ -13,16 +13,16 @@
 import org.sequoiahub.core.verdict.Verdict;
 
 /**
- * The operations of one dispatcher incarnation: each runs at most once.
+ * Tracks the operations of one dispatcher incarnation so that each of them runs at most once.
  *
- * <p>An id names the incarnation that minted it, and only that incarnation runs it. A dispatcher
- * that was restarted, and so has forgotten what it ran, draws a new incarnation and refuses the old
- * ids as {@code MayHaveRun}. No clock, lease or agreement is involved, so neither a pause nor a
- * partition can make an operation run twice.
+ * <p>An id names the incarnation that minted it, and only that incarnation runs the operation. A
+ * restarted dispatcher has no record of the operations that it ran; it draws a new incarnation and
+ * refuses the old ids as {@code MayHaveRun}. This relies on no clock, lease or consensus, so
+ * neither a pause nor a partition can make an operation run twice.
  *
- * <p>Not thread-safe: one duty owns it.
+ * <p>Not thread-safe: it is confined to one duty.
  *
- * @param <A> the type of a kept answer
+ * @param <A> the type of a stored response
  */
 public final class OperationTable<A> {
 
@@ -43,18 +43,18 @@
    * @param host the host's name
    * @param incarnation a number drawn at random when the process started
    * @param lifetimeMillis how long an id stays valid after it was minted
-   * @param limit the most operations remembered at once
+   * @param maxOperations the maximum number of operations in the table at once
    */
-  public OperationTable(String host, long incarnation, long lifetimeMillis, int limit) {
+  public OperationTable(String host, long incarnation, long lifetimeMillis, int maxOperations) {
     checkArgument(lifetimeMillis > 0, "lifetimeMillis must be above 0");
-    checkArgument(limit > 0, "limit must be above 0");
+    checkArgument(maxOperations > 0, "maxOperations must be above 0");
     this.host = requireNonNull(host, "host must not be null");
     this.incarnation = incarnation;
     this.lifetimeMillis = lifetimeMillis;
-    this.maxOperations = limit;
+    this.maxOperations = maxOperations;
   }
 
-  /** Mints ids that this incarnation will run at most once each. */
+  /** Mints ids of operations, each of which this incarnation runs at most once. */
   public List<OperationId> mint(int count, long nowMillis) {
     checkArgument(count > 0, "count must be above 0, was %s", count);
     expire(nowMillis);
@@ -66,22 +66,26 @@
     return ids;
   }
 
-  /** Says what to do with a call that carries {@code id}; on {@code Run} it is taken as begun. */
+  /**
+   * Decides on a call that carries {@code id}. On {@code Run}, the operation is recorded as running
+   * until its outcome is reported.
+   */
   public BeginDecision<A> begin(OperationId id, long nowMillis) {
     expire(nowMillis);
     if (!id.host().equals(host) || id.incarnation() != incarnation) {
       return mayHaveRun(
-          "operation-owner-gone", "the process that could tell whether this operation ran is gone");
+          "operation-owner-gone",
+          "the dispatcher that issued this operation id has ended; the outcome is unknown");
     }
     if (id.sequence() > lastSequence) {
-      return refuseNotRun("operation-unknown", "this operation id was never handed out", 0);
+      return refuseNotRun("operation-unknown", "this operation id was never issued", 0);
     }
-    Entry<A> known = entries.get(id.sequence());
-    if (known != null) {
-      return known.answer != null
-          ? new BeginDecision.Replay<>(known.answer)
-          : known.ended
-              ? mayHaveRun("answer-lost", "the operation's outcome is not known")
+    Entry<A> existing = entries.get(id.sequence());
+    if (existing != null) {
+      return existing.answer != null
+          ? new BeginDecision.Replay<>(existing.answer)
+          : existing.ended
+              ? mayHaveRun("answer-lost", "the outcome of the operation is unknown")
               : new BeginDecision.Wait<>();
     }
     if (id.sequence() <= lastExpiredSequence) {
@@ -89,13 +93,13 @@
     }
     if (entries.size() >= maxOperations) {
       return refuseNotRun(
-          "operations-full", "too many operations are remembered", FULL_TABLE_RETRY_AFTER_MILLIS);
+          "operations-full", "the operation table is full", FULL_TABLE_RETRY_AFTER_MILLIS);
     }
     entries.put(id.sequence(), new Entry<>());
     return new BeginDecision.Run<>();
   }
 
-  /** Records that a begun operation ran and answered; repeats get {@code answer}. */
+  /** Records that an operation ran; later calls with {@code id} receive {@code answer}. */
   public void completed(OperationId id, A answer) {
     Entry<A> entry = entries.get(id.sequence());
     if (entry != null) {
@@ -104,7 +108,7 @@
     }
   }
 
-  /** Records that nobody can tell whether a begun operation ran; it will not be run again. */
+  /** Records that it is unknown whether an operation ran; it will not be run again. */
   public void outcomeUnknown(OperationId id) {
     Entry<A> entry = entries.get(id.sequence());
     if (entry != null) {
@@ -112,12 +116,12 @@
     }
   }
 
-  /** Records that a begun operation surely did not run; a repeat may run it. */
+  /** Records that an operation certainly did not run; a later call may run it. */
   public void notRun(OperationId id) {
     entries.remove(id.sequence());
   }
 
-  /** Returns how many operations are remembered. */
+  /** Returns the number of operations in the table. */
   public int size() {
     return entries.size();
   }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/operation/package-info.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/operation/package-info.java
@@ -1,4 +1,4 @@
-/** Identifiers that let a non-idempotent call run at most once. */
+/** Operation ids and the table that lets each non-idempotent call run at most once. */
 @NullMarked
 package org.sequoiahub.core.operation;
 
--- a/sequoia-core/src/test/java/org/sequoiahub/core/operation/OperationsActions.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/operation/OperationsActions.java
@@ -18,12 +18,12 @@
 import net.jqwik.api.state.Transformer;
 import org.sequoiahub.core.verdict.Verdict;
 
-/** The events that the property interleaves, and the world they happen in. */
+/** Events that the operation properties interleave, and the simulation that they act on. */
 public final class OperationsActions {
 
   private OperationsActions() {}
 
-  /** Returns chains of events. */
+  /** Returns random chains of events. */
   public static ActionChainArbitrary<?> chains() {
     return ActionChain.startWith(Simulation::new)
         .withAction(3, event("mint", 1, Simulation::mint))
@@ -33,16 +33,16 @@
         .withAction(2, event("loseAnswer", 20, Simulation::loseAnswer))
         .withAction(2, event("refusedBeforeSent", 20, Simulation::refusedBeforeSent))
         .withAction(1, event("restart", 1, Simulation::restart))
-        .withAction(2, event("pass", 900, (f, n) -> f.now += n))
+        .withAction(2, event("pass", 900, (s, n) -> s.nowMillis += n))
         .withMaxTransformations(100);
   }
 
   private static Action<Simulation> event(
-      String label, int max, ObjIntConsumer<Simulation> happen) {
+      String label, int max, ObjIntConsumer<Simulation> action) {
     return new Event(
         Arbitraries.integers()
             .between(0, max)
-            .map(n -> Transformer.mutate(label + "(" + n + ")", f -> happen.accept(f, n))));
+            .map(n -> Transformer.mutate(label + "(" + n + ")", s -> action.accept(s, n))));
   }
 
   private record Event(Arbitrary<Transformer<Simulation>> events)
@@ -53,10 +53,10 @@
     }
   }
 
-  /** Two dispatchers, the upstream that counts, and calls that are decided but not yet sent. */
+  /** Simulates two dispatchers, calls not yet sent, and an upstream that counts the runs. */
   static final class Simulation {
-    private static final int LIMIT = 6;
-    private static final long LIFETIME = 1_000;
+    private static final int MAX_OPERATIONS = 6;
+    private static final long LIFETIME_MILLIS = 1_000;
     private final List<OperationTable<String>> tables = new ArrayList<>();
     private final List<OperationId> minted = new ArrayList<>();
     private final List<Decided> pending = new ArrayList<>();
@@ -64,7 +64,7 @@
     private final Map<OperationId, Integer> runs = new HashMap<>();
     private final Set<OperationId> answered = new HashSet<>();
     private long incarnations;
-    private long now;
+    private long nowMillis;
 
     Simulation() {
       tables.add(table(0));
@@ -72,36 +72,36 @@
     }
 
     void mint(int dispatcher) {
-      minted.addAll(tables.get(dispatcher).mint(2, now));
+      minted.addAll(tables.get(dispatcher).mint(2, nowMillis));
     }
 
-    /** A caller's call reaches either dispatcher; the wrong one must not run it. */
+    /** Delivers a call to either dispatcher; only the one that minted the id may run it. */
     void call(int n) {
       if (minted.isEmpty()) {
         return;
       }
       OperationId id = minted.get(n % minted.size());
       OperationTable<String> table = tables.get(n / 100 % 2);
-      BeginDecision<String> begin = table.begin(id, now);
+      BeginDecision<String> begin = table.begin(id, nowMillis);
       if (begin instanceof BeginDecision.Run<String>) {
         pending.add(new Decided(table, id));
       } else if (begin instanceof BeginDecision.Refuse<String> refuse
           && refuse.verdict() instanceof Verdict.NotRun) {
-        assertWithMessage("told not-run although it ran: %s", id)
+        assertWithMessage("refused as not run although it ran: %s", id)
             .that(runs.getOrDefault(id, 0))
             .isEqualTo(0);
       } else if (begin instanceof BeginDecision.Replay<String> repeat) {
-        assertWithMessage("another operation's answer").that(repeat.answer()).isEqualTo("" + id);
+        assertWithMessage("response of another operation").that(repeat.answer()).isEqualTo("" + id);
       }
     }
 
-    /** The upstream runs a call, however long after the decision. */
+    /** Lets the upstream run a pending call, at any time after the decision. */
     void runPending(int n) {
       take(pending, n)
           .ifPresent(
               decided -> {
                 int times = runs.merge(decided.id, 1, Integer::sum);
-                assertWithMessage("runs of %s", decided.id).that(times).isEqualTo(1);
+                assertWithMessage("number of runs of %s", decided.id).that(times).isEqualTo(1);
                 sent.add(decided);
               });
     }
@@ -128,11 +128,11 @@
     }
 
     private OperationTable<String> table(int host) {
-      return new OperationTable<>("host-" + host, ++incarnations, LIFETIME, LIMIT);
+      return new OperationTable<>("host-" + host, ++incarnations, LIFETIME_MILLIS, MAX_OPERATIONS);
     }
 
-    private static Optional<Decided> take(List<Decided> from, int n) {
-      return from.isEmpty() ? Optional.empty() : Optional.of(from.remove(n % from.size()));
+    private static Optional<Decided> take(List<Decided> calls, int n) {
+      return calls.isEmpty() ? Optional.empty() : Optional.of(calls.remove(n % calls.size()));
     }
 
     private record Decided(OperationTable<String> table, OperationId id) {}
--- a/sequoia-core/src/test/java/org/sequoiahub/core/operation/OperationsPropertiesTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/operation/OperationsPropertiesTest.java
@@ -7,12 +7,13 @@
 import net.jqwik.api.state.ActionChain;
 
 /**
- * Symptom: a family is charged twice; a caller is told "not run" of a booking that exists.
+ * Guards against an operation that runs twice, so that a caller is charged twice, and against a
+ * {@code NotRun} verdict for an operation that did run.
  *
- * <p>Events: callers repeat ids anywhere, together and late; dispatchers are restarted with nothing
- * kept; answers are lost; ids expire; the table is full; a pause delays what was decided before.
- *
- * <p>Cause looked for: two processes, or one that forgot, that both think an operation is theirs.
+ * <p>Callers repeat ids at any dispatcher, concurrently and late; dispatchers restart without
+ * state; responses are lost; ids expire; the table is full; a pause delays a call that was already
+ * decided. The failure occurs if two processes, or one process before and after a restart, both
+ * consider themselves the owner of an operation.
  */
 class OperationsPropertiesTest {
 
