--- a/sequoia-core/src/main/java/org/sequoiahub/core/record/AdapterVersion.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/record/AdapterVersion.java
@@ -3,26 +3,26 @@
 import static com.google.common.base.Preconditions.checkArgument;
 
 /**
- * One version of one adapter: the unit that an engine loads and that a request runs on.
+ * Identifies one version of an adapter: the unit that an engine loads and that serves a request.
  *
  * @param adapter the adapter's name, without {@code @}
  * @param version the version's name, without {@code @}
  */
 public record AdapterVersion(String adapter, String version) {
 
-  /** Checks the arguments. */
+  /** Validates the components. */
   public AdapterVersion {
-    checkArgument(Names.isValid(adapter), "adapter must be a name, was '%s'", adapter);
-    checkArgument(Names.isValid(version), "version must be a name, was '%s'", version);
+    checkArgument(Names.isValid(adapter), "adapter must be a valid name, was '%s'", adapter);
+    checkArgument(Names.isValid(version), "version must be a valid name, was '%s'", version);
   }
 
-  /** Returns the name by which engines are asked for this version. */
+  /** Returns the name of this version on an engine, of the form adapter@version. */
   public String exactName() {
     return adapter + "@" + version;
   }
 
   /**
-   * Reads an exact name.
+   * Parses an exact name.
    *
    * @throws IllegalArgumentException if {@code exactName} is not of the form adapter@version
    */
--- a/sequoia-core/src/main/java/org/sequoiahub/core/record/DefaultRecordParser.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/record/DefaultRecordParser.java
@@ -18,16 +18,16 @@
 import org.sequoiahub.core.record.PlatformRecord.TrafficShare;
 
 /**
- * Reads schema 1 and schema 2 of every kind of record, side by side.
+ * Parses records of every kind in schema 1 and schema 2.
  *
- * <p>Schema 1 of an adapter names one version, which gets all traffic. Schema 2 splits the traffic
- * over several versions and adds a team, a priority and limits. Fields that a schema does not know
- * are left alone: the stored value travels on unchanged, so nothing that a newer writer adds is
- * lost.
+ * <p>Schema 1 of an adapter names one version, which receives all traffic. Schema 2 splits the
+ * traffic over several versions and adds a team, a priority and limits. Fields unknown to a schema
+ * are ignored. The stored value is forwarded unchanged, so fields added by newer writers are
+ * preserved.
  */
 public final class DefaultRecordParser implements RecordParser {
 
-  /** Largest value that is read, in bytes: what the configuration service can hold. */
+  /** Maximum size of a value in bytes: the limit of the configuration service. */
   public static final int MAX_VALUE_BYTES = 1 << 20;
 
   private static final int MAX_VERSIONS = 64;
@@ -82,14 +82,15 @@
     Map<Integer, SchemaReader> schemas = readers.getOrDefault(kind, Map.of());
     JsonNode schema = object.get("schema");
     if (schema == null || !schema.isInt() || !schemas.containsKey(schema.intValue())) {
-      List<Integer> known = schemas.keySet().stream().sorted().toList();
-      return invalid(key, "schema", "must be one of " + known + ", was " + schema);
+      List<Integer> supported = schemas.keySet().stream().sorted().toList();
+      return invalid(key, "schema", "must be one of " + supported + ", was " + schema);
     }
     FieldReader fields = new FieldReader(key, object);
     PlatformRecord record = schemas.get(schema.intValue()).read(fields);
     if (!record.name().isEmpty() && !record.name().equals(nameInKey)) {
       fields.addProblem(
-          "", "the name '" + record.name() + "' must equal the key's '" + nameInKey + "'");
+          "",
+          "the name '" + record.name() + "' must equal the name in the key, '" + nameInKey + "'");
     }
     return fields.problems().isEmpty()
         ? new RecordParseResult.Valid(record, schema.intValue())
@@ -134,21 +135,21 @@
   private static List<TrafficShare> traffic(FieldReader fields) {
     List<TrafficShare> shares = new ArrayList<>();
     Set<String> seen = new HashSet<>();
-    long sum = 0;
+    long totalWeight = 0;
     for (FieldReader item : fields.objects("versions")) {
       String version = item.name("version");
       int weight = item.integer("weight", 1, 0, MAX_WEIGHT);
       if (!seen.add(version)) {
-        item.addProblem("version", "is named twice: '" + version + "'");
+        item.addProblem("version", "is listed more than once: '" + version + "'");
       }
-      sum += weight;
+      totalWeight += weight;
       shares.add(new TrafficShare(version, weight));
     }
-    if (!shares.isEmpty() && sum == 0) {
+    if (!shares.isEmpty() && totalWeight == 0) {
       fields.addProblem("versions", "at least one weight must be above 0");
     }
     if (shares.size() > MAX_VERSIONS) {
-      fields.addProblem("versions", "must be at most " + MAX_VERSIONS);
+      fields.addProblem("versions", "number of versions must be at most " + MAX_VERSIONS);
     }
     return shares;
   }
@@ -168,7 +169,7 @@
     return new RecordParseResult.Invalid(List.of(new RecordProblem(key, field, reason)));
   }
 
-  /** Reads the fields of one kind of record in one schema. */
+  /** Reads the fields of a record of one kind and schema. */
   @FunctionalInterface
   private interface SchemaReader {
     PlatformRecord read(FieldReader fields);
--- a/sequoia-core/src/main/java/org/sequoiahub/core/record/FieldReader.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/record/FieldReader.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.jspecify.annotations.Nullable;
 
-/** Reads typed fields of one JSON object and collects what is wrong with them. */
+/** Reads typed fields of a JSON object and collects validation problems. */
 final class FieldReader {
 
   private final String key;
@@ -32,7 +32,7 @@
     problems.add(new RecordProblem(key, path + field, reason));
   }
 
-  /** Returns the field's name, or an empty text after noting a problem. */
+  /** Returns the name in a required field, or an empty string after adding a problem. */
   String name(String field) {
     JsonNode node = object.get(field);
     if (node == null) {
@@ -42,44 +42,44 @@
     return validName(field, node);
   }
 
-  String name(String field, String absent) {
+  String name(String field, String defaultValue) {
     JsonNode node = object.get(field);
-    return node == null ? absent : validName(field, node);
+    return node == null ? defaultValue : validName(field, node);
   }
 
-  int integer(String field, int absent, int min, int max) {
+  int integer(String field, int defaultValue, int min, int max) {
     JsonNode node = object.get(field);
     if (node == null) {
-      return absent;
+      return defaultValue;
     }
     if (!node.canConvertToInt() || !node.isIntegralNumber()) {
-      addProblem(field, "must be a whole number from " + min + " to " + max);
-      return absent;
+      addProblem(field, "must be an integer from " + min + " to " + max);
+      return defaultValue;
     }
     if (node.intValue() < min || node.intValue() > max) {
       addProblem(field, "must be from " + min + " to " + max + ", was " + node.intValue());
-      return absent;
+      return defaultValue;
     }
     return node.intValue();
   }
 
-  String oneOf(String field, String absent, List<String> allowed) {
+  String oneOf(String field, String defaultValue, List<String> allowed) {
     JsonNode node = object.get(field);
     if (node == null) {
-      return absent;
+      return defaultValue;
     }
     if (!node.isTextual() || !allowed.contains(node.textValue())) {
       addProblem(field, "must be one of " + allowed + ", was " + node);
-      return absent;
+      return defaultValue;
     }
     return node.textValue();
   }
 
-  /** Returns readers of the objects in an array field; empty after noting a problem. */
+  /** Returns readers of the objects in an array field, or an empty list after adding a problem. */
   List<FieldReader> objects(String field) {
     JsonNode node = object.get(field);
     if (node == null || !node.isArray() || node.isEmpty()) {
-      addProblem(field, "must be an array of at least one object");
+      addProblem(field, "must be a non-empty array of objects");
       return List.of();
     }
     List<FieldReader> readers = new ArrayList<>();
@@ -94,30 +94,30 @@
     return readers;
   }
 
-  List<String> strings(String field, List<String> absent, List<String> allowed) {
+  List<String> strings(String field, List<String> defaultValue, List<String> allowed) {
     JsonNode node = object.get(field);
     if (node == null) {
-      return absent;
+      return defaultValue;
     }
     if (!node.isArray()) {
-      addProblem(field, "must be an array of texts");
-      return absent;
+      addProblem(field, "must be an array of strings");
+      return defaultValue;
     }
-    List<String> texts = new ArrayList<>();
+    List<String> strings = new ArrayList<>();
     for (JsonNode item : node) {
       if (item.isTextual() && allowed.contains(item.textValue())) {
-        texts.add(item.textValue());
+        strings.add(item.textValue());
       } else {
-        addProblem(field, "may hold only " + allowed + ", was " + item);
+        addProblem(field, "may contain only " + allowed + ", was " + item);
       }
     }
-    return texts;
+    return strings;
   }
 
   private String validName(String field, JsonNode node) {
     @Nullable String text = node.textValue();
     if (text == null || !Names.isValid(text)) {
-      addProblem(field, "must be a name (" + Names.FORMAT + "), was " + node);
+      addProblem(field, "must be a valid name (" + Names.FORMAT + "), was " + node);
       return "";
     }
     return text;
--- a/sequoia-core/src/main/java/org/sequoiahub/core/record/Names.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/record/Names.java
@@ -2,10 +2,10 @@
 
 import java.util.regex.Pattern;
 
-/** What may be the name of an adapter, a version, a model, a service or a team. */
+/** Validates the names of adapters, versions, models, services and teams. */
 public final class Names {
 
-  /** The form of a name, as error messages show it. */
+  /** Description of a valid name, for error messages. */
   public static final String FORMAT =
       "1 to 128 of A-Z a-z 0-9 . _ -, starting with a letter or digit";
 
--- a/sequoia-core/src/main/java/org/sequoiahub/core/record/PlatformRecord.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/record/PlatformRecord.java
@@ -2,14 +2,14 @@
 
 import java.util.List;
 
-/** A record that has been parsed and found valid. */
+/** A parsed and validated record. */
 public sealed interface PlatformRecord {
 
-  /** Returns the record's name, unique among its kind. */
+  /** Returns the record's name, unique among records of the same kind. */
   String name();
 
   /**
-   * One share of an adapter's traffic.
+   * The share of an adapter's traffic that one version receives.
    *
    * @param version the version that receives the share
    * @param weight the share, relative to the sum of all weights
@@ -20,12 +20,14 @@
    * An adapter, its versions and the traffic that each receives.
    *
    * @param name the adapter's name
-   * @param baseModel the base model that its weights belong to
+   * @param baseModel the base model to which its weights apply
    * @param team the team that owns it; {@code default} if the record names none
    * @param priority the priority of its requests
-   * @param traffic the versions that may be asked for; weight 0 means by exact name only
-   * @param maxInFlight the most requests queued or running at once in the fleet; 0 for no limit
-   * @param maxReplicas the most runners that may hold one version at once
+   * @param traffic the versions that callers may request; a version of weight 0 is served only by
+   *     its exact name
+   * @param maxInFlight the maximum number of requests queued or running at once in the fleet; 0 for
+   *     no limit
+   * @param maxReplicas the maximum number of runners that may hold one version at once
    */
   record Adapter(
       String name,
@@ -36,7 +38,7 @@
       int maxInFlight,
       int maxReplicas)
       implements PlatformRecord {
-    /** Copies the list. */
+    /** Creates the record with an immutable copy of the list. */
     public Adapter {
       traffic = List.copyOf(traffic);
     }
@@ -48,25 +50,25 @@
   }
 
   /**
-   * A plain service beside the engines.
+   * A plain HTTP service, other than an engine.
    *
    * @param name the service's name, its first path segment
    * @param idempotentMethods HTTP methods whose calls may be repeated
-   * @param timeoutMillis the longest that one call may take
+   * @param timeoutMillis the time limit of one call, in milliseconds
    */
   record Service(String name, List<String> idempotentMethods, long timeoutMillis)
       implements PlatformRecord {
-    /** Copies the list. */
+    /** Creates the record with an immutable copy of the list. */
     public Service {
       idempotentMethods = List.copyOf(idempotentMethods);
     }
   }
 
   /**
-   * A team that shares the fleet with others.
+   * A team, one of several that share the fleet.
    *
    * @param name the team's name
-   * @param share its weight when runners are contended
+   * @param share its weight relative to other teams when they contend for runners
    */
   record Team(String name, int share) implements PlatformRecord {}
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/record/Priority.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/record/Priority.java
@@ -1,9 +1,9 @@
 package org.sequoiahub.core.record;
 
-/** How soon a request should start. */
+/** Priority that decides how soon a request starts. */
 public enum Priority {
-  /** Somebody waits for the answer. */
+  /** A user is waiting for the response. */
   INTERACTIVE,
-  /** A long document that may wait, but never for ever. */
+  /** A long document; it may wait, but must not starve. */
   BRIEF
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/record/RecordParseResult.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/record/RecordParseResult.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.function.Function;
 
-/** What became of a record's value. */
+/** Result of parsing a record's value. */
 public sealed interface RecordParseResult {
 
   /**
@@ -15,18 +15,18 @@
   record Valid(PlatformRecord record, int schema) implements RecordParseResult {}
 
   /**
-   * The value is not valid.
+   * The value is invalid.
    *
-   * @param problems every problem found, never empty
+   * @param problems all problems found; never empty
    */
   record Invalid(List<RecordProblem> problems) implements RecordParseResult {
-    /** Copies the list. */
+    /** Creates the result with an immutable copy of the list. */
     public Invalid {
       problems = List.copyOf(problems);
     }
   }
 
-  /** Applies the function that matches this result. */
+  /** Returns the result of the function that matches the type of this result. */
   default <T> T fold(Function<Valid, T> valid, Function<Invalid, T> invalid) {
     return this instanceof Valid v ? valid.apply(v) : invalid.apply((Invalid) this);
   }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/record/RecordProblem.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/record/RecordProblem.java
@@ -1,10 +1,10 @@
 package org.sequoiahub.core.record;
 
 /**
- * Why a record cannot be accepted.
+ * A reason for which a record is invalid.
  *
  * @param key the record's key
- * @param field the path of the field at fault; empty if the whole value is
+ * @param field the path of the invalid field; empty if the problem concerns the whole value
  * @param reason what is wrong and what is allowed
  */
 public record RecordProblem(String key, String field, String reason) {
--- a/sequoia-core/src/main/java/org/sequoiahub/core/record/package-info.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/record/package-info.java
@@ -1,4 +1,4 @@
-/** The records that operators write: their schemas, their fields and what makes one acceptable. */
+/** Records that operators write: their schemas, their fields and the validation rules. */
 @NullMarked
 package org.sequoiahub.core.record;
 
--- a/sequoia-core/src/test/java/org/sequoiahub/core/record/DefaultRecordParserTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/record/DefaultRecordParserTest.java
@@ -51,7 +51,9 @@
                   "{\"schema\":2,\"name\":\"soot\",\"base_model\":7,\"max_replicas\":0,"
                       + "\"versions\":[{\"version\":\"3\",\"weight\":-1},{\"weight\":1}]}"))
           .containsExactly(
-              "record=adapters/soot field=base_model: must be a name (" + Names.FORMAT + "), was 7",
+              "record=adapters/soot field=base_model: must be a valid name ("
+                  + Names.FORMAT
+                  + "), was 7",
               "record=adapters/soot field=max_replicas: must be from 1 to 10000, was 0",
               "record=adapters/soot field=versions[0].weight: must be from 0 to 1000000, was -1",
               "record=adapters/soot field=versions[1].version: is missing");
