--- a/sequoia-core/src/main/java/org/sequoiahub/core/config/AcceptedRecords.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/config/AcceptedRecords.java
@@ -20,19 +20,20 @@
 import org.sequoiahub.core.record.RecordProblem;
 
 /**
- * The records in force on one process: per key the highest acceptable revision ever offered.
+ * Holds the records in force in one process: for each key, the highest valid revision offered so
+ * far.
  *
  * <p>The result does not depend on the order, the source or the number of offers. A configuration
- * service that answers from an older replica, or a peer that lags, can therefore never take a newer
- * record out of force. Deleted records stay as tombstones for the same reason.
+ * service that responds from an older replica, or a peer that lags, can therefore never replace a
+ * newer record. Deleted records are kept as tombstones for the same reason.
  *
- * <p>Not thread-safe: one duty owns it.
+ * <p>Not thread-safe: it is confined to one duty.
  */
 public final class AcceptedRecords {
 
   private static final byte[] NO_VALUE = new byte[0];
 
-  /** Number of buckets that a digest is made of. */
+  /** Number of buckets in a digest; a power of two. */
   public static final int BUCKET_COUNT = 256;
 
   private final RecordParser parser;
@@ -46,23 +47,25 @@
   /**
    * Creates an empty set.
    *
-   * @param parser reads values
-   * @param keep what is kept of each record
+   * @param parser parses and validates values
+   * @param retention which form of each record is retained
    */
-  public AcceptedRecords(RecordParser parser, Retention keep) {
+  public AcceptedRecords(RecordParser parser, Retention retention) {
     this.parser = requireNonNull(parser, "parser must not be null");
-    this.retention = requireNonNull(keep, "keep must not be null");
+    this.retention = requireNonNull(retention, "retention must not be null");
   }
 
-  /** What is kept of each record; keeping both would double the memory of the largest state. */
+  /**
+   * Form in which records are retained. Retaining both would double the memory of a large state.
+   */
   public enum Retention {
-    /** The stored value, to pass on; {@link #record} finds nothing. */
+    /** Retains the stored value, to forward it; {@link #record} returns empty. */
     VALUES,
-    /** The parsed record, to use; stored records are empty. */
+    /** Retains the parsed record, to use it; stored records have an empty value. */
     PARSED
   }
 
-  /** Offers one record, from the service or from a peer. */
+  /** Accepts a record from the configuration service or a peer if it is newer and valid. */
   public OfferResult offer(StoredRecord record) {
     requireNonNull(record, "record must not be null");
     Entry current = accepted.get(record.key());
@@ -109,37 +112,45 @@
     return highestRevision;
   }
 
-  /** Returns the records that were refused and not replaced by an acceptable one since. */
+  /** Returns the refused records that no newer accepted record has replaced. */
   public Collection<RefusedRecord> refused() {
     return Collections.unmodifiableCollection(refused.values());
   }
 
-  /** Returns one hash a bucket over the keys and revisions in force. */
+  /** Returns one hash per bucket over the keys and revisions in force. */
   public long[] digest() {
     return bucketHashes.clone();
   }
 
-  /** Returns the keys and revisions held in the buckets whose hash differs from {@code theirs}. */
-  public Map<String, Long> revisionsInDifferingBuckets(long[] theirs) {
-    Map<String, Long> held = new TreeMap<>();
-    if (Arrays.equals(bucketHashes, theirs)) {
-      return held;
+  /**
+   * Returns the keys and revisions in the buckets whose hash differs from the peer's.
+   *
+   * @param peerDigest the peer's {@link #digest}
+   */
+  public Map<String, Long> revisionsInDifferingBuckets(long[] peerDigest) {
+    Map<String, Long> revisions = new TreeMap<>();
+    if (Arrays.equals(bucketHashes, peerDigest)) {
+      return revisions;
     }
     for (Entry entry : accepted.values()) {
-      if (bucketHashes[entry.bucket] != theirs[entry.bucket]) {
-        held.put(entry.stored.key(), entry.stored.revision());
+      if (bucketHashes[entry.bucket] != peerDigest[entry.bucket]) {
+        revisions.put(entry.stored.key(), entry.stored.revision());
       }
     }
-    return held;
+    return revisions;
   }
 
-  /** Returns the keys in {@code theirs} that are held here in no or an older revision. */
-  public List<String> missingOrOutdatedKeys(Map<String, Long> theirs) {
+  /**
+   * Returns the keys that are missing here or held in an older revision than the peer's.
+   *
+   * @param peerRevisions the peer's revisions by key
+   */
+  public List<String> missingOrOutdatedKeys(Map<String, Long> peerRevisions) {
     List<String> keys = new ArrayList<>();
-    theirs.forEach(
+    peerRevisions.forEach(
         (key, revision) -> {
-          Entry mine = accepted.get(key);
-          if (mine == null || mine.stored.revision() < revision) {
+          Entry own = accepted.get(key);
+          if (own == null || own.stored.revision() < revision) {
             keys.add(key);
           }
         });
@@ -147,22 +158,23 @@
   }
 
   /**
-   * Returns tombstones for the records that a complete listing no longer has.
+   * Returns tombstones for the records that a complete listing no longer contains.
    *
-   * <p>A listing read at a revision below a record's own says nothing about that record: an older
-   * replica of the service lists what was there before it. Such records stay in force.
+   * <p>Records whose revision is not below the listing's stay in force: an older replica of the
+   * service may return a listing from before they were written, which does not mean that they were
+   * deleted.
    */
   public List<StoredRecord> tombstonesForUnlisted(
       Collection<String> listedKeys, long listRevision) {
-    List<StoredRecord> gone = new ArrayList<>();
+    List<StoredRecord> tombstones = new ArrayList<>();
     for (Entry entry : accepted.values()) {
-      StoredRecord mine = entry.stored;
-      boolean listed = listedKeys.contains(mine.key());
-      if (!mine.deleted() && !listed && mine.revision() < listRevision) {
-        gone.add(new StoredRecord(mine.key(), listRevision, true, new byte[0]));
+      StoredRecord own = entry.stored;
+      boolean listed = listedKeys.contains(own.key());
+      if (!own.deleted() && !listed && own.revision() < listRevision) {
+        tombstones.add(new StoredRecord(own.key(), listRevision, true, new byte[0]));
       }
     }
-    return gone;
+    return tombstones;
   }
 
   private void accept(
@@ -210,11 +222,11 @@
   }
 
   /**
-   * A refused record, for operators to see.
+   * A refused record, as reported to operators.
    *
    * @param key the record's key
    * @param revision the refused revision
-   * @param problems why it was refused
+   * @param problems why the record is invalid
    */
   public record RefusedRecord(String key, long revision, List<RecordProblem> problems) {}
 
--- a/sequoia-core/src/main/java/org/sequoiahub/core/config/StoredRecord.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/config/StoredRecord.java
@@ -7,13 +7,15 @@
  * A record as the configuration service stores it.
  *
  * @param key the record's key
- * @param revision the service's revision at which it was written or deleted, above 0
+ * @param revision the revision of the configuration service at which the record was written or
+ *     deleted; above 0
  * @param deleted whether the record was deleted at that revision
- * @param value the stored JSON, unchanged; empty if deleted. Not copied: treat it as immutable.
+ * @param value the stored JSON, unchanged; empty if deleted. The array is not copied; treat it as
+ *     immutable.
  */
-@SuppressWarnings("ArrayRecordComponent") // identity is key and revision; see AcceptedRecords
+@SuppressWarnings("ArrayRecordComponent") // identified by key and revision in AcceptedRecords
 public record StoredRecord(String key, long revision, boolean deleted, byte[] value) {
-  /** Checks the arguments. */
+  /** Validates the components. */
   public StoredRecord {
     requireNonNull(key, "key must not be null");
     requireNonNull(value, "value must not be null");
--- a/sequoia-core/src/main/java/org/sequoiahub/core/config/package-info.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/config/package-info.java
@@ -1,4 +1,4 @@
-/** Which revision of each record is in force, and how that spreads between watchers. */
+/** Selection of the revision in force of each record, and its replication between watchers. */
 @NullMarked
 package org.sequoiahub.core.config;
 
--- a/sequoia-core/src/test/java/org/sequoiahub/core/config/WatchersActions.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/config/WatchersActions.java
@@ -20,12 +20,12 @@
 import net.jqwik.api.state.Transformer;
 import org.sequoiahub.core.record.DefaultRecordParser;
 
-/** The events that the property interleaves, and the world they happen in. */
+/** Events that the watcher properties interleave, and the simulation that they act on. */
 public final class WatchersActions {
 
   private WatchersActions() {}
 
-  /** Returns chains of events. */
+  /** Returns random chains of events. */
   public static ActionChainArbitrary<?> chains() {
     return ActionChain.startWith(Watchers::new)
         .withAction(4, event("write", 11, Watchers::write))
@@ -40,16 +40,16 @@
         .withMaxTransformations(80);
   }
 
-  /** Ends the faults and checks what must hold then. */
-  public static void finish(Object world) {
-    ((Watchers) world).convergeAndCompare();
+  /** Ends the faults and verifies that all watchers converge. */
+  public static void finish(Object simulation) {
+    ((Watchers) simulation).convergeAndCompare();
   }
 
-  private static Action<Watchers> event(String label, int max, ObjIntConsumer<Watchers> happen) {
+  private static Action<Watchers> event(String label, int max, ObjIntConsumer<Watchers> action) {
     return new Event(
         Arbitraries.integers()
             .between(0, max)
-            .map(n -> Transformer.mutate(label + "(" + n + ")", w -> happen.accept(w, n))));
+            .map(n -> Transformer.mutate(label + "(" + n + ")", w -> action.accept(w, n))));
   }
 
   private record Event(Arbitrary<Transformer<Watchers>> events)
@@ -60,7 +60,7 @@
     }
   }
 
-  /** Three watchers and a service that keeps every replica that it ever had. */
+  /** Simulates three watchers and a service that keeps every earlier replica of its records. */
   static final class Watchers {
     private static final int COUNT = 3;
     private final List<AcceptedRecords> watchers = new ArrayList<>();
@@ -132,10 +132,10 @@
       highestSeen.get(n).clear();
     }
 
-    /** After the exchanges that a few seconds allow, every watcher holds what any of them held. */
+    /** Runs the exchanges of a few seconds; then every watcher must hold the newest revisions. */
     void convergeAndCompare() {
-      Map<String, Long> best = new TreeMap<>();
-      each(w -> w.all().forEach(r -> best.merge(r.key(), r.revision(), Math::max)));
+      Map<String, Long> newestRevisions = new TreeMap<>();
+      each(w -> w.all().forEach(r -> newestRevisions.merge(r.key(), r.revision(), Math::max)));
       for (int round = 0; round < 2; round++) {
         for (int n = 0; n < 2 * COUNT; n++) {
           exchange(n);
@@ -145,7 +145,9 @@
           w -> {
             Map<String, Long> held = new TreeMap<>();
             w.all().forEach(r -> held.put(r.key(), r.revision()));
-            assertWithMessage("in force everywhere").that(held).isEqualTo(best);
+            assertWithMessage("records in force on each watcher")
+                .that(held)
+                .isEqualTo(newestRevisions);
           });
     }
 
@@ -157,13 +159,13 @@
       for (int i = 0; i < COUNT; i++) {
         for (StoredRecord record : watchers.get(i).all()) {
           long before = highestSeen.get(i).getOrDefault(record.key(), 0L);
-          assertWithMessage("watcher %s went back on %s", i, record.key())
+          assertWithMessage("watcher %s reverted to an older revision of %s", i, record.key())
               .that(record.revision())
               .isAtLeast(before);
           highestSeen.get(i).put(record.key(), record.revision());
         }
         for (String key : highestSeen.get(i).keySet()) {
-          assertWithMessage("watcher %s forgot %s", i, key)
+          assertWithMessage("watcher %s lost %s", i, key)
               .that(watchers.get(i).stored(key).isPresent())
               .isTrue();
         }
--- a/sequoia-core/src/test/java/org/sequoiahub/core/config/WatchersPropertiesTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/config/WatchersPropertiesTest.java
@@ -7,14 +7,13 @@
 import net.jqwik.api.state.ActionChain;
 
 /**
- * Symptom: a traffic split that an operator has changed comes back; a change is in force on one
- * host and not on another.
+ * Guards against a traffic split that reverts after an operator has changed it, and against a
+ * change that is in force on one host but not on another.
  *
- * <p>Events: the configuration service answers from an older replica or not at all; watchers are
- * partitioned, restarted with nothing, and exchange what they have in any order; operators replace,
- * delete and race, with records that cannot be accepted among them.
- *
- * <p>Cause looked for: an answer taken for newer because it came later.
+ * <p>The configuration service responds from an older replica or not at all; watchers are
+ * partitioned, restart without state, and exchange their records in any order; operators replace
+ * and delete records concurrently, and some of the records are invalid. The failure occurs if a
+ * response is considered newer because it arrived later.
  */
 class WatchersPropertiesTest {
 
