--- a/sequoia-core/src/main/java/org/sequoiahub/core/fleet/Fleet.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/fleet/Fleet.java
@@ -7,42 +7,42 @@
 import java.util.stream.Collectors;
 
 /**
- * The host list as published at one revision.
+ * Snapshot of the published host list at one revision.
  *
- * @param revision the list's revision; a higher one replaces a lower one, never the reverse
+ * @param revision the list's revision; a list replaces only lists of lower revisions
  * @param hosts the entry hosts
- * @param runners the runners, each one engine
+ * @param runners the runners, one per engine
  * @param upstreams the upstreams of plain services
  */
 public record Fleet(
     long revision, List<Host> hosts, List<Runner> runners, List<ServiceUpstream> upstreams) {
 
-  /** The list before any was read. */
+  /** The list in use before one has been read. */
   public static final Fleet EMPTY = new Fleet(0, List.of(), List.of(), List.of());
 
-  /** Copies the lists. */
+  /** Creates the list with immutable copies of its parts. */
   public Fleet {
     hosts = List.copyOf(hosts);
     runners = List.copyOf(runners);
     upstreams = List.copyOf(upstreams);
   }
 
-  /** Whether something may be given new work. */
+  /** Whether a host, runner or upstream may receive new work. */
   public enum State {
-    /** In use. */
+    /** In service; receives new work. */
     LIVE,
-    /** About to go: no new work. */
+    /** About to be removed; receives no new work. */
     LEAVING
   }
 
   /**
-   * One entry host.
+   * An entry host.
    *
-   * @param id its name
-   * @param address its IP number
-   * @param failureDomain its failure domain
-   * @param state whether it may be given new work
-   * @param entryPort the callers' HTTP port
+   * @param id its unique name
+   * @param address its IP address
+   * @param failureDomain the name of its failure domain
+   * @param state whether it may receive new work
+   * @param entryPort the HTTP port for callers
    * @param dispatcherPort the dispatcher's port
    * @param watcherPort the watcher's port
    */
@@ -56,16 +56,16 @@
       int watcherPort) {}
 
   /**
-   * One runner.
+   * A runner.
    *
-   * @param id its name
-   * @param address host:port of the engine
-   * @param failureDomain its failure domain
-   * @param state whether it may be given new work
+   * @param id its unique name
+   * @param address address of the engine, as host:port
+   * @param failureDomain the name of its failure domain
+   * @param state whether it may receive new work
    * @param baseModel the base model that it serves
-   * @param slots how many adapter versions it holds at once
-   * @param batch how many requests it runs at once
-   * @param checksFencing whether it refuses orders with an old fencing number
+   * @param slots how many adapter versions it can hold at once
+   * @param batch how many requests it can run at once
+   * @param checksFencing whether the engine refuses orders with an outdated fencing number
    */
   public record Runner(
       String id,
@@ -78,13 +78,13 @@
       boolean checksFencing) {}
 
   /**
-   * One upstream of a plain service.
+   * An upstream of a plain service.
    *
-   * @param id its name
+   * @param id its unique name
    * @param service the service's name
-   * @param address host:port
-   * @param failureDomain its failure domain
-   * @param state whether it may be given new work
+   * @param address its address, as host:port
+   * @param failureDomain the name of its failure domain
+   * @param state whether it may receive new work
    */
   public record ServiceUpstream(
       String id, String service, String address, String failureDomain, State state) {}
@@ -99,17 +99,17 @@
     return runners.stream().filter(runner -> runner.id().equals(id)).findFirst();
   }
 
-  /** Returns the hosts that may be given new work. */
+  /** Returns the hosts that may receive new work. */
   public List<Host> liveHosts() {
     return hosts.stream().filter(host -> host.state() == State.LIVE).toList();
   }
 
-  /** Returns the runners by name. */
+  /** Returns the runners, keyed by name. */
   public Map<String, Runner> runnersById() {
     return runners.stream().collect(Collectors.toMap(Runner::id, Function.identity()));
   }
 
-  /** Returns the runners of a base model that may be given new work. */
+  /** Returns the runners of a base model that may receive new work. */
   public List<Runner> livePool(String baseModel) {
     return runners.stream()
         .filter(r -> r.state() == State.LIVE && r.baseModel().equals(baseModel))
--- a/sequoia-core/src/main/java/org/sequoiahub/core/fleet/FleetJson.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/fleet/FleetJson.java
@@ -15,7 +15,7 @@
 import org.sequoiahub.core.fleet.Fleet.ServiceUpstream;
 import org.sequoiahub.core.fleet.Fleet.State;
 
-/** Reads the host list's JSON, as docs/PLATFORM.md gives it. */
+/** Parses the host list from JSON in the format that docs/PLATFORM.md defines. */
 public final class FleetJson {
 
   private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -23,16 +23,17 @@
   private FleetJson() {}
 
   /**
-   * Reads a host list.
+   * Parses a host list.
    *
-   * @throws IllegalArgumentException if a field is missing or wrong; the message names it
+   * @throws IllegalArgumentException if {@code json} is not JSON, or if a field is missing or
+   *     invalid; the message names the field
    */
   public static Fleet parse(byte[] json) {
     JsonNode root;
     try {
       root = MAPPER.readTree(json);
     } catch (IOException e) {
-      throw new IllegalArgumentException("the host list must be JSON: " + e.getMessage(), e);
+      throw new IllegalArgumentException("host list must be valid JSON: " + e.getMessage(), e);
     }
     return new Fleet(
         JsonItem.at(root, "host list").number("revision"),
@@ -74,13 +75,14 @@
   }
 
   private static <T> List<T> items(
-      JsonNode root, String field, Function<JsonItem, T> read, Function<T, String> id) {
+      JsonNode root, String field, Function<JsonItem, T> parser, Function<T, String> idOf) {
     List<T> items = new ArrayList<>();
     Set<String> ids = new HashSet<>();
     for (JsonNode node : root.path(field)) {
-      T item = read.apply(JsonItem.at(node, field + "[" + items.size() + "]"));
-      if (!ids.add(id.apply(item))) {
-        throw new IllegalArgumentException(field + ": id '" + id.apply(item) + "' is listed twice");
+      T item = parser.apply(JsonItem.at(node, field + "[" + items.size() + "]"));
+      if (!ids.add(idOf.apply(item))) {
+        throw new IllegalArgumentException(
+            field + ": id '" + idOf.apply(item) + "' is listed more than once");
       }
       items.add(item);
     }
@@ -95,14 +97,14 @@
     String text(String field) {
       @Nullable String text = node.path(field).textValue();
       if (text == null || text.isEmpty()) {
-        throw invalid(field, "must be a text");
+        throw invalid(field, "must be a non-empty string");
       }
       return text;
     }
 
     long number(String field) {
       if (!node.path(field).isIntegralNumber()) {
-        throw invalid(field, "must be a whole number");
+        throw invalid(field, "must be an integer");
       }
       return node.path(field).longValue();
     }
@@ -131,8 +133,8 @@
       }
     }
 
-    private IllegalArgumentException invalid(String field, String rule) {
-      return new IllegalArgumentException(path + "." + field + " " + rule);
+    private IllegalArgumentException invalid(String field, String requirement) {
+      return new IllegalArgumentException(path + "." + field + " " + requirement);
     }
   }
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/fleet/package-info.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/fleet/package-info.java
@@ -1,4 +1,4 @@
-/** Hosts, runners and service upstreams as the platform publishes them. */
+/** The hosts, runners and service upstreams that the platform publishes. */
 @NullMarked
 package org.sequoiahub.core.fleet;
 
