--- a/sequoia-core/src/main/java/org/sequoiahub/core/route/ActivePool.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/route/ActivePool.java
@@ -7,21 +7,21 @@
 import org.sequoiahub.core.placement.Rendezvous;
 
 /**
- * Chooses how many runners of a pool share its work, so that batches are filled before another
+ * Selects the runners of a pool that share its work, so that batches are filled before another
  * runner is used.
  *
- * <p>Every entry ranks a pool's runners alike and uses the first few of that ranking, so entries
- * agree without talking but for the number, which each works out from its own requests in flight
- * and the number of entries. It grows at once and shrinks slowly: a runner that is left loses its
- * adapters.
+ * <p>All entries rank a pool's runners in the same order and use the first ones, so they agree
+ * without coordination except for the number of runners. Each entry computes that number from its
+ * own requests in flight and the number of entries. The number increases immediately but decreases
+ * slowly, because a runner that is no longer used loses its adapters.
  *
- * <p>Not thread-safe: one duty owns it, one for each base model.
+ * <p>Not thread-safe: an instance serves one base model and is confined to one duty.
  */
 public final class ActivePool {
 
   private static final double SHRINK_HALF_LIFE_MILLIS = 60_000;
 
-  /** Places in batches for each request in flight: entries' estimates of the load vary. */
+  /** Batch capacity per request in flight; above 1 because the estimates of the entries vary. */
   private static final double HEADROOM = 1.3;
 
   private final double minActiveShare;
@@ -29,22 +29,24 @@
   private long smoothedAtMillis;
 
   /**
-   * Creates the chooser of one pool.
+   * Creates the selector of one pool.
    *
-   * @param leastShare the least share of the pool that is used, above 0 to 1; 1 uses all of it.
-   *     Fewer runners hold fewer adapters, and the weight store bounds how few that may be
+   * @param minActiveShare the minimum share of the pool that is used, above 0 and at most 1; 1 uses
+   *     all of it. Fewer runners hold fewer adapters, and the weight store limits how few are
+   *     possible
    */
-  public ActivePool(double leastShare) {
-    checkArgument(leastShare > 0 && leastShare <= 1, "leastShare must be above 0 to 1");
-    this.minActiveShare = leastShare;
+  public ActivePool(double minActiveShare) {
+    checkArgument(
+        minActiveShare > 0 && minActiveShare <= 1, "minActiveShare must be above 0 and at most 1");
+    this.minActiveShare = minActiveShare;
   }
 
   /**
    * Returns the runners to use.
    *
    * @param baseModel the pool's base model
-   * @param pool its runners that may be given new work
-   * @param inFlight the estimated requests in flight in the whole pool
+   * @param pool its runners that may receive new work
+   * @param inFlight the estimated number of requests in flight in the whole pool
    */
   public List<Runner> select(String baseModel, List<Runner> pool, double inFlight, long nowMillis) {
     if (minActiveShare == 1 || pool.isEmpty()) {
@@ -54,9 +56,9 @@
     smoothedInFlight = Math.max(inFlight, inFlight + (smoothedInFlight - inFlight) * decay);
     smoothedAtMillis = nowMillis;
     int batch = pool.get(0).batch();
-    int forLoad = (int) Math.ceil(smoothedInFlight * HEADROOM / batch);
-    int least = (int) Math.ceil(pool.size() * minActiveShare);
-    int count = Math.min(pool.size(), Math.max(least, forLoad));
+    int neededForLoad = (int) Math.ceil(smoothedInFlight * HEADROOM / batch);
+    int minCount = (int) Math.ceil(pool.size() * minActiveShare);
+    int count = Math.min(pool.size(), Math.max(minCount, neededForLoad));
     return Rendezvous.spread(
         baseModel, pool, count, Runner::id, Runner::failureDomain, runner -> 1);
   }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/route/RouteSettings.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/route/RouteSettings.java
@@ -1,23 +1,28 @@
 package org.sequoiahub.core.route;
 
 /**
- * The weights by which a runner is chosen.
+ * Settings that weigh the criteria for choosing a runner.
  *
- * @param candidateCount how many candidates are compared
- * @param loadCostMillis what sending a request to a runner that lacks its adapter costs
- * @param minActiveShare the least share of a pool that is used; 1 spreads work over all of it
- * @param batchFillWeight how strongly a runner that is already busy, but not full, is preferred; 0
- *     prefers the emptiest
+ * @param candidateCount the number of candidate runners that are compared
+ * @param loadCostMillis the cost of sending a request to a runner that has not loaded its adapter,
+ *     as milliseconds of waiting
+ * @param minActiveShare the minimum share of a pool that is used, above 0; 1 spreads work over the
+ *     whole pool
+ * @param batchFillWeight whether partly filled batches are preferred: if above 0, busier runners
+ *     are preferred up to a full batch; if 0, the emptiest
  */
 public record RouteSettings(
     int candidateCount, double loadCostMillis, double batchFillWeight, double minActiveShare) {
 
-  /** Load stalls weigh most: a load is expensive. */
+  /** Returns settings that weigh load stalls most, for deployments where a load is expensive. */
   public static RouteSettings ashcombe() {
     return new RouteSettings(4, 4_000, 0, 1);
   }
 
-  /** Batch efficiency weighs most: batches are filled before another runner is used. */
+  /**
+   * Returns settings that weigh batch efficiency most: batches are filled before another runner is
+   * used.
+   */
   public static RouteSettings dhuwaan() {
     return new RouteSettings(4, 4_000, 1, 0.7);
   }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/route/RunnerHints.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/route/RunnerHints.java
@@ -9,10 +9,10 @@
 import org.sequoiahub.core.record.AdapterVersion;
 
 /**
- * What an entry remembers of runners, from the answers that passed through it.
+ * The state of runners that an entry last observed in responses.
  *
- * <p>Hints are old by the time they are used. They only steer; whatever they say, the owner
- * decides.
+ * <p>Hints are outdated by the time they are used. They only influence the choice of a runner; its
+ * owner decides whether the runner serves a request.
  */
 public final class RunnerHints {
 
@@ -25,40 +25,45 @@
   private final Cache<RunnerAdapter, Long> residencySeenMillis =
       CacheBuilder.newBuilder().maximumSize(MAX_RESIDENCY_HINTS).build();
 
-  /** Takes in what a runner's owner said of a request for {@code adapter}. */
+  /**
+   * Updates the hints from the response of a runner's owner to a request for {@code adapter}.
+   *
+   * @param waitMillis the wait that the owner expects for the request
+   * @param isResident whether the adapter is loaded on the runner
+   */
   public void update(
       String runner, AdapterVersion adapter, long waitMillis, boolean isResident, long nowMillis) {
-    RunnerAdapter pair = new RunnerAdapter(runner, adapter);
+    RunnerAdapter key = new RunnerAdapter(runner, adapter);
     if (isResident) {
-      residencySeenMillis.put(pair, nowMillis);
+      residencySeenMillis.put(key, nowMillis);
       waits.put(runner, new ObservedWait(waitMillis, nowMillis));
     } else {
-      // The wait for a load says nothing about adapters that are loaded there, so it is not kept.
-      residencySeenMillis.invalidate(pair);
+      // The wait for a load does not apply to adapters that are already loaded, so it is not kept.
+      residencySeenMillis.invalidate(key);
     }
   }
 
-  /** Counts a request that is being sent to a runner. */
+  /** Counts a request as in flight at a runner. */
   public void requestSent(String runner) {
     inFlight.merge(runner, 1, Integer::sum);
   }
 
-  /** Counts a request that ended. */
+  /** Counts a request at a runner as ended. */
   public void requestEnded(String runner) {
     inFlight.computeIfPresent(runner, (r, count) -> count > 1 ? count - 1 : null);
   }
 
-  /** Returns the requests that this entry has in flight at a runner. */
+  /** Returns the number of requests that this entry has in flight at a runner. */
   public int inFlight(String runner) {
     return inFlight.getOrDefault(runner, 0);
   }
 
-  /** Returns the requests that this entry has in flight at {@code runners} together. */
+  /** Returns the total number of requests that this entry has in flight at {@code runners}. */
   public int inFlight(List<Runner> runners) {
     return runners.stream().mapToInt(runner -> inFlight(runner.id())).sum();
   }
 
-  /** Returns the last wait of loaded adapters heard of, decayed by its age, in milliseconds. */
+  /** Returns the last reported wait for loaded adapters, decayed by its age, in milliseconds. */
   public double expectedWaitMillis(String runner, long nowMillis) {
     ObservedWait wait = waits.get(runner);
     return wait == null
@@ -67,14 +72,15 @@
   }
 
   /**
-   * Returns whether {@code adapter} was loaded on {@code runner} when lately heard of.
+   * Returns whether {@code adapter} was recently reported as loaded on {@code runner}.
    *
-   * <p>An old hint is worse than none: it sends a rare adapter back to a runner that has evicted
-   * it, while other entries send it to its first candidate, and it is loaded twice.
+   * <p>Hints expire because an outdated hint is worse than none: it would send requests for a
+   * rarely used adapter back to a runner that has evicted it, while other entries send them to the
+   * first candidate, so the adapter would be loaded twice.
    */
   public boolean isResident(String runner, AdapterVersion adapter, long nowMillis) {
-    Long since = residencySeenMillis.getIfPresent(new RunnerAdapter(runner, adapter));
-    return since != null && nowMillis - since < RESIDENCY_HINT_TTL_MILLIS;
+    Long seenMillis = residencySeenMillis.getIfPresent(new RunnerAdapter(runner, adapter));
+    return seenMillis != null && nowMillis - seenMillis < RESIDENCY_HINT_TTL_MILLIS;
   }
 
   private record ObservedWait(double millis, long observedAtMillis) {}
--- a/sequoia-core/src/main/java/org/sequoiahub/core/route/package-info.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/route/package-info.java
@@ -1,4 +1,4 @@
-/** Resolving a caller's model name once, and choosing the runner that can start it soonest. */
+/** One-time resolution of a caller's model name, and choice of a runner for the request. */
 @NullMarked
 package org.sequoiahub.core.route;
 
