--- a/sequoia-core/src/test/java/org/sequoiahub/core/fuzz/FuzzMain.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/fuzz/FuzzMain.java
@@ -14,22 +14,27 @@
 import org.sequoiahub.core.runner.RunnerActions;
 
 /**
- * Runs the stateful properties with fresh seeds for a while; prints a failure's seed and sequence.
+ * Runs the stateful properties with successive seeds for a given time, and prints the seed and the
+ * shrunk sequence of events of the first failure.
  */
 public final class FuzzMain {
 
   private static final int GENERATION_SIZE = 1_000;
   private static final int CHAINS_PER_SEED = 200;
-  private static final int MAX_SHRINKS = 2_000;
+  private static final int MAX_SHRINK_ATTEMPTS = 2_000;
 
   private FuzzMain() {}
 
-  /** Arguments: seconds, first seed. Exits 1 at the first failure. */
+  /**
+   * Runs the properties and exits with status 1 at the first failure.
+   *
+   * @param arguments the time to run in seconds, and the first seed
+   */
   public static void main(String[] arguments) {
-    long untilNanos = System.nanoTime() + Long.parseLong(arguments[0]) * 1_000_000_000L;
+    long deadlineNanos = System.nanoTime() + Long.parseLong(arguments[0]) * 1_000_000_000L;
     long seed = Long.parseLong(arguments[1]);
     long chains = 0;
-    while (System.nanoTime() < untilNanos) {
+    while (System.nanoTime() < deadlineNanos) {
       for (Target target : Target.values()) {
         if (!run(target, seed)) {
           System.exit(1);
@@ -41,7 +46,7 @@
     System.out.println("fuzz chains=" + chains + " last_seed=" + (seed - 1) + " failures=0");
   }
 
-  /** What is fuzzed. */
+  /** A stateful property to fuzz. */
   private enum Target {
     FENCED(RunnerActions.chains(true), RunnerActions::finish),
     UNFENCED(RunnerActions.chains(false), RunnerActions::finish),
@@ -76,31 +81,31 @@
   }
 
   private static void report(Target target, long seed, Shrinkable<?> failing) {
-    Shrinkable<?> smallest = failing;
-    int tried = 0;
-    boolean smaller = true;
-    while (smaller && tried < MAX_SHRINKS) {
-      smaller = false;
-      Iterator<? extends Shrinkable<?>> candidates = smallest.shrink().iterator();
-      while (candidates.hasNext() && tried++ < MAX_SHRINKS) {
+    Shrinkable<?> simplest = failing;
+    int attempts = 0;
+    boolean shrunk = true;
+    while (shrunk && attempts < MAX_SHRINK_ATTEMPTS) {
+      shrunk = false;
+      Iterator<? extends Shrinkable<?>> candidates = simplest.shrink().iterator();
+      while (candidates.hasNext() && attempts++ < MAX_SHRINK_ATTEMPTS) {
         Shrinkable<?> candidate = candidates.next();
         if (failure(target, candidate).isPresent()) {
-          smallest = candidate;
-          smaller = true;
+          simplest = candidate;
+          shrunk = true;
           break;
         }
       }
     }
-    ActionChain<?> chain = (ActionChain<?>) smallest.value();
-    String why = "";
+    ActionChain<?> chain = (ActionChain<?>) simplest.value();
+    String message = "";
     try {
       target.finish.accept(chain.run());
     } catch (Throwable e) {
-      why = String.valueOf(e.getMessage());
+      message = String.valueOf(e.getMessage());
     }
     System.out.println("fuzz failure target=" + target + " seed=" + seed);
     System.out.println("  sequence: " + chain.transformations());
-    System.out.println("  " + why.replace("\n", "\n  "));
+    System.out.println("  " + message.replace("\n", "\n  "));
   }
 
   private static Optional<Throwable> failure(Target target, Shrinkable<?> shrinkable) {
