--- a/sequoia-core/src/main/java/org/sequoiahub/core/authority/FencedAuthority.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/authority/FencedAuthority.java
@@ -24,14 +24,14 @@
    * Creates an authority that is not held.
    *
    * @param durationMillis how long authority lasts after an accepted renewal was sent
-   * @param tag a number that this holder drew at random; it keeps the holder's fencing numbers
-   *     distinct from those of other holders
+   * @param holderTag a number that this holder drew at random; it keeps the holder's fencing
+   *     numbers distinct from those of other holders
    */
-  public FencedAuthority(long durationMillis, int tag) {
+  public FencedAuthority(long durationMillis, int holderTag) {
     checkArgument(durationMillis > 0, "durationMillis must be above 0");
     this.durationMillis = durationMillis;
     this.term = new Term(durationMillis);
-    this.holderTag = Integer.toUnsignedLong(tag);
+    this.holderTag = Integer.toUnsignedLong(holderTag);
     this.fencingNumber = nextNumberAbove(0);
   }
 
--- a/sequoia-core/src/main/java/org/sequoiahub/core/operation/BeginDecision.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/operation/BeginDecision.java
@@ -9,7 +9,7 @@
  */
 public sealed interface BeginDecision<A> {
 
-  /** Run the operation now: it has not run, and no other call receives this decision. */
+  /** The operation has not run, and no other call is running it: run it now. */
   record Run<A>() implements BeginDecision<A> {}
 
   /** The operation is running: wait for the response to the first call. */
