--- a/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/Dispatcher.java
+++ b/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/Dispatcher.java
@@ -14,7 +14,7 @@
 import org.sequoiahub.platform.ServiceClient;
 import org.sequoiahub.runtime.admin.AdminServer;
 import org.sequoiahub.runtime.duty.Duty;
-import org.sequoiahub.runtime.duty.Inbox;
+import org.sequoiahub.runtime.duty.DeferredInbox;
 import org.sequoiahub.runtime.duty.MonotonicClock;
 import org.sequoiahub.runtime.log.EventLog;
 import org.sequoiahub.runtime.settings.Endpoint;
@@ -48,16 +48,16 @@
     this.settings = settings;
     this.log = new EventLog("dispatcher", settings.getHostId());
     final MetricRegistry metrics = new MetricRegistry();
-    this.network = WireThreads.one("wire");
+    this.network = WireThreads.singleThread("wire");
     this.http = HttpClients.start();
     this.clients = new WireClients(network, settings.getSilenceMs());
     this.tracing =
         Tracing.create(settings.getTraces(), settings.getOtlpEndpoint(), "dispatcher", log);
-    Inbox<DispatcherEvent> events = new Inbox<>();
+    DeferredInbox<DispatcherEvent> events = new DeferredInbox<>();
     DispatcherDuty state = state(metrics, events);
     ViewFeed feed =
         new ViewFeed(
-            clients.to(Endpoint.of(settings.getWatcher())),
+            clients.clientOf(Endpoint.of(settings.getWatcher())),
             true,
             update -> events.accept(new DispatcherEvent.Viewed(update)));
     this.duty =
@@ -72,7 +72,7 @@
             },
             state::failed,
             MonotonicClock.SYSTEM);
-    events.connectTo(duty);
+    events.forwardTo(duty);
     this.admin =
         new AdminServer(
             settings.getBindAddress(),
@@ -152,12 +152,12 @@
 
   private final class Inbound implements WireServer.Handler {
     @Override
-    public void message(WireConnection connection, Envelope message) {
+    public void onMessage(WireConnection connection, Envelope message) {
       duty.put(new DispatcherEvent.Received(connection, message));
     }
 
     @Override
-    public void closed(WireConnection connection) {
+    public void onClosed(WireConnection connection) {
       duty.put(new DispatcherEvent.Closed(connection));
     }
   }
--- a/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/LeaseService.java
+++ b/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/LeaseService.java
@@ -78,7 +78,7 @@
     LeaseCall release = call(runner).setRelease(true).build();
     for (Host host : fleet.hosts()) {
       if (!host.id().equals(settings.getHostId())) {
-        client(host).tell(Envelope.newBuilder().setLease(release));
+        client(host).sendOneWay(Envelope.newBuilder().setLease(release));
       }
     }
   }
@@ -102,7 +102,7 @@
   }
 
   private WireClient client(Host host) {
-    return clients.to(new Endpoint(host.address(), host.dispatcherPort()));
+    return clients.clientOf(new Endpoint(host.address(), host.dispatcherPort()));
   }
 
   private Set<String> hostIds() {
@@ -123,14 +123,14 @@
     }
 
     @Override
-    public void message(Envelope message) {
-      client.end(message.getCall());
+    public void onMessage(Envelope message) {
+      client.endCall(message.getCall());
       boolean granted = message.getLeaseAnswer().getGranted();
       events.accept(new DispatcherEvent.LeaseAnswered(runner, host, sentMillis, granted));
     }
 
     @Override
-    public void lost(boolean handedOn) {
+    public void onConnectionLost(boolean handedOn) {
       events.accept(new DispatcherEvent.LeaseAnswered(runner, host, sentMillis, false));
     }
   }
--- a/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/LoadTurnService.java
+++ b/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/LoadTurnService.java
@@ -67,7 +67,7 @@
       return;
     }
     WireClient client =
-        clients.to(new Endpoint(keeper.get().address(), keeper.get().dispatcherPort()));
+        clients.clientOf(new Endpoint(keeper.get().address(), keeper.get().dispatcherPort()));
     LoadTurnCall call =
         LoadTurnCall.newBuilder()
             .setRunner(runner)
@@ -90,7 +90,7 @@
     if (turn != null) {
       LoadTurnCall done = LoadTurnCall.newBuilder().setDone(true).build();
       turn.client.send(turn.call, Envelope.newBuilder().setLoadTurn(done));
-      turn.client.end(turn.call);
+      turn.client.endCall(turn.call);
     }
   }
 
@@ -155,12 +155,12 @@
     }
 
     @Override
-    public void message(Envelope message) {
+    public void onMessage(Envelope message) {
       events.accept(new DispatcherEvent.TurnAnswered(runner, adapter, true));
     }
 
     @Override
-    public void lost(boolean handedOn) {
+    public void onConnectionLost(boolean handedOn) {
       events.accept(new DispatcherEvent.TurnAnswered(runner, adapter, false));
     }
   }
--- a/sequoia-entry/src/main/java/org/sequoiahub/entry/DispatcherDirectory.java
+++ b/sequoia-entry/src/main/java/org/sequoiahub/entry/DispatcherDirectory.java
@@ -50,7 +50,7 @@
   }
 
   WireClient client(Host host) {
-    return clients.to(endpoint(host));
+    return clients.clientOf(endpoint(host));
   }
 
   private static Endpoint endpoint(Host host) {
--- a/sequoia-entry/src/main/java/org/sequoiahub/entry/Entry.java
+++ b/sequoia-entry/src/main/java/org/sequoiahub/entry/Entry.java
@@ -20,7 +20,7 @@
 import org.sequoiahub.core.route.RouteSettings;
 import org.sequoiahub.runtime.admin.AdminServer;
 import org.sequoiahub.runtime.duty.Duty;
-import org.sequoiahub.runtime.duty.Inbox;
+import org.sequoiahub.runtime.duty.DeferredInbox;
 import org.sequoiahub.runtime.duty.MonotonicClock;
 import org.sequoiahub.runtime.log.EventLog;
 import org.sequoiahub.runtime.settings.Endpoint;
@@ -56,14 +56,14 @@
     this.settings = settings;
     this.log = new EventLog("entry", settings.getHostId());
     final MetricRegistry metrics = new MetricRegistry();
-    this.network = WireThreads.one("wire");
+    this.network = WireThreads.singleThread("wire");
     this.clients = new WireClients(network, settings.getSilenceMs());
     this.tracing = Tracing.create(settings.getTraces(), settings.getOtlpEndpoint(), "entry", log);
-    Inbox<EntryEvent> events = new Inbox<>();
+    DeferredInbox<EntryEvent> events = new DeferredInbox<>();
     EntryDuty state = state(metrics, events);
     ViewFeed feed =
         new ViewFeed(
-            clients.to(Endpoint.of(settings.getWatcher())),
+            clients.clientOf(Endpoint.of(settings.getWatcher())),
             false,
             update -> events.accept(new EntryEvent.Viewed(update)));
     this.duty =
@@ -78,7 +78,7 @@
             },
             state::failed,
             MonotonicClock.SYSTEM);
-    events.connectTo(duty);
+    events.forwardTo(duty);
     this.admin =
         new AdminServer(
             settings.getBindAddress(),
--- a/sequoia-entry/src/main/java/org/sequoiahub/entry/Flight.java
+++ b/sequoia-entry/src/main/java/org/sequoiahub/entry/Flight.java
@@ -147,7 +147,7 @@
   /** Ends the present call: nothing more is wanted of it. */
   void endCall() {
     if (client != null) {
-      client.end(call);
+      client.endCall(call);
       client = null;
     }
   }
--- a/sequoia-entry/src/main/java/org/sequoiahub/entry/FlightEvents.java
+++ b/sequoia-entry/src/main/java/org/sequoiahub/entry/FlightEvents.java
@@ -16,12 +16,12 @@
   CallListener listener(long flight, int attempt) {
     return new CallListener() {
       @Override
-      public void message(Envelope message) {
+      public void onMessage(Envelope message) {
         events.accept(new EntryEvent.FlightMessage(flight, attempt, message));
       }
 
       @Override
-      public void lost(boolean handedOn) {
+      public void onConnectionLost(boolean handedOn) {
         events.accept(new EntryEvent.FlightLost(flight, attempt, handedOn));
       }
     };
--- a/sequoia-entry/src/main/java/org/sequoiahub/entry/Reply.java
+++ b/sequoia-entry/src/main/java/org/sequoiahub/entry/Reply.java
@@ -12,7 +12,7 @@
 import org.eclipse.jetty.server.Response;
 import org.eclipse.jetty.util.Callback;
 import org.sequoiahub.core.verdict.Verdict.NotRun;
-import org.sequoiahub.runtime.http.PieceWriter;
+import org.sequoiahub.runtime.http.ChunkWriter;
 import org.sequoiahub.schema.wire.Outcome;
 import org.sequoiahub.schema.wire.RunVerdict;
 
@@ -21,7 +21,7 @@
  *
  * <p>May be used by any thread; the pieces go out in the order of the calls.
  *
- * @see PieceWriter
+ * @see ChunkWriter
  */
 final class Reply {
 
@@ -29,12 +29,12 @@
   private static final long MILLIS_PER_SECOND = 1_000;
 
   private final Response response;
-  private final PieceWriter writer;
+  private final ChunkWriter writer;
   private boolean begun;
 
   Reply(Response response, Callback callback) {
     this.response = response;
-    this.writer = new PieceWriter(response, callback);
+    this.writer = new ChunkWriter(response, callback);
   }
 
   /** Sets a header; no effect once the answer has begun. */
@@ -113,7 +113,7 @@
 
   /** Returns whether the caller is gone. */
   boolean isBroken() {
-    return writer.isBroken();
+    return writer.isAborted();
   }
 
   /** Returns whether a part of the answer has gone out. */
--- a/sequoia-entry/src/main/java/org/sequoiahub/entry/ServiceFrontEnd.java
+++ b/sequoia-entry/src/main/java/org/sequoiahub/entry/ServiceFrontEnd.java
@@ -335,13 +335,13 @@
     }
 
     @Override
-    public void message(Envelope message) {
-      client.end(message.getCall());
+    public void onMessage(Envelope message) {
+      client.endCall(message.getCall());
       events.accept(new EntryEvent.Then(() -> answered.accept(message)));
     }
 
     @Override
-    public void lost(boolean handedOn) {
+    public void onConnectionLost(boolean handedOn) {
       events.accept(new EntryEvent.Then(() -> lost.accept(handedOn)));
     }
   }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/Node.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/Node.java
@@ -66,7 +66,7 @@
 import org.sequoiahub.usersplatform.RecordDecoder;
 import org.sequoiahub.usersplatform.StoreClient;
 import org.sequoiahub.usersplatform.StoredItem;
-import org.sequoiahub.usersplatform.StoredKeys;
+import org.sequoiahub.usersplatform.StoreKeys;
 import org.sequoiahub.wire.WireClients;
 import org.sequoiahub.wire.WireConnection;
 import org.sequoiahub.wire.WireServer;
@@ -132,7 +132,7 @@
   private final EventLog log;
   private final MetricRegistry metrics = new MetricRegistry();
   private final Random random = new Random(new SecureRandom().nextLong());
-  private final EventLoopGroup network = WireThreads.one("peers");
+  private final EventLoopGroup network = WireThreads.singleThread("peers");
   private final HttpClient storeHttp;
   private final HttpClient runnerHttp;
   private final Duty<Runnable> duty;
@@ -186,7 +186,7 @@
     this.spending = new FleetSpending(host.allowances().windowMillis());
     this.allowances =
         new AllowanceKeeper(
-            spending, host.allowances(), host.expectsOthers(), random::nextDouble, startedMillis);
+            spending, host.allowances(), host.expectsOtherHosts(), random::nextDouble, startedMillis);
     KeyHasher keys = KeyHasher.drawn(new SecureRandom());
     RecordDecoder decoder = new RecordDecoder(keys);
     this.store = new StoreRegistry(decoder, book, this::inForce, this::changed, log);
@@ -275,11 +275,11 @@
             store,
             follower(
                 storeClient,
-                StoredKeys.OPERATOR_PREFIX,
+                StoreKeys.OPERATOR_PREFIX,
                 WatchTiming.within(host.configurationMillis(), 0)),
             follower(
                 storeClient,
-                StoredKeys.RUNNER_PREFIX,
+                StoreKeys.RUNNER_PREFIX,
                 WatchTiming.within(host.drainMillis(), RUNNER_SPACING_MILLIS)),
             new RecordExchange(RecordExchange.over(wireClients, host.peerPort()), this::passedOn),
             this::changed,
@@ -430,7 +430,7 @@
       HostState state = other.state();
       hosts = Math.max(hosts, state == null ? 0 : state.getFleetSize());
     }
-    return hosts == 1 && host.expectsOthers() ? 0 : hosts;
+    return hosts == 1 && host.expectsOtherHosts() ? 0 : hosts;
   }
 
   private long tickMillis() {
@@ -645,7 +645,7 @@
 
   private final class PeerHandler implements WireServer.Handler {
     @Override
-    public void message(WireConnection connection, Envelope message) {
+    public void onMessage(WireConnection connection, Envelope message) {
       if (message.hasStorePull()) {
         duty.put(
             () ->
@@ -661,7 +661,7 @@
     }
 
     @Override
-    public void closed(WireConnection connection) {
+    public void onClosed(WireConnection connection) {
       // Nothing is kept for a connection.
     }
   }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/NodeMain.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/NodeMain.java
@@ -41,7 +41,7 @@
   private static Path file(NodeSettings settings) {
     return Path.of(
         settings.getSettingsFile().equals(UNSET)
-            ? Optional.ofNullable(System.getenv(SettingsFile.VARIABLE)).orElse("")
+            ? Optional.ofNullable(System.getenv(SettingsFile.PATH_VARIABLE)).orElse("")
             : settings.getSettingsFile());
   }
 
--- a/sequoia-node/src/main/java/org/sequoiahub/node/SampleRunner.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/SampleRunner.java
@@ -48,7 +48,7 @@
       String first = in.readLine();
       while (first != null) {
         skipRequest(in);
-        connection.getOutputStream().write(SampleRecords.runnerAnswer(first.split(" ")[1]));
+        connection.getOutputStream().write(SampleRecords.runnerResponse(first.split(" ")[1]));
         first = in.readLine();
       }
     } catch (IOException e) {
--- a/sequoia-node/src/main/java/org/sequoiahub/node/SelfCheck.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/SelfCheck.java
@@ -19,7 +19,7 @@
 import org.sequoiahub.runtime.port.FreePorts;
 import org.sequoiahub.runtime.settings.SettingsLoader;
 import org.sequoiahub.schema.settings.NodeSettings;
-import org.sequoiahub.usersplatform.AddressDialect;
+import org.sequoiahub.usersplatform.AddressProtocol;
 import org.sequoiahub.usersplatform.Headers;
 import org.sequoiahub.usersplatform.HostSettings;
 import org.sequoiahub.usersplatform.SampleRecords;
@@ -81,8 +81,8 @@
       throws Exception {
     boolean good = true;
     for (int round = 0; round < ROUNDS; round++) {
-      good &= isUnavailable(client, ports.get(1), AddressDialect.READINESS_PATH);
-      good &= isUnavailable(client, ports.get(2), AddressDialect.ADDRESS_PATH);
+      good &= isUnavailable(client, ports.get(1), AddressProtocol.READINESS_PATH);
+      good &= isUnavailable(client, ports.get(2), AddressProtocol.ADDRESS_PATH);
       good &= stream(client, ports.get(0)) == HttpStatus.SERVICE_UNAVAILABLE_503;
     }
     return good;
@@ -114,12 +114,12 @@
         .headers(
             headers ->
                 headers
-                    .put("Host", SampleRecords.CALLED_HOST)
+                    .put("Host", SampleRecords.ROUTE_HOST)
                     .put(Headers.REQUEST_ID, SampleRecords.REQUEST_ID)
                     .put(Headers.DEADLINE, DEADLINE_MILLIS)
                     .put(Headers.MODEL, SampleRecords.ADAPTER)
-                    .put(Headers.TOKENS, "100,20")
-                    .put(Headers.PROMPT, "aa:60,bb:40"))
+                    .put(Headers.TOKEN_COUNTS, "100,20")
+                    .put(Headers.PROMPT_PARTS, "aa:60,bb:40"))
         .body(new StringRequestContent("self-check"))
         .send()
         .getStatus();
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/Admission.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/Admission.java
@@ -15,7 +15,7 @@
 import org.sequoiahub.core.workspace.Workspace;
 import org.sequoiahub.node.caller.CallerExchange;
 import org.sequoiahub.runtime.log.EventLog;
-import org.sequoiahub.usersplatform.CallerDialect.CallerHeaders;
+import org.sequoiahub.usersplatform.HeaderCodec.CallerHeaders;
 
 /**
  * Decides by the configuration in force whether a request may be served at all: its route, its key,
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/Call.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/Call.java
@@ -13,7 +13,7 @@
 import org.sequoiahub.core.workspace.Workspace;
 import org.sequoiahub.node.caller.CallerExchange;
 import org.sequoiahub.node.upstream.Attempt;
-import org.sequoiahub.usersplatform.CallerDialect.CallerHeaders;
+import org.sequoiahub.usersplatform.HeaderCodec.CallerHeaders;
 
 /** One caller's request while it is in progress; touched by the decision thread only. */
 final class Call {
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/OwnAnswers.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/OwnAnswers.java
@@ -6,8 +6,8 @@
 import org.eclipse.jetty.http.HttpStatus;
 import org.sequoiahub.node.caller.CallerExchange;
 import org.sequoiahub.runtime.log.EventLog;
-import org.sequoiahub.usersplatform.CallerDialect;
-import org.sequoiahub.usersplatform.CallerDialect.CallerHeaders;
+import org.sequoiahub.usersplatform.HeaderCodec;
+import org.sequoiahub.usersplatform.HeaderCodec.CallerHeaders;
 
 /** Answers that come from this host and not from a runner. */
 final class OwnAnswers {
@@ -49,7 +49,7 @@
       CallerExchange exchange, CallerHeaders headers, int status, String why, long retryMillis) {
     HttpFields.Mutable fields = HttpFields.build();
     if (!headers.requestId().isEmpty()) {
-      fields.put(CallerDialect.requestId(headers.requestId()));
+      fields.put(HeaderCodec.requestId(headers.requestId()));
     }
     if (retryMillis >= 0) {
       fields.put(HttpHeader.RETRY_AFTER, Double.toString(retryMillis / MILLIS));
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/RequestCoordinator.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/RequestCoordinator.java
@@ -42,9 +42,9 @@
 import org.sequoiahub.node.upstream.Outcome;
 import org.sequoiahub.node.upstream.UpstreamClient;
 import org.sequoiahub.runtime.log.EventLog;
-import org.sequoiahub.usersplatform.CallerDialect;
-import org.sequoiahub.usersplatform.CallerDialect.CallerHeaders;
-import org.sequoiahub.usersplatform.CallerDialect.RunnerHeaders;
+import org.sequoiahub.usersplatform.HeaderCodec;
+import org.sequoiahub.usersplatform.HeaderCodec.CallerHeaders;
+import org.sequoiahub.usersplatform.HeaderCodec.RunnerHeaders;
 
 /** Takes requests from their arrival to their last byte; runs on the decision thread. */
 public final class RequestCoordinator {
@@ -162,7 +162,7 @@
   /** Takes a request whose body has been read. */
   public void arrived(CallerExchange exchange) {
     final long now = clock.getAsLong();
-    CallerHeaders headers = CallerDialect.decode(exchange.headers(), keys);
+    CallerHeaders headers = HeaderCodec.decodeCaller(exchange.headers(), keys);
     if (shutdown != null) {
       exchange.closeAfterwards();
     }
@@ -522,7 +522,7 @@
             call.exchange.method(),
             call.exchange.pathAndQuery(),
             call.id(),
-            CallerDialect.toRunner(call.exchange.headers(), ours),
+            HeaderCodec.toRunner(call.exchange.headers(), ours),
             call.exchange.body(),
             call.route.repetition().isStream(),
             new Follower(call, running));
--- a/sequoia-node/src/main/java/org/sequoiahub/node/caller/CallerExchange.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/caller/CallerExchange.java
@@ -11,7 +11,7 @@
 import org.eclipse.jetty.server.Request;
 import org.eclipse.jetty.server.Response;
 import org.eclipse.jetty.util.Callback;
-import org.sequoiahub.runtime.http.PieceWriter;
+import org.sequoiahub.runtime.http.ChunkWriter;
 
 /**
  * One caller's request, read whole, and its answer, which is given once.
@@ -27,7 +27,7 @@
   private final Response response;
   private final Callback callback;
   private final byte[] body;
-  private final PieceWriter writer;
+  private final ChunkWriter writer;
   private boolean started;
   private boolean ended;
   private boolean closing;
@@ -38,7 +38,7 @@
     this.response = response;
     this.callback = callback;
     this.body = body;
-    this.writer = new PieceWriter(response, callback);
+    this.writer = new ChunkWriter(response, callback);
   }
 
   /** Returns the request's method. */
@@ -79,7 +79,7 @@
 
   /** Returns whether the caller has closed its connection. */
   public boolean callerGone() {
-    if (writer.isBroken()) {
+    if (writer.isAborted()) {
       return true;
     }
     EndPoint endPoint = request.getConnectionMetaData().getConnection().getEndPoint();
--- a/sequoia-node/src/main/java/org/sequoiahub/node/caller/CallerServer.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/caller/CallerServer.java
@@ -26,7 +26,7 @@
 import org.eclipse.jetty.util.Callback;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 import org.sequoiahub.core.routing.CallerLimits;
-import org.sequoiahub.usersplatform.AddressDialect;
+import org.sequoiahub.usersplatform.AddressProtocol;
 
 /** The ports that callers and the platform connect to. */
 public final class CallerServer implements AutoCloseable {
@@ -46,7 +46,7 @@
   private final Server server;
   private final ServerConnector callers;
   private final HttpConfiguration callerConfiguration;
-  private final AddressDialect dialect = new AddressDialect();
+  private final AddressProtocol dialect = new AddressProtocol();
   private final Supplier<List<String>> addresses;
   private final long addressTtlMillis;
   private final BooleanSupplier ready;
@@ -180,7 +180,7 @@
     }
 
     private void addresses(Request request, Response response, Callback callback) {
-      if (!AddressDialect.ADDRESS_PATH.equals(request.getHttpURI().getPath())) {
+      if (!AddressProtocol.ADDRESS_PATH.equals(request.getHttpURI().getPath())) {
         Response.writeError(request, response, callback, HttpStatus.NOT_FOUND_404);
         return;
       }
@@ -191,7 +191,7 @@
         return;
       }
       response.getHeaders().put(HttpHeader.CONTENT_TYPE, "application/json");
-      byte[] body = dialect.addresses(present, addressTtlMillis);
+      byte[] body = dialect.encodeAddresses(present, addressTtlMillis);
       response.write(true, ByteBuffer.wrap(body), callback);
     }
 
--- a/sequoia-node/src/main/java/org/sequoiahub/node/holder/HolderService.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/holder/HolderService.java
@@ -495,7 +495,7 @@
     if (nowMillis - startedMillis < SETTLE_MILLIS || (shape.isLarge() && !shape.isDelegate())) {
       return false;
     }
-    return !settings.expectsOthers() || !members.alive(nowMillis).isEmpty();
+    return !settings.expectsOtherHosts() || !members.alive(nowMillis).isEmpty();
   }
 
   private boolean shouldClaim(RunnerEntry runner, long nowMillis) {
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/RecordExchange.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/RecordExchange.java
@@ -58,20 +58,20 @@
   /** Returns calls over connections to the hosts' ports for peers. */
   public static PeerCalls over(WireClients clients, int peerPort) {
     return (ip, pull, answer) -> {
-      WireClient client = clients.to(new Endpoint(ip, peerPort));
+      WireClient client = clients.clientOf(new Endpoint(ip, peerPort));
       client.call(
           Envelope.newBuilder().setStorePull(pull),
           new CallListener() {
             @Override
-            public void message(Envelope message) {
-              client.end(message.getCall());
+            public void onMessage(Envelope message) {
+              client.endCall(message.getCall());
               if (message.hasStoreRecords()) {
                 answer.accept(message.getStoreRecords());
               }
             }
 
             @Override
-            public void lost(boolean handedOn) {
+            public void onConnectionLost(boolean handedOn) {
               // The next state of any host that is ahead leads to the next pull.
             }
           });
--- a/sequoia-node/src/main/java/org/sequoiahub/node/store/StoreFollower.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/store/StoreFollower.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import org.sequoiahub.usersplatform.StoreClient.Answer;
+import org.sequoiahub.usersplatform.StoreClient.Result;
 import org.sequoiahub.usersplatform.StoreReader;
 import org.sequoiahub.usersplatform.StoredItem;
 
@@ -88,10 +88,10 @@
     decisions.accept(work);
   }
 
-  private void page(Answer answer) {
+  private void page(Result answer) {
     long now = clock.getAsLong();
     calling = false;
-    if (!(answer instanceof Answer.Items items)) {
+    if (!(answer instanceof Result.Items items)) {
       failed(answer, now);
       return;
     }
@@ -116,16 +116,16 @@
     listener.whole(prefix, all, revision, now);
   }
 
-  private void changes(Answer answer) {
+  private void changes(Result answer) {
     long now = clock.getAsLong();
     calling = false;
-    if (answer instanceof Answer.Items items) {
+    if (answer instanceof Result.Items items) {
       succeeded(now);
       rereading = false;
       pauseMillis = FIRST_PAUSE_MILLIS;
       revision = Math.max(revision, items.revision());
       listener.changes(prefix, items.items(), revision, now);
-    } else if (answer instanceof Answer.HistoryLost) {
+    } else if (answer instanceof Result.HistoryLost) {
       succeeded(now);
       revision = -1;
       rereading = true;
@@ -149,7 +149,7 @@
     }
   }
 
-  private void failed(Answer answer, long nowMillis) {
+  private void failed(Result answer, long nowMillis) {
     dueMillis = nowMillis + nextPause();
     patienceMillis =
         Math.max(timing.patienceMillis(), Math.min(LONGEST_PATIENCE_MILLIS, patienceMillis * 2));
--- a/sequoia-node/src/main/java/org/sequoiahub/node/store/StoreRegistry.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/store/StoreRegistry.java
@@ -19,7 +19,7 @@
 import org.sequoiahub.usersplatform.RecordDecoder;
 import org.sequoiahub.usersplatform.RecordDecoder.PublishedVersion;
 import org.sequoiahub.usersplatform.StoredItem;
-import org.sequoiahub.usersplatform.StoredKeys;
+import org.sequoiahub.usersplatform.StoreKeys;
 
 /**
  * What the store holds, as this host accepted it; runs on the decision thread.
@@ -88,12 +88,12 @@
 
   @Override
   public void whole(String prefix, List<StoredItem> items, long revision, long nowMillis) {
-    if (prefix.equals(StoredKeys.RUNNER_PREFIX)) {
+    if (prefix.equals(StoreKeys.RUNNER_PREFIX)) {
       List<Change> entries = new ArrayList<>();
       Set<String> unreadable = new HashSet<>();
       for (StoredItem item : items) {
         if (!runnerChange(item, entries)) {
-          unreadable.add(StoredKeys.runnerId(item.key()));
+          unreadable.add(StoreKeys.runnerId(item.key()));
         }
       }
       entries.forEach(this::noteWhetherItMatters);
@@ -142,7 +142,7 @@
   @Override
   public void changes(String prefix, List<StoredItem> items, long revision, long nowMillis) {
     boolean news = false;
-    if (prefix.equals(StoredKeys.RUNNER_PREFIX)) {
+    if (prefix.equals(StoreKeys.RUNNER_PREFIX)) {
       List<Change> entries = new ArrayList<>();
       for (StoredItem item : items) {
         runnerChange(item, entries);
@@ -175,7 +175,7 @@
 
   /** Takes in a record that another host passed on; returns whether it was news. */
   public boolean passedOn(StoredItem item, long nowMillis) {
-    if (!item.key().startsWith(StoredKeys.RUNNER_PREFIX)) {
+    if (!item.key().startsWith(StoreKeys.RUNNER_PREFIX)) {
       return operatorChange(item, true, nowMillis);
     }
     List<Change> entries = new ArrayList<>();
@@ -288,13 +288,13 @@
 
   /** Adds the change that an item is; returns whether it could be read. */
   private boolean runnerChange(StoredItem item, List<Change> entries) {
-    String id = StoredKeys.runnerId(item.key());
+    String id = StoreKeys.runnerId(item.key());
     byte @Nullable [] value = item.value();
     if (value == null) {
       entries.add(new Change(id, item.revision(), null));
     } else {
       try {
-        RunnerEntry entry = decoder.runner(id, value);
+        RunnerEntry entry = decoder.decodeRunner(id, value);
         entries.add(new Change(id, item.revision(), entry));
       } catch (DecodeException e) {
         ignored(item, e);
@@ -350,13 +350,13 @@
       return false;
     }
     try {
-      if (item.key().equals(StoredKeys.CONFIGURATION)) {
-        held = new Held(decoder.configuration(value), item.revision(), fromPeer);
+      if (item.key().equals(StoreKeys.CONFIGURATION)) {
+        held = new Held(decoder.decodeConfiguration(value), item.revision(), fromPeer);
         if (trustsPeers || !fromPeer) {
           useHeld(nowMillis);
         }
-      } else if (item.key().startsWith(StoredKeys.VERSION_PREFIX)) {
-        PublishedVersion version = decoder.version(value);
+      } else if (item.key().startsWith(StoreKeys.VERSION_PREFIX)) {
+        PublishedVersion version = decoder.decodeVersion(value);
         versions.merge(version.target(), version.version(), Math::max);
         log.info("adapter-version", "adapter", version.target(), "version", version.version());
       }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/upstream/Attempt.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/upstream/Attempt.java
@@ -12,8 +12,8 @@
 import org.eclipse.jetty.http.HttpFields;
 import org.eclipse.jetty.http.HttpStatus;
 import org.eclipse.jetty.util.BufferUtil;
-import org.sequoiahub.usersplatform.CallerDialect;
-import org.sequoiahub.usersplatform.CallerDialect.AnswerHeaders;
+import org.sequoiahub.usersplatform.HeaderCodec;
+import org.sequoiahub.usersplatform.HeaderCodec.ResponseHeaders;
 
 /** One request at one runner. */
 public final class Attempt {
@@ -63,7 +63,7 @@
   }
 
   private void headers(Response response) {
-    AnswerHeaders answer = CallerDialect.decodeAnswer(response.getStatus(), response.getHeaders());
+    ResponseHeaders answer = HeaderCodec.decodeResponse(response.getStatus(), response.getHeaders());
     // A runner may send a second answer to an earlier request, where ours is due. Its id tells.
     if (!answer.requestId().isEmpty() && !answer.requestId().equals(requestId)) {
       end(new Outcome.Lost("answer to another request", false));
@@ -96,7 +96,7 @@
     }
     if (!streamHeadTold) {
       streamHeadTold = true;
-      listener.streamStarted(response.getStatus(), CallerDialect.toCaller(answerHeaders));
+      listener.streamStarted(response.getStatus(), HeaderCodec.toCaller(answerHeaders));
     }
     listener.streamPiece(ByteBuffer.wrap(BufferUtil.toArray(content)));
   }
@@ -114,13 +114,13 @@
     int status = result.getResponse().getStatus();
     if (streaming) {
       if (!streamHeadTold) {
-        listener.streamStarted(status, CallerDialect.toCaller(answerHeaders));
+        listener.streamStarted(status, HeaderCodec.toCaller(answerHeaders));
       }
       end(new Outcome.StreamEnded());
-    } else if (CallerDialect.decodeAnswer(status, answerHeaders).notRun()) {
+    } else if (HeaderCodec.decodeResponse(status, answerHeaders).notRun()) {
       end(new Outcome.Refused(status));
     } else {
-      end(new Outcome.Answered(status, CallerDialect.toCaller(answerHeaders), held.toByteArray()));
+      end(new Outcome.Answered(status, HeaderCodec.toCaller(answerHeaders), held.toByteArray()));
     }
   }
 
--- a/sequoia-node/src/test/java/org/sequoiahub/node/AccessKeyTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/AccessKeyTest.java
@@ -25,7 +25,7 @@
 
   private static final String ROUTE = LoopbackFleet.route("/a/", "safe", "plain", false);
   private static final String STREAM = LoopbackFleet.route("/s/", "streaming", "llm", false);
-  private static final String OPEN = StandinConfiguration.openRoute("/open/", "plain");
+  private static final String OPEN = StandinConfiguration.publicRoute("/open/", "plain");
 
   private LoopbackFleet fleet;
   private StandinRunner runner;
@@ -81,8 +81,8 @@
       Request request = withKey(request(1, "/a/x", "q1"), "key-two");
       request.headers(headers -> headers.add(Headers.WORKSPACE, "other"));
       assertThat(request.send().getStatus()).isEqualTo(200);
-      assertThat(runner.seen().get("q1"))
-          .isEqualTo(new StandinRunner.Seen(List.of("studio"), List.of()));
+      assertThat(runner.callerIdentities().get("q1"))
+          .isEqualTo(new StandinRunner.CallerIdentity(List.of("studio"), List.of()));
     }
 
     @Test
@@ -129,7 +129,7 @@
       request.headers(headers -> headers.add(Headers.WORKSPACE, "other"));
       assertThat(request.send().getStatus()).isEqualTo(200);
       assertThat(request(1, "/open/x", "q2").send().getStatus()).isEqualTo(200);
-      assertThat(runner.seen().get("q1")).isEqualTo(new StandinRunner.Seen(List.of(), List.of()));
+      assertThat(runner.callerIdentities().get("q1")).isEqualTo(new StandinRunner.CallerIdentity(List.of(), List.of()));
     }
 
     @Test
@@ -152,7 +152,7 @@
     void reachesHostsThatTheStoreDoesNot() throws Exception {
       configure(List.of("key-two", "key-new"), 0);
       LoopbackFleet.await("the withdrawal at host 1", () -> status(1, "w", "key-one") == 401);
-      fleet.store.down(true);
+      fleet.store.setDown(true);
       LoopbackFleet.await("the withdrawal at host 2", () -> status(2, "w", "key-one") == 401);
       fleet.startNode(3);
       LoopbackFleet.await(
@@ -177,9 +177,9 @@
       model.loadMillis(60_000);
       LoopbackFleet.await("the model runner known at host 1", () -> servesModel("before"));
       Request waiting = withKey(request(1, "/s/x", "waits"), "key-one");
-      waiting.headers(headers -> headers.put(Headers.MODEL, "m/a1").put(Headers.TOKENS, "100,20"));
+      waiting.headers(headers -> headers.put(Headers.MODEL, "m/a1").put(Headers.TOKEN_COUNTS, "100,20"));
       CompletableFuture<ContentResponse> answer = new CompletableResponseListener(waiting).send();
-      LoopbackFleet.await("an order for its adapter", () -> !model.orders().isEmpty());
+      LoopbackFleet.await("an order for its adapter", () -> !model.acceptedOrders().isEmpty());
       configure(List.of("key-two"), 0);
       assertThat(answer.get().getStatus()).isEqualTo(401);
       assertThat(model.runs()).doesNotContainKey("waits");
@@ -188,7 +188,7 @@
 
   private boolean servesModel(String id) {
     Request request = withKey(request(1, "/s/x", id), "key-one");
-    request.headers(headers -> headers.put(Headers.MODEL, "m").put(Headers.TOKENS, "100,20"));
+    request.headers(headers -> headers.put(Headers.MODEL, "m").put(Headers.TOKEN_COUNTS, "100,20"));
     try {
       return request.send().getStatus() == 200;
     } catch (Exception e) {
--- a/sequoia-node/src/test/java/org/sequoiahub/node/LoopbackFleet.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/LoopbackFleet.java
@@ -16,7 +16,7 @@
 import org.sequoiahub.runtime.duty.MonotonicClock;
 import org.sequoiahub.runtime.port.FreePorts;
 import org.sequoiahub.schema.settings.NodeSettings;
-import org.sequoiahub.usersplatform.AddressDialect;
+import org.sequoiahub.usersplatform.AddressProtocol;
 import org.sequoiahub.usersplatform.Headers;
 import org.sequoiahub.usersplatform.HostSettings;
 import org.sequoiahub.usersplatform.standin.StandinConfiguration;
@@ -107,7 +107,7 @@
    */
   void startMortalRunner(String id, String service, String model, String text) throws Exception {
     startRunner(id, service, model)
-        .endUnder(
+        .terminateOnRequest(
             text, ended -> replace(ended, next -> startMortalRunner(next, service, model, text)));
   }
 
@@ -115,7 +115,7 @@
   void startRunnerThatCannotLoad(String id, String service, String model, String adapter)
       throws Exception {
     startRunner(id, service, model)
-        .endWhenLoading(
+        .terminateOnLoad(
             adapter,
             ended ->
                 replace(ended, next -> startRunnerThatCannotLoad(next, service, model, adapter)));
@@ -138,12 +138,12 @@
 
   /** All runners lose the answers of requests whose body holds {@code text}; of none if empty. */
   void loseAnswersOf(String text) {
-    runners.forEach(runner -> runner.loseAnswersOf(text));
+    runners.forEach(runner -> runner.loseResponsesTo(text));
   }
 
   /** Returns how many runners have ended. */
   long endedRunners() {
-    return runners.stream().filter(StandinRunner::hasEnded).count();
+    return runners.stream().filter(StandinRunner::hasTerminated).count();
   }
 
   /** Returns how often requests ran whose ids begin so, at all runners. */
@@ -202,13 +202,13 @@
   }
 
   boolean isReady(int number) {
-    return status("http://" + ip(number) + ":" + ports.get(1) + AddressDialect.READINESS_PATH)
+    return status("http://" + ip(number) + ":" + ports.get(1) + AddressProtocol.READINESS_PATH)
         == 200;
   }
 
   String addresses(int number) throws Exception {
     ContentResponse response =
-        caller.GET("http://" + ip(number) + ":" + ports.get(2) + AddressDialect.ADDRESS_PATH);
+        caller.GET("http://" + ip(number) + ":" + ports.get(2) + AddressProtocol.ADDRESS_PATH);
     return response.getContentAsString();
   }
 
--- a/sequoia-node/src/test/java/org/sequoiahub/node/NodeTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/NodeTest.java
@@ -212,8 +212,8 @@
                   headers ->
                       headers
                           .put(Headers.MODEL, "m/" + adapter)
-                          .put(Headers.TOKENS, "100,20")
-                          .put(Headers.PROMPT, "aa:60,bb:40"))
+                          .put(Headers.TOKEN_COUNTS, "100,20")
+                          .put(Headers.PROMPT_PARTS, "aa:60,bb:40"))
               .body(new StringRequestContent("prompt"));
       return new CompletableResponseListener(request).send();
     }
@@ -252,8 +252,8 @@
         assertThat(runs(id)).isEqualTo(1);
       }
       for (StandinRunner runner : new StandinRunner[] {first, second}) {
-        assertThat(runner.overloads()).isEqualTo(0);
-        assertThat(runner.orderers().stream().distinct().count()).isAtMost(1);
+        assertThat(runner.capacityViolations()).isEqualTo(0);
+        assertThat(runner.orderHolders().stream().distinct().count()).isAtMost(1);
       }
     }
 
@@ -269,7 +269,7 @@
     void requestRefusedTwiceGoesElsewhere() throws Exception {
       stream(1, "/s/", "warm", "a1").get(60, TimeUnit.SECONDS);
       StandinRunner refusing = first.runs().containsKey("warm") ? first : second;
-      refusing.refuseModels();
+      refusing.refuseModelRequests();
       ContentResponse response = stream(1, "/s/", "q1", "a1").get(60, TimeUnit.SECONDS);
       assertThat(response.getStatus()).isEqualTo(200);
       assertThat(runs("q1")).isEqualTo(1);
@@ -285,8 +285,8 @@
     @Test
     void brokenStreamGoesOnElsewhere() throws Exception {
       stream(1, "/s/", "warm", "a1").get(60, TimeUnit.SECONDS);
-      first.breakAfter(2);
-      second.breakAfter(2);
+      first.abortStreamsAfter(2);
+      second.abortStreamsAfter(2);
       CompletableFuture<ContentResponse> answer = stream(1, "/s/", "q1", "a1");
       LoopbackFleet.await("a second run", () -> runs("q1") == 2);
       ContentResponse response = answer.get(60, TimeUnit.SECONDS);
@@ -296,8 +296,8 @@
     @Test
     void streamThatRunsOnceIsVisiblyBroken() throws Exception {
       stream(1, "/once/", "warm", "a1").get(60, TimeUnit.SECONDS);
-      first.breakAfter(2);
-      second.breakAfter(2);
+      first.abortStreamsAfter(2);
+      second.abortStreamsAfter(2);
       CompletableFuture<ContentResponse> answer = stream(1, "/once/", "q1", "a1");
       boolean failed =
           answer.handle((response, failure) -> failure != null).get(60, TimeUnit.SECONDS);
@@ -315,12 +315,12 @@
     @Test
     void callerThatLeavesIsNoticed() throws Exception {
       stream(1, "/s/", "warm", "a1").get(60, TimeUnit.SECONDS);
-      first.streams(100_000, 20);
-      second.streams(100_000, 20);
+      first.streamEvents(100_000, 20);
+      second.streamEvents(100_000, 20);
       String request =
           "POST /s/x HTTP/1.1\r\nHost: h.example\r\n"
               + (Headers.REQUEST_ID + ": gone\r\n" + Headers.MODEL + ": m/a1\r\n")
-              + (Headers.TOKENS + ": 100,20\r\nContent-Length: 0\r\n\r\n");
+              + (Headers.TOKEN_COUNTS + ": 100,20\r\nContent-Length: 0\r\n\r\n");
       try (Socket socket =
           new Socket(InetAddress.getByName(LoopbackFleet.ip(1)), fleet.callerPort())) {
         socket.getOutputStream().write(request.getBytes(UTF_8));
@@ -359,8 +359,8 @@
               Headers.REQUEST_ID + ": q1",
               Headers.DEADLINE + ": 20000",
               Headers.MODEL + ": m/a1",
-              Headers.TOKENS + ": 100,20",
-              Headers.PROMPT + ": aa:60,bb:40",
+              Headers.TOKEN_COUNTS + ": 100,20",
+              Headers.PROMPT_PARTS + ": aa:60,bb:40",
               "Content-Length: 0",
               "",
               "");
@@ -398,7 +398,7 @@
               return false;
             }
           });
-      fleet.store.down(true);
+      fleet.store.setDown(true);
       fleet.startNode(2);
       LoopbackFleet.await(
           "the change at host 2, which never reached the store",
@@ -497,7 +497,7 @@
       fleet.publish(runner, "ready");
       // Until the entry is read requests are refused; the answer that counts is the one that comes.
       served("new");
-      assertThat(runner.overloads()).isEqualTo(0);
+      assertThat(runner.capacityViolations()).isEqualTo(0);
     }
 
     @Test
@@ -521,7 +521,7 @@
       return fleet
           .request(1, "/m/x", id)
           .method(HttpMethod.POST)
-          .headers(h -> h.put(Headers.MODEL, "m/a1").put(Headers.TOKENS, "10,5"))
+          .headers(h -> h.put(Headers.MODEL, "m/a1").put(Headers.TOKEN_COUNTS, "10,5"))
           .send();
     }
   }
--- a/sequoia-node/src/test/java/org/sequoiahub/node/RunnerEndingLoadTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/RunnerEndingLoadTest.java
@@ -48,7 +48,7 @@
     return fleet
         .request(number, "/s/x", id)
         .method(HttpMethod.POST)
-        .headers(h -> h.put(Headers.MODEL, "m/" + adapter).put(Headers.TOKENS, "100,20"))
+        .headers(h -> h.put(Headers.MODEL, "m/" + adapter).put(Headers.TOKEN_COUNTS, "100,20"))
         .body(new StringRequestContent(id))
         .send();
   }
--- a/sequoia-node/src/test/java/org/sequoiahub/node/RunnerEndingRequestTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/RunnerEndingRequestTest.java
@@ -66,7 +66,7 @@
     return fleet
         .request(brought % 2 == 0 ? fleet.caller : elsewhere, number, "/s/" + id, id)
         .method(HttpMethod.POST)
-        .headers(headers -> headers.put(Headers.MODEL, "m").put(Headers.TOKENS, "100,20"))
+        .headers(headers -> headers.put(Headers.MODEL, "m").put(Headers.TOKEN_COUNTS, "100,20"))
         .body(new StringRequestContent(body))
         .send();
   }
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/ConfigurationBoundTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/ConfigurationBoundTest.java
@@ -68,9 +68,9 @@
       for (int outage = 3_000; outage <= 9_000; outage += 250) {
         RecordWorld world = new RecordWorld(outage, HOSTS, DOMAINS);
         world.pass(JOIN_MILLIS);
-        world.store.fault(Fault.SILENT, host -> true);
+        world.store.setFault(Fault.SILENT, host -> true);
         world.pass(outage);
-        world.store.fault(Fault.NONE, host -> false);
+        world.store.setFault(Fault.NONE, host -> false);
         world.pass(1_000);
         long version = world.configure();
         world.pass(RecordWorld.BOUND_MILLIS);
@@ -96,16 +96,16 @@
     void recordThatFollowsLaterIsTakenToo() {
       RecordWorld world = new RecordWorld(1, 2, 2);
       for (int adapter = 0; adapter < ADAPTERS; adapter++) {
-        world.store.publishVersion(adapterName(adapter), 1);
+        world.store.putVersion(adapterName(adapter), 1);
       }
       world.pass(JOIN_MILLIS);
       world.kill(0);
-      world.store.faults(host -> host == 0 ? Fault.SLOW : Fault.REFUSING);
+      world.store.setFaults(host -> host == 0 ? Fault.SLOW : Fault.REFUSING);
       world.start(0);
       world.pass(100);
       // Between its two pages: the first lacks the configuration, the second has a later record.
       long version = world.configure();
-      world.store.publishVersion(adapterName(ADAPTERS - 1), 2);
+      world.store.putVersion(adapterName(ADAPTERS - 1), 2);
       world.pass(JOIN_MILLIS);
       assertWithMessage("at the host that reads the store")
           .that(world.host(0).versionInForce())
@@ -128,7 +128,7 @@
     void oldConfigurationIsNotUsedWhileItMayBeOld() {
       RecordWorld world = new RecordWorld(3, 3, 3);
       world.pass(JOIN_MILLIS);
-      world.store.fault(Fault.REFUSING, host -> host > 0);
+      world.store.setFault(Fault.REFUSING, host -> host > 0);
       world.cut((from, to) -> from == 0 || to == 0);
       world.pass(RecordWorld.BOUND_MILLIS);
       world.configure();
@@ -150,7 +150,7 @@
     void configurationOfHostsInTouchIsUsedAtOnce() {
       RecordWorld world = new RecordWorld(4, 3, 3);
       world.pass(JOIN_MILLIS);
-      world.store.fault(Fault.REFUSING, host -> host == 2);
+      world.store.setFault(Fault.REFUSING, host -> host == 2);
       final long version = world.configure();
       world.kill(2);
       world.start(2);
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/RecordBounds.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/RecordBounds.java
@@ -82,13 +82,13 @@
       case STORE_SLOW -> fault(Fault.SLOW, struck, trouble);
       case STORE_LOSES_ANSWERS -> fault(Fault.LOSING, struck, trouble);
       case STORE_STALE -> {
-        world.store.stale(trouble.forMillis());
+        world.store.setStaleness(trouble.forMillis());
         world.store.dropHistory();
         storeTrouble(trouble.forMillis());
-        world.store.stale(0);
+        world.store.setStaleness(0);
       }
       case WATCHES_QUIET_THEN_HISTORY_DROPPED -> {
-        world.store.quietWatches();
+        world.store.suppressWatchEvents();
         storeTrouble(1_000);
         world.store.dropHistory();
         storeTroubledUntil = world.now();
@@ -139,14 +139,14 @@
 
   /** Strikes the store for some hosts; the operator is served unless it strikes all of them. */
   private void fault(Fault kind, Set<Integer> struck, RecordTrouble trouble) {
-    world.store.fault(kind, struck::contains);
+    world.store.setFault(kind, struck::contains);
     boolean turnsAway = kind == Fault.SILENT || kind == Fault.REFUSING || kind == Fault.RESETTING;
     if (turnsAway && struck.size() < world.peers.size()) {
       pass(trouble.forMillis());
     } else {
       storeTrouble(trouble.forMillis());
     }
-    world.store.fault(Fault.NONE, host -> false);
+    world.store.setFault(Fault.NONE, host -> false);
   }
 
   private void storeTrouble(long millis) {
@@ -174,7 +174,7 @@
     switch (random.nextInt(3)) {
       case 0 -> {
         int version = publishedVersions.isEmpty() ? 1 : publishedVersions.lastKey() + 1;
-        world.store.publishVersion(ADAPTER, version);
+        world.store.putVersion(ADAPTER, version);
         publishedVersions.put(version, world.now());
       }
       case 1 -> leaving.put(world.now(), world.runnerLeaves());
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/RecordWorld.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/RecordWorld.java
@@ -22,7 +22,7 @@
 import org.sequoiahub.schema.peer.StoreRecords;
 import org.sequoiahub.usersplatform.RecordDecoder;
 import org.sequoiahub.usersplatform.StoreReader;
-import org.sequoiahub.usersplatform.StoredKeys;
+import org.sequoiahub.usersplatform.StoreKeys;
 import org.sequoiahub.usersplatform.standin.VirtualStore;
 
 /**
@@ -94,8 +94,8 @@
               host.shape,
               host.members,
               registry,
-              follower(reader, StoredKeys.OPERATOR_PREFIX, WatchTiming.within(BOUND_MILLIS, 0)),
-              follower(reader, StoredKeys.RUNNER_PREFIX, WatchTiming.within(DRAIN_MILLIS, 600)),
+              follower(reader, StoreKeys.OPERATOR_PREFIX, WatchTiming.within(BOUND_MILLIS, 0)),
+              follower(reader, StoreKeys.RUNNER_PREFIX, WatchTiming.within(DRAIN_MILLIS, 600)),
               new RecordExchange(
                   (ip, pull, answer) -> pull(this, ip, pull, answer),
                   records -> decide(() -> sync().received(records, peers.now()))),
@@ -178,7 +178,7 @@
   /** Writes the next configuration and returns its version. */
   long configure() {
     version++;
-    store.configure(version, "/v" + version + "/");
+    store.putConfiguration(version, "/v" + version + "/");
     return version;
   }
 
@@ -188,7 +188,7 @@
 
   void kill(int host) {
     host(host).ended = true;
-    store.forget(host);
+    store.dropCalls(host);
     peers.kill(host);
   }
 
@@ -227,7 +227,7 @@
     heartbeatMillis = peers == null ? 0 : now();
     sequence++;
     for (int runner = 0; runner < RUNNERS; runner++) {
-      store.runner(runnerId(runner), false, sequence);
+      store.putRunner(runnerId(runner), false, sequence);
     }
   }
 
@@ -239,9 +239,9 @@
   String runnerLeaves() {
     int runner = random.nextInt(RUNNERS);
     String id = runnerId(runner);
-    store.runner(id, true, ++sequence);
+    store.putRunner(id, true, ++sequence);
     starts.merge(runner, 1, Integer::sum);
-    store.runner(runnerId(runner), false, ++sequence);
+    store.putRunner(runnerId(runner), false, ++sequence);
     return id;
   }
 
--- a/sequoia-node/src/test/java/org/sequoiahub/node/store/StoreConnectionsTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/store/StoreConnectionsTest.java
@@ -20,7 +20,7 @@
 import org.junit.jupiter.api.Test;
 import org.sequoiahub.node.upstream.UpstreamClient;
 import org.sequoiahub.usersplatform.StoreClient;
-import org.sequoiahub.usersplatform.StoreClient.Answer;
+import org.sequoiahub.usersplatform.StoreClient.Result;
 
 /** A store whose connections go silent for good while new ones work. */
 class StoreConnectionsTest {
@@ -96,8 +96,8 @@
     }
   }
 
-  private CompletableFuture<Answer> call(int timeoutMillis) {
-    CompletableFuture<Answer> answer = new CompletableFuture<>();
+  private CompletableFuture<Result> call(int timeoutMillis) {
+    CompletableFuture<Result> answer = new CompletableFuture<>();
     client.range("op/", "", timeoutMillis, answer::complete);
     return answer;
   }
@@ -105,14 +105,14 @@
   /** Guards against a lost call being repeated on another connection that is as silent. */
   @Test
   void callAfterLostOneGoesOverNewConnection() throws Exception {
-    CompletableFuture<Answer> first = call(PATIENT_MILLIS);
-    CompletableFuture<Answer> second = call(PATIENT_MILLIS);
-    assertThat(first.get()).isInstanceOf(Answer.Items.class);
-    assertThat(second.get()).isInstanceOf(Answer.Items.class);
+    CompletableFuture<Result> first = call(PATIENT_MILLIS);
+    CompletableFuture<Result> second = call(PATIENT_MILLIS);
+    assertThat(first.get()).isInstanceOf(Result.Items.class);
+    assertThat(second.get()).isInstanceOf(Result.Items.class);
 
-    assertThat(call(SHORT_MILLIS).get()).isInstanceOf(Answer.Failed.class);
+    assertThat(call(SHORT_MILLIS).get()).isInstanceOf(Result.Failed.class);
 
-    assertThat(call(PATIENT_MILLIS).get()).isInstanceOf(Answer.Items.class);
+    assertThat(call(PATIENT_MILLIS).get()).isInstanceOf(Result.Items.class);
     assertThat(accepted.get()).isEqualTo(3);
   }
 }
--- a/sequoia-node/src/test/java/org/sequoiahub/node/upstream/StandinRunnerTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/upstream/StandinRunnerTest.java
@@ -37,7 +37,7 @@
     try (StandinRunner runner = new StandinRunner("i-1", "llm", "m", 4)) {
       runner.loadMillis(60_000);
       RecordDecoder decoder = new RecordDecoder(KeyHasher.drawn(new SecureRandom()));
-      RunnerEntry entry = decoder.runner("i-1", runner.entry("ready").getBytes(UTF_8));
+      RunnerEntry entry = decoder.decodeRunner("i-1", runner.entry("ready").getBytes(UTF_8));
       OrderClient client = new OrderClient(http, decoder);
       Order load = new Order(Order.Operation.LOAD, "m", "a1", 0);
       CompletableFuture<OrderReply> reply = new CompletableFuture<>();
--- a/sequoia-runtime/src/main/java/org/sequoiahub/runtime/duty/Inbox.java
+++ b/sequoia-runtime/src/main/java/org/sequoiahub/runtime/duty/DeferredInbox.java
@@ -9,12 +9,12 @@
  *
  * @param <E> the type of events
  */
-public final class Inbox<E> implements Consumer<E> {
+public final class DeferredInbox<E> implements Consumer<E> {
 
   private final AtomicReference<@Nullable Duty<E>> target = new AtomicReference<>();
 
   /** Sets the duty; events before are dropped, so connect before anything is opened. */
-  public void connectTo(Duty<E> duty) {
+  public void forwardTo(Duty<E> duty) {
     target.set(duty);
   }
 
--- a/sequoia-runtime/src/main/java/org/sequoiahub/runtime/http/PieceWriter.java
+++ b/sequoia-runtime/src/main/java/org/sequoiahub/runtime/http/ChunkWriter.java
@@ -12,20 +12,20 @@
 /**
  * Writes an answer's pieces one after the other, without blocking and from any thread.
  *
- * <p>A reader that is too slow is cut off once {@link #MAX_PENDING} pieces wait: without that bound
+ * <p>A reader that is too slow is cut off once {@link #MAX_PENDING_CHUNKS} pieces wait: without that bound
  * one stalled connection would hold its whole answer in memory.
  */
-public final class PieceWriter {
+public final class ChunkWriter {
 
   /** The most pieces that wait. */
-  public static final int MAX_PENDING = 2_048;
+  public static final int MAX_PENDING_CHUNKS = 2_048;
 
   private final Response response;
   private final Callback callback;
-  private final Deque<Piece> pending = new ArrayDeque<>();
+  private final Deque<Chunk> pending = new ArrayDeque<>();
   private boolean writing;
   private boolean closed;
-  private boolean broken;
+  private boolean aborted;
 
   /**
    * Creates a writer.
@@ -33,7 +33,7 @@
    * @param response the answer
    * @param callback completed after the last piece, failed if the reader is gone or too slow
    */
-  public PieceWriter(Response response, Callback callback) {
+  public ChunkWriter(Response response, Callback callback) {
     this.response = requireNonNull(response, "response must not be null");
     this.callback = requireNonNull(callback, "callback must not be null");
   }
@@ -41,22 +41,22 @@
   /** Writes a piece; false if the answer is closed, or its reader gone or too slow. */
   public boolean write(ByteBuffer bytes, boolean last) {
     synchronized (this) {
-      if (broken || closed) {
+      if (aborted || closed) {
         return false;
       }
-      if (pending.size() < MAX_PENDING) {
+      if (pending.size() < MAX_PENDING_CHUNKS) {
         closed = last;
-        pending.add(new Piece(bytes, last));
+        pending.add(new Chunk(bytes, last));
         if (writing) {
           return true;
         }
         writing = true;
       } else {
-        broken = true;
+        aborted = true;
         pending.clear();
       }
     }
-    if (isBroken()) {
+    if (isAborted()) {
       callback.failed(new IllegalStateException("the reader is too slow"));
       return false;
     }
@@ -67,34 +67,34 @@
   /** Breaks the answer off without its end. */
   public void abort(Throwable cause) {
     synchronized (this) {
-      if (broken || closed) {
+      if (aborted || closed) {
         return;
       }
-      broken = true;
+      aborted = true;
       pending.clear();
     }
     callback.failed(cause);
   }
 
   /** Returns whether the reader is gone or was cut off. */
-  public synchronized boolean isBroken() {
-    return broken;
+  public synchronized boolean isAborted() {
+    return aborted;
   }
 
   private void writeNext() {
-    @Nullable Piece next;
+    @Nullable Chunk next;
     synchronized (this) {
-      next = broken ? null : pending.poll();
+      next = aborted ? null : pending.poll();
       if (next == null) {
         writing = false;
         return;
       }
     }
-    Piece piece = next;
+    Chunk piece = next;
     response.write(piece.last, piece.bytes, Callback.from(() -> written(piece), this::failed));
   }
 
-  private void written(Piece piece) {
+  private void written(Chunk piece) {
     if (piece.last) {
       callback.succeeded();
     } else {
@@ -104,14 +104,14 @@
 
   private void failed(Throwable failure) {
     synchronized (this) {
-      if (broken) {
+      if (aborted) {
         return;
       }
-      broken = true;
+      aborted = true;
       pending.clear();
     }
     callback.failed(failure);
   }
 
-  private record Piece(ByteBuffer bytes, boolean last) {}
+  private record Chunk(ByteBuffer bytes, boolean last) {}
 }
--- a/sequoia-runtime/src/main/java/org/sequoiahub/runtime/log/RingHandler.java
+++ b/sequoia-runtime/src/main/java/org/sequoiahub/runtime/log/AsyncLogHandler.java
@@ -20,7 +20,7 @@
  * decides, every request of the host would stall with it. So a record is dropped when the ring is
  * full, and the next line that gets through says how many were.
  */
-public final class RingHandler extends Handler {
+public final class AsyncLogHandler extends Handler {
 
   /** Records are written at least this often (ms). */
   private static final long PERIOD_MILLIS = 20;
@@ -42,7 +42,7 @@
    * @param out where the lines go
    * @param capacity how many lines may wait
    */
-  public RingHandler(OutputStream out, int capacity) {
+  public AsyncLogHandler(OutputStream out, int capacity) {
     checkArgument(capacity > 0, "capacity must be above 0, was %s", capacity);
     this.out = new PrintStream(out, false, UTF_8);
     this.ring = new ArrayBlockingQueue<>(capacity);
--- a/sequoia-runtime/src/main/java/org/sequoiahub/runtime/log/LineFormatter.java
+++ b/sequoia-runtime/src/main/java/org/sequoiahub/runtime/log/LineFormatter.java
@@ -23,7 +23,7 @@
     for (Handler handler : root.getHandlers()) {
       root.removeHandler(handler);
     }
-    Handler console = new RingHandler(new FileOutputStream(FileDescriptor.out), RING);
+    Handler console = new AsyncLogHandler(new FileOutputStream(FileDescriptor.out), RING);
     console.setFormatter(new LineFormatter());
     console.setLevel(level);
     root.addHandler(console);
--- a/sequoia-runtime/src/main/java/org/sequoiahub/runtime/process/ProcessMain.java
+++ b/sequoia-runtime/src/main/java/org/sequoiahub/runtime/process/ProcessMain.java
@@ -13,19 +13,19 @@
 public final class ProcessMain {
 
   /** Exit code: the settings are not valid. */
-  public static final int BAD_SETTINGS = 2;
+  public static final int EXIT_INVALID_SETTINGS = 2;
 
   /** Exit code: a port or address cannot be used. */
-  public static final int CANNOT_BIND = 3;
+  public static final int EXIT_CANNOT_BIND = 3;
 
   /** Exit code: a defect of ours. */
-  public static final int DEFECT = 70;
+  public static final int EXIT_INTERNAL_ERROR = 70;
 
   private ProcessMain() {}
 
   /** A started process. */
   @FunctionalInterface
-  public interface Running {
+  public interface RunningProcess {
     /** Finishes what is in progress, then returns. */
     void stopGracefully() throws Exception;
   }
@@ -38,7 +38,7 @@
   @FunctionalInterface
   public interface Starter<T> {
     /** Starts the process. */
-    Running start(T settings) throws Exception;
+    RunningProcess start(T settings) throws Exception;
   }
 
   /** Returns the version that the jar's manifest names. */
@@ -62,14 +62,14 @@
 
   private static void refuse(String binary, List<String> problems) {
     problems.forEach(problem -> System.err.println(binary + ": " + problem));
-    System.exit(BAD_SETTINGS);
+    System.exit(EXIT_INVALID_SETTINGS);
   }
 
   private static <T> void start(T settings, Starter<T> starter) {
     boolean verbose = "fine".equals(System.getenv("SEQUOIA_LOG_LEVEL"));
     LineFormatter.install(verbose ? Level.FINE : Level.INFO);
     try {
-      Running running = starter.start(settings);
+      RunningProcess running = starter.start(settings);
       CountDownLatch stop = new CountDownLatch(1);
       Signals.onStop(stop::countDown);
       stop.await();
@@ -78,16 +78,16 @@
       System.exit(0);
     } catch (IOException e) {
       System.err.println("cannot listen: " + e.getMessage());
-      System.exit(CANNOT_BIND);
+      System.exit(EXIT_CANNOT_BIND);
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     } catch (Exception e) {
       e.printStackTrace();
-      System.exit(DEFECT);
+      System.exit(EXIT_INTERNAL_ERROR);
     }
   }
 
-  private static void stop(Running running) {
+  private static void stop(RunningProcess running) {
     try {
       running.stopGracefully();
     } catch (Exception e) {
--- a/sequoia-runtime/src/test/java/org/sequoiahub/runtime/log/RingHandlerTest.java
+++ b/sequoia-runtime/src/test/java/org/sequoiahub/runtime/log/AsyncLogHandlerTest.java
@@ -10,7 +10,7 @@
 import java.util.logging.LogRecord;
 import org.junit.jupiter.api.Test;
 
-class RingHandlerTest {
+class AsyncLogHandlerTest {
 
   private static LogRecord record(int number) {
     return new LogRecord(Level.INFO, "line " + number);
@@ -19,7 +19,7 @@
   @Test
   void writesLinesInTheirOrder() {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    RingHandler handler = new RingHandler(out, 64);
+    AsyncLogHandler handler = new AsyncLogHandler(out, 64);
     handler.setFormatter(new LineFormatter());
     for (int number = 0; number < 10; number++) {
       handler.publish(record(number));
@@ -54,7 +54,7 @@
             read.write(next);
           }
         };
-    RingHandler handler = new RingHandler(stalled, 16);
+    AsyncLogHandler handler = new AsyncLogHandler(stalled, 16);
     handler.setFormatter(new LineFormatter());
     for (int number = 0; number < 5_000; number++) {
       handler.publish(record(number));
--- a/sequoia-soak/src/main/java/org/sequoiahub/soak/Callers.java
+++ b/sequoia-soak/src/main/java/org/sequoiahub/soak/Callers.java
@@ -76,8 +76,8 @@
           headers ->
               headers
                   .put(Headers.MODEL, model)
-                  .put(Headers.TOKENS, "100,20")
-                  .put(Headers.PROMPT, "aa:60,bb:40"));
+                  .put(Headers.TOKEN_COUNTS, "100,20")
+                  .put(Headers.PROMPT_PARTS, "aa:60,bb:40"));
     }
     request.body(new StringRequestContent("body of " + id));
     open.incrementAndGet();
--- a/sequoia-soak/src/main/java/org/sequoiahub/soak/Faults.java
+++ b/sequoia-soak/src/main/java/org/sequoiahub/soak/Faults.java
@@ -67,7 +67,7 @@
   private void store(long millis) {
     switch (random.nextInt(3)) {
       case 0 ->
-          now("store down", () -> soak.store().down(true), millis, () -> soak.store().down(false));
+          now("store down", () -> soak.store().setDown(true), millis, () -> soak.store().setDown(false));
       case 1 -> now("store forgets", () -> soak.store().compact(), 0, () -> {});
       default -> now("configuration", soak::changeConfiguration, 0, () -> {});
     }
@@ -98,7 +98,7 @@
 
   /** Ends all harm that is still done, and starts the processes that do not run. */
   void undoAll() {
-    soak.store().down(false);
+    soak.store().setDown(false);
     List<FaultProxy> proxies = new ArrayList<>(soak.storeProxies());
     proxies.addAll(soak.runnerProxies());
     for (FaultProxy proxy : proxies) {
--- a/sequoia-soak/src/main/java/org/sequoiahub/soak/HostProcess.java
+++ b/sequoia-soak/src/main/java/org/sequoiahub/soak/HostProcess.java
@@ -77,7 +77,7 @@
             "-XX:TieredStopAtLevel=1",
             "-jar",
             jar.toString());
-    builder.environment().put(SettingsFile.VARIABLE, file.toString());
+    builder.environment().put(SettingsFile.PATH_VARIABLE, file.toString());
     File log = directory.resolve(name + ".log").toFile();
     builder.redirectErrorStream(true);
     builder.redirectOutput(ProcessBuilder.Redirect.appendTo(log));
--- a/sequoia-soak/src/main/java/org/sequoiahub/soak/Promises.java
+++ b/sequoia-soak/src/main/java/org/sequoiahub/soak/Promises.java
@@ -7,7 +7,7 @@
 import java.util.concurrent.TimeUnit;
 import java.util.concurrent.atomic.AtomicInteger;
 import org.sequoiahub.usersplatform.standin.StandinRunner;
-import org.sequoiahub.usersplatform.standin.StandinRunner.GivenOrder;
+import org.sequoiahub.usersplatform.standin.StandinRunner.AcceptedOrder;
 
 /** What must hold of every request and of every runner, whatever failed. */
 final class Promises {
@@ -41,7 +41,7 @@
       check(request, broken);
     }
     for (StandinRunner runner : runners) {
-      if (runner.overloads() > 0) {
+      if (runner.capacityViolations() > 0) {
         broken.add(runner.id() + " was ordered to hold too much");
       }
       checkOrders(runner, broken);
@@ -90,15 +90,15 @@
   }
 
   private void checkOrders(StandinRunner runner, List<String> broken) {
-    GivenOrder before = null;
-    for (GivenOrder order : runner.orders()) {
+    AcceptedOrder before = null;
+    for (AcceptedOrder order : runner.acceptedOrders()) {
       HostProcess host = hosts.get(order.holder());
-      boolean thawed = host != null && order.atNanos() - host.thawedNanos() < THAW_NANOS;
+      boolean thawed = host != null && order.acceptedNanos() - host.thawedNanos() < THAW_NANOS;
       if (before != null
           && !thawed
           && !before.holder().equals(order.holder())
-          && order.atNanos() - before.atNanos() < LEASE_NANOS) {
-        long gap = TimeUnit.NANOSECONDS.toMillis(order.atNanos() - before.atNanos());
+          && order.acceptedNanos() - before.acceptedNanos() < LEASE_NANOS) {
+        long gap = TimeUnit.NANOSECONDS.toMillis(order.acceptedNanos() - before.acceptedNanos());
         broken.add(
             "%s was ordered by %s %d ms after %s"
                 .formatted(runner.id(), order.holder(), gap, before.holder()));
--- a/sequoia-soak/src/main/java/org/sequoiahub/soak/Soak.java
+++ b/sequoia-soak/src/main/java/org/sequoiahub/soak/Soak.java
@@ -16,8 +16,8 @@
 import org.eclipse.jetty.client.HttpClient;
 import org.sequoiahub.node.upstream.UpstreamClient;
 import org.sequoiahub.runtime.port.FreePorts;
-import org.sequoiahub.usersplatform.AddressDialect;
-import org.sequoiahub.usersplatform.StoredKeys;
+import org.sequoiahub.usersplatform.AddressProtocol;
+import org.sequoiahub.usersplatform.StoreKeys;
 import org.sequoiahub.usersplatform.standin.StandinConfiguration;
 import org.sequoiahub.usersplatform.standin.StandinRunner;
 import org.sequoiahub.usersplatform.standin.StandinSettings;
@@ -109,7 +109,7 @@
   private StandinRunner runner(String service, String model) throws Exception {
     StandinRunner runner =
         new StandinRunner("i-" + seed + "-" + runnerNumber++, service, model, PLACES);
-    runner.streams(EVENTS, EVENT_MILLIS);
+    runner.streamEvents(EVENTS, EVENT_MILLIS);
     runner.plainMillis(PLAIN_MILLIS);
     everyRunner.add(runner);
     return runner;
@@ -125,7 +125,7 @@
   private void publish(int index, String state) {
     StandinRunner runner = runners.get(index);
     store.put(
-        StoredKeys.RUNNER_PREFIX + runner.id(),
+        StoreKeys.RUNNER_PREFIX + runner.id(),
         runner.entry(state, runnerProxies.get(index).address()));
   }
 
@@ -176,7 +176,7 @@
   }
 
   private boolean isReady(HostProcess host) {
-    String uri = "http://" + host.ip() + ":" + ports.get(1) + AddressDialect.READINESS_PATH;
+    String uri = "http://" + host.ip() + ":" + ports.get(1) + AddressProtocol.READINESS_PATH;
     try {
       return http.newRequest(uri).timeout(1, TimeUnit.SECONDS).send().getStatus() == 200;
     } catch (InterruptedException e) {
@@ -232,7 +232,7 @@
       publish(index, "draining");
       TimeUnit.SECONDS.sleep(2);
     }
-    store.delete(StoredKeys.RUNNER_PREFIX + old.id());
+    store.delete(StoreKeys.RUNNER_PREFIX + old.id());
     StandinRunner fresh = runner(index % 2 == 0 ? "plain" : "llm", index % 2 == 0 ? "" : "m");
     runners.set(index, fresh);
     runnerProxies.get(index).target(fresh.address());
--- a/sequoia-standins/src/main/java/org/sequoiahub/standins/EngineRequest.java
+++ b/sequoia-standins/src/main/java/org/sequoiahub/standins/EngineRequest.java
@@ -9,7 +9,7 @@
 import java.util.Collections;
 import java.util.List;
 import org.eclipse.jetty.http.HttpHeader;
-import org.sequoiahub.runtime.http.PieceWriter;
+import org.sequoiahub.runtime.http.ChunkWriter;
 import org.sequoiahub.standins.StandinServer.Exchange;
 
 /** One request inside an engine stand-in; guarded by the engine's lock. */
@@ -77,7 +77,7 @@
   void attach(Exchange exchange, int after) {
     exchange.response().setStatus(200);
     exchange.response().getHeaders().put(HttpHeader.CONTENT_TYPE, "text/event-stream");
-    Reader reader = new Reader(new PieceWriter(exchange.response(), exchange.callback()), after);
+    Reader reader = new Reader(new ChunkWriter(exchange.response(), exchange.callback()), after);
     reader.writer.write(ByteBuffer.wrap(": open\n\n".getBytes(StandardCharsets.UTF_8)), false);
     readers.add(reader);
     feed(reader);
@@ -153,11 +153,11 @@
   }
 
   private static final class Reader {
-    private final PieceWriter writer;
+    private final ChunkWriter writer;
     private int sent;
     private boolean ended;
 
-    Reader(PieceWriter writer, int after) {
+    Reader(ChunkWriter writer, int after) {
       this.writer = writer;
       this.sent = after;
     }
--- a/sequoia-watcher/src/main/java/org/sequoiahub/watcher/Watcher.java
+++ b/sequoia-watcher/src/main/java/org/sequoiahub/watcher/Watcher.java
@@ -39,7 +39,7 @@
   private Watcher(WatcherSettings settings) throws Exception {
     this.log = new EventLog("watcher", settings.getHostId());
     final MetricRegistry metrics = new MetricRegistry();
-    this.network = WireThreads.one("wire");
+    this.network = WireThreads.singleThread("wire");
     this.http = HttpClients.start();
     this.peers = new WireClients(network, settings.getSilenceMs());
     WatcherDuty state =
@@ -116,12 +116,12 @@
 
   private final class Inbound implements WireServer.Handler {
     @Override
-    public void message(WireConnection connection, Envelope message) {
+    public void onMessage(WireConnection connection, Envelope message) {
       duty.put(new WatcherEvent.Received(connection, message));
     }
 
     @Override
-    public void closed(WireConnection connection) {
+    public void onClosed(WireConnection connection) {
       duty.put(new WatcherEvent.Closed(connection));
     }
   }
--- a/sequoia-watcher/src/main/java/org/sequoiahub/watcher/WatcherDuty.java
+++ b/sequoia-watcher/src/main/java/org/sequoiahub/watcher/WatcherDuty.java
@@ -312,7 +312,7 @@
         .host(peer)
         .ifPresentOrElse(
             host -> {
-              WireClient client = clients.to(endpoint(host));
+              WireClient client = clients.clientOf(endpoint(host));
               client.call(message, new PeerCall(peer, client, owner));
             },
             () -> doNotWaitFor(peer));
@@ -320,9 +320,9 @@
 
   private void tellPeers(List<StoredRecord> news) {
     for (Host peer : pick(peers(), settings.getFanOut())) {
-      WireClient client = clients.to(endpoint(peer));
+      WireClient client = clients.clientOf(endpoint(peer));
       for (Update update : inParts(news)) {
-        client.tell(Envelope.newBuilder().setUpdate(update));
+        client.sendOneWay(Envelope.newBuilder().setUpdate(update));
       }
     }
   }
@@ -417,8 +417,8 @@
   private record PeerCall(String peer, WireClient client, Duty<WatcherEvent> duty)
       implements CallListener {
     @Override
-    public void message(Envelope message) {
-      client.end(message.getCall());
+    public void onMessage(Envelope message) {
+      client.endCall(message.getCall());
       if (message.hasDigestAnswer()) {
         duty.put(new WatcherEvent.PeerDigest(peer, message.getDigestAnswer()));
       } else if (message.hasUpdate()) {
@@ -427,7 +427,7 @@
     }
 
     @Override
-    public void lost(boolean handedOn) {
+    public void onConnectionLost(boolean handedOn) {
       duty.put(new WatcherEvent.PeerLost(peer));
     }
   }
--- a/sequoia-wire/src/main/java/org/sequoiahub/wire/CallListener.java
+++ b/sequoia-wire/src/main/java/org/sequoiahub/wire/CallListener.java
@@ -6,7 +6,7 @@
 public interface CallListener {
 
   /** Receives one message of the call. */
-  void message(Envelope message);
+  void onMessage(Envelope message);
 
   /**
    * Told once that no further message can come because the connection is gone.
@@ -14,5 +14,5 @@
    * @param handedOn false if the call was surely never written to the connection, and so has surely
    *     not run
    */
-  void lost(boolean handedOn);
+  void onConnectionLost(boolean handedOn);
 }
--- a/sequoia-wire/src/main/java/org/sequoiahub/wire/ViewFeed.java
+++ b/sequoia-wire/src/main/java/org/sequoiahub/wire/ViewFeed.java
@@ -55,14 +55,14 @@
 
   private final class Listener implements CallListener {
     @Override
-    public void message(Envelope message) {
+    public void onMessage(Envelope message) {
       if (message.hasUpdate()) {
         updates.accept(message.getUpdate());
       }
     }
 
     @Override
-    public void lost(boolean handedOn) {
+    public void onConnectionLost(boolean handedOn) {
       unsubscribed();
     }
   }
--- a/sequoia-wire/src/main/java/org/sequoiahub/wire/WireClient.java
+++ b/sequoia-wire/src/main/java/org/sequoiahub/wire/WireClient.java
@@ -36,10 +36,10 @@
   private static final CallListener NO_ANSWER =
       new CallListener() {
         @Override
-        public void message(Envelope message) {}
+        public void onMessage(Envelope message) {}
 
         @Override
-        public void lost(boolean handedOn) {}
+        public void onConnectionLost(boolean handedOn) {}
       };
 
   private final EventLoopGroup group;
@@ -94,7 +94,7 @@
     if (connect) {
       connect();
     } else if (closed) {
-      listener.lost(false);
+      listener.onConnectionLost(false);
     }
     return number;
   }
@@ -107,12 +107,12 @@
   }
 
   /** Sends a message that has no answer. */
-  public void tell(Envelope.Builder message) {
+  public void sendOneWay(Envelope.Builder message) {
     call(message, NO_ANSWER);
   }
 
   /** Ends a call: nothing more is wanted of it. */
-  public synchronized void end(long call) {
+  public synchronized void endCall(long call) {
     calls.remove(call);
     unsent.removeIf(message -> message.getCall() == call);
   }
@@ -184,7 +184,7 @@
       listeners = List.copyOf(calls.values());
       calls.clear();
     }
-    listeners.forEach(listener -> listener.lost(handedOn));
+    listeners.forEach(listener -> listener.onConnectionLost(handedOn));
   }
 
   private synchronized @Nullable CallListener listener(long call) {
@@ -204,7 +204,7 @@
     protected void channelRead0(ChannelHandlerContext context, Envelope message) {
       CallListener listener = listener(message.getCall());
       if (listener != null) {
-        listener.message(message);
+        listener.onMessage(message);
       }
     }
 
--- a/sequoia-wire/src/main/java/org/sequoiahub/wire/WireClients.java
+++ b/sequoia-wire/src/main/java/org/sequoiahub/wire/WireClients.java
@@ -20,7 +20,7 @@
   }
 
   /** Returns the client of {@code endpoint}. */
-  public synchronized WireClient to(Endpoint endpoint) {
+  public synchronized WireClient clientOf(Endpoint endpoint) {
     return clients.computeIfAbsent(endpoint, e -> new WireClient(group, e, silenceMillis));
   }
 
--- a/sequoia-wire/src/main/java/org/sequoiahub/wire/WireServer.java
+++ b/sequoia-wire/src/main/java/org/sequoiahub/wire/WireServer.java
@@ -30,10 +30,10 @@
   /** Receives messages; called on a network thread. */
   public interface Handler {
     /** Receives one message. */
-    void message(WireConnection connection, Envelope message);
+    void onMessage(WireConnection connection, Envelope message);
 
     /** Told once that a connection is gone. */
-    void closed(WireConnection connection);
+    void onClosed(WireConnection connection);
   }
 
   /**
@@ -91,7 +91,7 @@
         Pong pong = Pong.newBuilder().setToken(message.getPing().getToken()).build();
         connection.send(0, Envelope.newBuilder().setPong(pong));
       } else {
-        handler.message(connection, message);
+        handler.onMessage(connection, message);
       }
     }
 
@@ -104,7 +104,7 @@
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-      handler.closed(connection);
+      handler.onClosed(connection);
     }
 
     @Override
