--- a/sequoia-node/src/test/java/org/sequoiahub/node/NodeTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/NodeTest.java
@@ -328,7 +328,7 @@
       }
       LoopbackFleet.await(
           "the runner to be told",
-          () -> first.cancelled().contains("gone") || second.cancelled().contains("gone"));
+          () -> first.cancelledRequests().contains("gone") || second.cancelledRequests().contains("gone"));
     }
   }
 
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/ConfigurationBoundTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/ConfigurationBoundTest.java
@@ -171,11 +171,11 @@
       RecordWorld world = new RecordWorld(hosts, hosts, 4);
       RecordBounds bounds = new RecordBounds(world, hosts);
       bounds.pass(2 * JOIN_MILLIS);
-      long callsBefore = world.store.calls();
+      long callsBefore = world.store.callCount();
       world.pass(CALM_MILLIS);
       System.out.printf(
           "calls to the store of a calm fleet of %d: %.1f a second%n",
-          hosts, (world.store.calls() - callsBefore) * 1_000.0 / CALM_MILLIS);
+          hosts, (world.store.callCount() - callsBefore) * 1_000.0 / CALM_MILLIS);
       for (Kind kind : kinds) {
         bounds.play(new RecordTrouble(kind, 4, forMillis, 500));
       }
