--- a/sequoia-wire/src/main/java/org/sequoiahub/wire/CallListener.java
+++ b/sequoia-wire/src/main/java/org/sequoiahub/wire/CallListener.java
@@ -2,17 +2,17 @@
 
 import org.sequoiahub.schema.wire.Envelope;
 
-/** Receives what comes of one call; called on a network thread. */
+/** Receives the messages and the loss of a call; invoked on a network thread. */
 public interface CallListener {
 
   /** Receives one message of the call. */
   void onMessage(Envelope message);
 
   /**
-   * Told once that no further message can come because the connection is gone.
+   * Called once if the connection is lost and no further message can arrive.
    *
-   * @param handedOn false if the call was surely never written to the connection, and so has surely
-   *     not run
+   * @param possiblySent false if the call was certainly not written to the connection and so has
+   *     certainly not run
    */
-  void onConnectionLost(boolean handedOn);
+  void onConnectionLost(boolean possiblySent);
 }
--- a/sequoia-wire/src/main/java/org/sequoiahub/wire/LocalView.java
+++ b/sequoia-wire/src/main/java/org/sequoiahub/wire/LocalView.java
@@ -8,9 +8,10 @@
 import org.sequoiahub.schema.wire.Update;
 
 /**
- * The records and hosts in force on one process, fed by updates; neither ever goes back.
+ * A process's view of the accepted records and the host list, fed by updates. Revisions never
+ * decrease.
  *
- * <p>Not thread-safe: one duty owns it.
+ * <p>Not thread-safe; confined to the thread of one duty.
  */
 public final class LocalView {
 
@@ -24,7 +25,7 @@
   }
 
   /**
-   * Takes in an update.
+   * Applies an update.
    *
    * @return whether the host list changed
    */
@@ -50,7 +51,7 @@
     return fleet;
   }
 
-  /** Returns whether the watcher had caught up with its peers. */
+  /** Returns whether the watcher has reported that it caught up with its peers. */
   public boolean isCaughtUp() {
     return caughtUp;
   }
--- a/sequoia-wire/src/main/java/org/sequoiahub/wire/Pipelines.java
+++ b/sequoia-wire/src/main/java/org/sequoiahub/wire/Pipelines.java
@@ -11,10 +11,10 @@
 import java.util.concurrent.TimeUnit;
 import org.sequoiahub.schema.wire.Envelope;
 
-/** The handlers that both ends of a connection share. */
+/** The channel handlers common to both ends of a connection. */
 final class Pipelines {
 
-  /** Largest frame: a full set of records in one update, with room to spare. */
+  /** The maximum frame size; an update with a full set of records is well below it. */
   private static final int MAX_FRAME_BYTES = 64 << 20;
 
   private static final int LENGTH_BYTES = 4;
--- a/sequoia-wire/src/main/java/org/sequoiahub/wire/ViewFeed.java
+++ b/sequoia-wire/src/main/java/org/sequoiahub/wire/ViewFeed.java
@@ -10,8 +10,8 @@
 /**
  * Keeps a process subscribed to its host's watcher.
  *
- * <p>While the watcher is away, the process goes on with what it has; {@link #tick} subscribes
- * again.
+ * <p>While the watcher is unreachable, the process continues with its last view; {@link #tick}
+ * renews the subscription.
  */
 public final class ViewFeed {
 
@@ -20,14 +20,14 @@
   private final WireClient watcher;
   private final boolean hostsOnly;
   private final Consumer<Update> updates;
-  private long nextTryMillis = Long.MIN_VALUE;
+  private long nextAttemptMillis = Long.MIN_VALUE;
   private boolean subscribed;
 
   /**
    * Creates a feed.
    *
-   * @param watcher the watcher of this host
-   * @param hostsOnly whether the host list is enough
+   * @param watcher the client of this host's watcher
+   * @param hostsOnly whether to subscribe to the host list only, without records
    * @param updates receives each update on a network thread
    */
   public ViewFeed(WireClient watcher, boolean hostsOnly, Consumer<Update> updates) {
@@ -36,14 +36,14 @@
     this.updates = requireNonNull(updates, "updates must not be null");
   }
 
-  /** Subscribes if that is due. */
+  /** Subscribes unless subscribed already or an attempt was made recently. */
   public void tick(long nowMillis) {
     synchronized (this) {
-      if (subscribed || nowMillis < nextTryMillis) {
+      if (subscribed || nowMillis < nextAttemptMillis) {
         return;
       }
       subscribed = true;
-      nextTryMillis = nowMillis + RETRY_MILLIS;
+      nextAttemptMillis = nowMillis + RETRY_MILLIS;
     }
     Subscribe subscribe = Subscribe.newBuilder().setHostsOnly(hostsOnly).build();
     watcher.call(Envelope.newBuilder().setSubscribe(subscribe), new Listener());
@@ -62,7 +62,7 @@
     }
 
     @Override
-    public void onConnectionLost(boolean handedOn) {
+    public void onConnectionLost(boolean possiblySent) {
       unsubscribed();
     }
   }
--- a/sequoia-wire/src/main/java/org/sequoiahub/wire/WireClient.java
+++ b/sequoia-wire/src/main/java/org/sequoiahub/wire/WireClient.java
@@ -22,32 +22,33 @@
 import org.sequoiahub.schema.wire.Ping;
 
 /**
- * One connection to another of our processes, opened when it is needed and opened anew when it is
- * lost.
+ * A client that multiplexes calls over one connection to another process of the system. The
+ * connection is opened on demand and reopened after a loss.
  *
- * <p>A connection can go silent for good while new ones work, and the kernel may take a quarter of
- * an hour to notice. So the client probes whenever it has heard nothing for half its silence time,
- * and drops the connection after the whole of it; every call on it is then told that it is lost.
+ * <p>A connection can become unresponsive while new ones work, and the kernel may take a quarter of
+ * an hour to detect it. The client therefore sends a probe after half the idle timeout without a
+ * message, and closes the connection after the whole of it; the listeners of its calls are then
+ * notified of the loss.
  */
 public final class WireClient implements AutoCloseable {
 
-  private static final int SILENT_PROBES = 2;
+  private static final int IDLE_EVENTS_BEFORE_CLOSE = 2;
 
-  private static final CallListener NO_ANSWER =
+  private static final CallListener NO_REPLY_EXPECTED =
       new CallListener() {
         @Override
         public void onMessage(Envelope message) {}
 
         @Override
-        public void onConnectionLost(boolean handedOn) {}
+        public void onConnectionLost(boolean possiblySent) {}
       };
 
   private final EventLoopGroup group;
   private final Endpoint endpoint;
-  private final long silenceMillis;
+  private final long idleTimeoutMillis;
   private final Map<Long, CallListener> calls = new HashMap<>();
   private final List<Envelope> unsent = new ArrayList<>();
-  private long lastCall;
+  private long lastCallNumber;
   private @Nullable Channel channel;
   private boolean connecting;
   private boolean closed;
@@ -56,14 +57,15 @@
    * Creates a client; the first call opens its connection.
    *
    * @param group the network threads
-   * @param endpoint the other process
-   * @param silenceMillis after how long without an answer a connection is dropped
+   * @param endpoint the address of the other process
+   * @param idleTimeoutMillis the time without a message after which the connection is closed
    */
-  public WireClient(EventLoopGroup group, Endpoint endpoint, long silenceMillis) {
-    checkArgument(silenceMillis > 0, "silenceMillis must be above 0, was %s", silenceMillis);
+  public WireClient(EventLoopGroup group, Endpoint endpoint, long idleTimeoutMillis) {
+    checkArgument(
+        idleTimeoutMillis > 0, "idleTimeoutMillis must be above 0, was %s", idleTimeoutMillis);
     this.group = requireNonNull(group, "group must not be null");
     this.endpoint = requireNonNull(endpoint, "endpoint must not be null");
-    this.silenceMillis = silenceMillis;
+    this.idleTimeoutMillis = idleTimeoutMillis;
   }
 
   /** Returns the other process's address. */
@@ -76,9 +78,9 @@
     boolean connect = false;
     long number;
     synchronized (this) {
-      number = ++lastCall;
+      number = ++lastCallNumber;
       if (!closed) {
-        if (listener != NO_ANSWER) {
+        if (listener != NO_REPLY_EXPECTED) {
           calls.put(number, listener);
         }
         Envelope numbered = message.setCall(number).build();
@@ -99,19 +101,19 @@
     return number;
   }
 
-  /** Sends a further message of a call; dropped if the call is over. */
+  /** Sends a further message of a call; dropped if the call has ended. */
   public synchronized void send(long call, Envelope.Builder message) {
     if (channel != null && calls.containsKey(call)) {
       channel.writeAndFlush(message.setCall(call).build(), channel.voidPromise());
     }
   }
 
-  /** Sends a message that has no answer. */
+  /** Sends a message that expects no reply. */
   public void sendOneWay(Envelope.Builder message) {
-    call(message, NO_ANSWER);
+    call(message, NO_REPLY_EXPECTED);
   }
 
-  /** Ends a call: nothing more is wanted of it. */
+  /** Ends a call: its listener is removed, and messages not yet sent are dropped. */
   public synchronized void endCall(long call) {
     calls.remove(call);
     unsent.removeIf(message -> message.getCall() == call);
@@ -134,12 +136,12 @@
         .group(group)
         .channel(NioSocketChannel.class)
         .option(ChannelOption.TCP_NODELAY, true)
-        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) silenceMillis)
+        .option(ChannelOption.CONNECT_TIMEOUT_MILLIS, (int) idleTimeoutMillis)
         .handler(
             new ChannelInitializer<Channel>() {
               @Override
               protected void initChannel(Channel child) {
-                Pipelines.addCodec(child.pipeline(), Math.max(1, silenceMillis / SILENT_PROBES));
+                Pipelines.addCodec(child.pipeline(), Math.max(1, idleTimeoutMillis / IDLE_EVENTS_BEFORE_CLOSE));
                 child.pipeline().addLast(new Inbound());
               }
             })
@@ -149,7 +151,7 @@
 
   private void connected(ChannelFuture future) {
     if (!future.isSuccess()) {
-      loseAll(false);
+      failAllCalls(false);
       return;
     }
     synchronized (this) {
@@ -162,21 +164,21 @@
       channel.flush();
     }
     if (!future.channel().isActive()) {
-      lost(future.channel());
+      connectionLost(future.channel());
     }
   }
 
-  private void lost(Channel gone) {
+  private void connectionLost(Channel lostChannel) {
     synchronized (this) {
-      if (channel != gone) {
+      if (channel != lostChannel) {
         return;
       }
       channel = null;
     }
-    loseAll(true);
+    failAllCalls(true);
   }
 
-  private void loseAll(boolean handedOn) {
+  private void failAllCalls(boolean possiblySent) {
     List<CallListener> listeners;
     synchronized (this) {
       connecting = false;
@@ -184,7 +186,7 @@
       listeners = List.copyOf(calls.values());
       calls.clear();
     }
-    listeners.forEach(listener -> listener.onConnectionLost(handedOn));
+    listeners.forEach(listener -> listener.onConnectionLost(possiblySent));
   }
 
   private synchronized @Nullable CallListener listener(long call) {
@@ -192,11 +194,11 @@
   }
 
   private final class Inbound extends SimpleChannelInboundHandler<Envelope> {
-    private int silentProbes;
+    private int idleEvents;
 
     @Override
     public void channelRead(ChannelHandlerContext context, Object message) throws Exception {
-      silentProbes = 0;
+      idleEvents = 0;
       super.channelRead(context, message);
     }
 
@@ -213,17 +215,17 @@
       if (!Pipelines.isReaderIdle(event)) {
         return;
       }
-      if (++silentProbes >= SILENT_PROBES) {
+      if (++idleEvents >= IDLE_EVENTS_BEFORE_CLOSE) {
         context.close();
       } else {
-        Ping ping = Ping.newBuilder().setToken(silentProbes).build();
+        Ping ping = Ping.newBuilder().setToken(idleEvents).build();
         context.writeAndFlush(Envelope.newBuilder().setPing(ping).build(), context.voidPromise());
       }
     }
 
     @Override
     public void channelInactive(ChannelHandlerContext context) {
-      lost(context.channel());
+      connectionLost(context.channel());
     }
 
     @Override
--- a/sequoia-wire/src/main/java/org/sequoiahub/wire/WireClients.java
+++ b/sequoia-wire/src/main/java/org/sequoiahub/wire/WireClients.java
@@ -6,25 +6,25 @@
 import java.util.Set;
 import org.sequoiahub.runtime.settings.Endpoint;
 
-/** The clients of one process, one for each process that it talks to. */
+/** The clients of a process, one per remote process. */
 public final class WireClients implements AutoCloseable {
 
   private final EventLoopGroup group;
-  private final long silenceMillis;
+  private final long idleTimeoutMillis;
   private final Map<Endpoint, WireClient> clients = new HashMap<>();
 
-  /** Creates an empty set whose clients share {@code group}. */
-  public WireClients(EventLoopGroup group, long silenceMillis) {
+  /** Creates an empty set; its clients share {@code group} and the idle timeout. */
+  public WireClients(EventLoopGroup group, long idleTimeoutMillis) {
     this.group = group;
-    this.silenceMillis = silenceMillis;
+    this.idleTimeoutMillis = idleTimeoutMillis;
   }
 
-  /** Returns the client of {@code endpoint}. */
+  /** Returns the client of {@code endpoint}, created if absent. */
   public synchronized WireClient clientOf(Endpoint endpoint) {
-    return clients.computeIfAbsent(endpoint, e -> new WireClient(group, e, silenceMillis));
+    return clients.computeIfAbsent(endpoint, e -> new WireClient(group, e, idleTimeoutMillis));
   }
 
-  /** Closes the clients of processes that are no longer in the host list. */
+  /** Closes and removes the clients whose endpoints are not in {@code endpoints}. */
   public synchronized void retain(Set<Endpoint> endpoints) {
     clients
         .entrySet()
--- a/sequoia-wire/src/main/java/org/sequoiahub/wire/WireConnection.java
+++ b/sequoia-wire/src/main/java/org/sequoiahub/wire/WireConnection.java
@@ -3,7 +3,7 @@
 import io.netty.channel.Channel;
 import org.sequoiahub.schema.wire.Envelope;
 
-/** The server's side of one connection. */
+/** The server side of a connection. */
 public final class WireConnection {
 
   private final Channel channel;
@@ -13,7 +13,8 @@
   }
 
   /**
-   * Sends a message; on a closed connection it is dropped, and the other side knows of the close.
+   * Sends a message of a call. On a closed connection it is dropped; the other side notices the
+   * close itself.
    */
   public void send(long call, Envelope.Builder message) {
     channel.writeAndFlush(message.setCall(call).build(), channel.voidPromise());
--- a/sequoia-wire/src/main/java/org/sequoiahub/wire/WireRecords.java
+++ b/sequoia-wire/src/main/java/org/sequoiahub/wire/WireRecords.java
@@ -4,12 +4,12 @@
 import org.sequoiahub.core.config.StoredRecord;
 import org.sequoiahub.schema.wire.AcceptedRecord;
 
-/** Converts records between the decision core's form and the wire's. */
+/** Converts records between their core and wire representations. */
 public final class WireRecords {
 
   private WireRecords() {}
 
-  /** Returns the wire's form of {@code record}. */
+  /** Returns the wire representation of {@code record}. */
   public static AcceptedRecord toWire(StoredRecord record) {
     return AcceptedRecord.newBuilder()
         .setKey(record.key())
@@ -19,7 +19,7 @@
         .build();
   }
 
-  /** Returns the core's form of {@code record}. */
+  /** Returns the core representation of {@code record}. */
   public static StoredRecord fromWire(AcceptedRecord record) {
     return new StoredRecord(
         record.getKey(),
--- a/sequoia-wire/src/main/java/org/sequoiahub/wire/WireServer.java
+++ b/sequoia-wire/src/main/java/org/sequoiahub/wire/WireServer.java
@@ -15,11 +15,11 @@
 import org.sequoiahub.schema.wire.Envelope;
 import org.sequoiahub.schema.wire.Pong;
 
-/** Accepts connections from our own processes. */
+/** Accepts connections from other processes of the system. */
 public final class WireServer implements AutoCloseable {
 
-  /** A client probes twice in its silence time; a server waits longer before it gives up. */
-  private static final int SILENCES_BEFORE_CLOSE = 3;
+  /** Clients probe within their idle timeout; the server waits longer before it closes. */
+  private static final int IDLE_TIMEOUTS_BEFORE_CLOSE = 3;
 
   private final Channel channel;
 
@@ -27,22 +27,23 @@
     this.channel = channel;
   }
 
-  /** Receives messages; called on a network thread. */
+  /** Receives messages and closed connections; invoked on a network thread. */
   public interface Handler {
     /** Receives one message. */
     void onMessage(WireConnection connection, Envelope message);
 
-    /** Told once that a connection is gone. */
+    /** Called once when a connection has closed. */
     void onClosed(WireConnection connection);
   }
 
   /**
-   * Opens a port.
+   * Opens a server on a port.
    *
+   * @param idleTimeoutMillis the idle timeout of the clients (ms)
    * @throws IOException if the address and port cannot be used
    */
   public static WireServer open(
-      EventLoopGroup group, String address, int port, long silenceMillis, Handler handler)
+      EventLoopGroup group, String address, int port, long idleTimeoutMillis, Handler handler)
       throws IOException {
     requireNonNull(handler, "handler must not be null");
     ServerBootstrap bootstrap =
@@ -54,8 +55,8 @@
                 new ChannelInitializer<Channel>() {
                   @Override
                   protected void initChannel(Channel child) {
-                    long idle = silenceMillis * SILENCES_BEFORE_CLOSE;
-                    Pipelines.addCodec(child.pipeline(), idle);
+                    long readerIdleMillis = idleTimeoutMillis * IDLE_TIMEOUTS_BEFORE_CLOSE;
+                    Pipelines.addCodec(child.pipeline(), readerIdleMillis);
                     child.pipeline().addLast(new Inbound(new WireConnection(child), handler));
                   }
                 });
--- a/sequoia-wire/src/main/java/org/sequoiahub/wire/WireThreads.java
+++ b/sequoia-wire/src/main/java/org/sequoiahub/wire/WireThreads.java
@@ -10,7 +10,7 @@
 
   private WireThreads() {}
 
-  /** Returns one network thread, which carries all connections of a process. */
+  /** Returns a group of one network thread, which serves all connections of a process. */
   public static EventLoopGroup singleThread(String name) {
     return new MultiThreadIoEventLoopGroup(
         1, new DefaultThreadFactory(name, true), NioIoHandler.newFactory());
--- a/sequoia-wire/src/main/java/org/sequoiahub/wire/package-info.java
+++ b/sequoia-wire/src/main/java/org/sequoiahub/wire/package-info.java
@@ -1,4 +1,4 @@
-/** Connections between our own processes: framed protobuf envelopes over TCP, many calls each. */
+/** Connections between processes of the system: framed protobuf envelopes over TCP, multiplexed. */
 @NullMarked
 package org.sequoiahub.wire;
 
