--- a/sequoia-runtime/src/main/java/org/sequoiahub/runtime/admin/AdminServer.java
+++ b/sequoia-runtime/src/main/java/org/sequoiahub/runtime/admin/AdminServer.java
@@ -20,8 +20,8 @@
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
 /**
- * Answers operators over HTTP, read-only: {@code /livez}, {@code /readyz}, {@code /metrics} and
- * {@code /status}.
+ * A read-only HTTP server for operators with the paths {@code /livez}, {@code /readyz}, {@code
+ * /metrics} and {@code /status}.
  */
 public final class AdminServer implements AutoCloseable {
 
@@ -38,11 +38,11 @@
   /**
    * Creates the server; {@link #start} opens its port.
    *
-   * @param address the IP number to listen on
-   * @param port the port; 0 picks one
-   * @param metrics what {@code /metrics} shows
-   * @param ready what {@code /readyz} answers
-   * @param status what {@code /status} shows
+   * @param address the IP address to listen on
+   * @param port the port; 0 selects a free one
+   * @param metrics the metrics shown by {@code /metrics}
+   * @param ready whether the process is ready, for {@code /readyz}
+   * @param status the status shown by {@code /status}
    */
   public AdminServer(
       String address,
@@ -86,16 +86,16 @@
     public boolean handle(Request request, Response response, Callback callback)
         throws JsonProcessingException {
       switch (Request.getPathInContext(request)) {
-        case "/livez" -> answer(response, callback, HttpStatus.OK_200, Map.of("live", true));
+        case "/livez" -> respond(response, callback, HttpStatus.OK_200, Map.of("live", true));
         case "/readyz" -> {
           boolean isReady = ready.getAsBoolean();
           int code = isReady ? HttpStatus.OK_200 : HttpStatus.SERVICE_UNAVAILABLE_503;
-          answer(response, callback, code, Map.of("ready", isReady));
+          respond(response, callback, code, Map.of("ready", isReady));
         }
-        case "/metrics" -> answer(response, callback, HttpStatus.OK_200, metrics);
-        case "/status" -> answer(response, callback, HttpStatus.OK_200, status.get());
+        case "/metrics" -> respond(response, callback, HttpStatus.OK_200, metrics);
+        case "/status" -> respond(response, callback, HttpStatus.OK_200, status.get());
         default ->
-            answer(
+            respond(
                 response,
                 callback,
                 HttpStatus.NOT_FOUND_404,
@@ -104,7 +104,7 @@
       return true;
     }
 
-    private void answer(Response response, Callback callback, int code, Object body)
+    private void respond(Response response, Callback callback, int code, Object body)
         throws JsonProcessingException {
       byte[] json = mapper.writeValueAsBytes(body);
       response.setStatus(code);
--- a/sequoia-runtime/src/main/java/org/sequoiahub/runtime/duty/DeferredInbox.java
+++ b/sequoia-runtime/src/main/java/org/sequoiahub/runtime/duty/DeferredInbox.java
@@ -5,7 +5,7 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Passes events on to a duty that is created after the parts that send to it.
+ * Forwards events to a duty that is created after the components that send to it.
  *
  * @param <E> the type of events
  */
@@ -13,7 +13,7 @@
 
   private final AtomicReference<@Nullable Duty<E>> target = new AtomicReference<>();
 
-  /** Sets the duty; events before are dropped, so connect before anything is opened. */
+  /** Sets the duty. Earlier events are dropped, so set it before any event source is opened. */
   public void forwardTo(Duty<E> duty) {
     target.set(duty);
   }
--- a/sequoia-runtime/src/main/java/org/sequoiahub/runtime/duty/Duty.java
+++ b/sequoia-runtime/src/main/java/org/sequoiahub/runtime/duty/Duty.java
@@ -12,18 +12,18 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One thread that owns the state of one duty, fed through a bounded ring.
+ * An event loop: a single thread that handles events from a bounded ring and runs a periodic tick.
  *
- * <p>Any thread may offer an event; the duty's own thread handles them in order and ticks in
- * between. State that only handlers touch needs no lock.
+ * <p>Any thread may offer events; the duty's thread handles them in order, with ticks in between.
+ * State that only the handler and the tick access needs no lock.
  *
  * @param <E> the type of events
  */
 public final class Duty<E> implements AutoCloseable {
 
-  private static final int BATCH = 256;
-  private static final long FULL_PAUSE_NANOS = TimeUnit.MICROSECONDS.toNanos(50);
-  private static final long JOIN_MILLIS = 5_000;
+  private static final int MAX_BATCH_SIZE = 256;
+  private static final long FULL_RING_PAUSE_NANOS = TimeUnit.MICROSECONDS.toNanos(50);
+  private static final long JOIN_TIMEOUT_MILLIS = 5_000;
 
   private final ManyToOneConcurrentArrayQueue<E> ring;
   private final Consumer<E> handler;
@@ -40,12 +40,12 @@
    *
    * @param name the thread's name
    * @param capacity the ring's capacity
-   * @param period how often {@code tick} is called at least (ms), asked again after each tick and
-   *     each event
+   * @param period the maximum interval between calls of {@code tick} (ms), evaluated again after each
+   *     tick and each event
    * @param handler handles one event
-   * @param tick does what is due at the time it is given
-   * @param onFailure is told what a handler or tick threw; the duty goes on
-   * @param clock tells the time
+   * @param tick performs the work that is due at the given time (ms)
+   * @param onFailure receives what the handler or tick threw; the duty continues
+   * @param clock the clock for ticks
    */
   @SuppressWarnings("ThreadPriorityCheck")
   public Duty(
@@ -72,47 +72,47 @@
     thread.start();
   }
 
-  /** Offers an event; false if the ring is full, so that the caller can refuse its work. */
+  /** Offers an event; false if the ring is full, so that the caller can reject the work. */
   public boolean offer(E event) {
-    boolean taken = ring.offer(event);
+    boolean accepted = ring.offer(event);
     if (parked) {
       LockSupport.unpark(thread);
     }
-    return taken;
+    return accepted;
   }
 
   /**
    * Puts an event that must not be lost, waiting while the ring is full.
    *
-   * <p>Waiting slows the sender down, which is what a full ring is for. An event put from the
-   * duty's own thread is handled at once instead: it would wait for itself.
+   * <p>The wait applies backpressure to the sender. An event put from the duty's own thread is
+   * handled immediately, as that thread would otherwise wait for itself.
    */
   public void put(E event) {
     if (Thread.currentThread() == thread) {
-      guarded(() -> handler.accept(event));
+      runGuarded(() -> handler.accept(event));
       return;
     }
     while (!offer(event)) {
       if (!running) {
         return;
       }
-      LockSupport.parkNanos(FULL_PAUSE_NANOS);
+      LockSupport.parkNanos(FULL_RING_PAUSE_NANOS);
     }
   }
 
-  /** Returns how many events wait. */
+  /** Returns the number of events in the ring. */
   public int backlog() {
     return ring.size();
   }
 
-  /** Stops the thread after the events offered so far. */
+  /** Stops the thread after the events offered so far; waits for it with a timeout. */
   @Override
   public void close() {
     running = false;
     LockSupport.unpark(thread);
     if (Thread.currentThread() != thread && thread.isAlive()) {
       try {
-        thread.join(JOIN_MILLIS);
+        thread.join(JOIN_TIMEOUT_MILLIS);
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
@@ -125,17 +125,17 @@
       int handled = 0;
       @Nullable E event = ring.poll();
       while (event != null) {
-        E taken = event;
-        guarded(() -> handler.accept(taken));
-        event = ++handled < BATCH ? ring.poll() : null;
+        E current = event;
+        runGuarded(() -> handler.accept(current));
+        event = ++handled < MAX_BATCH_SIZE ? ring.poll() : null;
       }
       long now = clock.nowMillis();
       if (now >= lastTick + period.getAsLong()) {
-        guarded(() -> tick.accept(now));
+        runGuarded(() -> tick.accept(now));
         lastTick = now;
       }
       if (handled == 0) {
-        // An event, or the tick itself, may have brought the next one forward.
+        // An event or the tick itself may have shortened the period.
         park(lastTick + period.getAsLong() - now);
       }
     }
@@ -150,11 +150,11 @@
   }
 
   @SuppressWarnings("CatchAndPrintStackTrace")
-  private void guarded(Runnable work) {
+  private void runGuarded(Runnable work) {
     try {
       work.run();
     } catch (RuntimeException | Error e) {
-      // One bad event must not stop the duty: everything behind it would hang without an error.
+      // A failing event must not stop the duty: all later events would hang without an error.
       onFailure.accept(e);
     }
   }
--- a/sequoia-runtime/src/main/java/org/sequoiahub/runtime/duty/MonotonicClock.java
+++ b/sequoia-runtime/src/main/java/org/sequoiahub/runtime/duty/MonotonicClock.java
@@ -2,13 +2,13 @@
 
 import java.util.concurrent.TimeUnit;
 
-/** Tells the present time in milliseconds, never going back; its zero has no meaning. */
+/** A clock in milliseconds that never goes backwards; its origin is arbitrary. */
 @FunctionalInterface
 public interface MonotonicClock {
 
-  /** The clock of this machine. */
+  /** The system's monotonic clock. */
   MonotonicClock SYSTEM = () -> TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
 
-  /** Returns the present time. */
+  /** Returns the current time (ms). */
   long nowMillis();
 }
--- a/sequoia-runtime/src/main/java/org/sequoiahub/runtime/duty/package-info.java
+++ b/sequoia-runtime/src/main/java/org/sequoiahub/runtime/duty/package-info.java
@@ -1,4 +1,4 @@
-/** Threads that own one duty each, fed through bounded rings. */
+/** Single-threaded event loops (duties) fed through bounded rings. */
 @NullMarked
 package org.sequoiahub.runtime.duty;
 
--- a/sequoia-runtime/src/main/java/org/sequoiahub/runtime/http/ChunkWriter.java
+++ b/sequoia-runtime/src/main/java/org/sequoiahub/runtime/http/ChunkWriter.java
@@ -10,14 +10,14 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Writes an answer's pieces one after the other, without blocking and from any thread.
+ * Writes the chunks of a response in order, without blocking and from any thread.
  *
- * <p>A reader that is too slow is cut off once {@link #MAX_PENDING_CHUNKS} pieces wait: without that bound
- * one stalled connection would hold its whole answer in memory.
+ * <p>The response is aborted if {@link #MAX_PENDING_CHUNKS} chunks are pending because its reader is
+ * too slow: without that limit a stalled connection would keep its whole response in memory.
  */
 public final class ChunkWriter {
 
-  /** The most pieces that wait. */
+  /** The maximum number of pending chunks. */
   public static final int MAX_PENDING_CHUNKS = 2_048;
 
   private final Response response;
@@ -30,15 +30,15 @@
   /**
    * Creates a writer.
    *
-   * @param response the answer
-   * @param callback completed after the last piece, failed if the reader is gone or too slow
+   * @param response the response to write to
+   * @param callback completed after the last chunk; failed if the reader is gone or too slow
    */
   public ChunkWriter(Response response, Callback callback) {
     this.response = requireNonNull(response, "response must not be null");
     this.callback = requireNonNull(callback, "callback must not be null");
   }
 
-  /** Writes a piece; false if the answer is closed, or its reader gone or too slow. */
+  /** Writes a chunk; false if the response is closed, or its reader is gone or too slow. */
   public boolean write(ByteBuffer bytes, boolean last) {
     synchronized (this) {
       if (aborted || closed) {
@@ -57,14 +57,14 @@
       }
     }
     if (isAborted()) {
-      callback.failed(new IllegalStateException("the reader is too slow"));
+      callback.failed(new IllegalStateException("response aborted: the reader is too slow"));
       return false;
     }
     writeNext();
     return true;
   }
 
-  /** Breaks the answer off without its end. */
+  /** Aborts the response before its end. */
   public void abort(Throwable cause) {
     synchronized (this) {
       if (aborted || closed) {
@@ -76,7 +76,7 @@
     callback.failed(cause);
   }
 
-  /** Returns whether the reader is gone or was cut off. */
+  /** Returns whether the response was aborted, because its reader is gone or for another cause. */
   public synchronized boolean isAborted() {
     return aborted;
   }
@@ -90,12 +90,12 @@
         return;
       }
     }
-    Chunk piece = next;
-    response.write(piece.last, piece.bytes, Callback.from(() -> written(piece), this::failed));
+    Chunk chunk = next;
+    response.write(chunk.last, chunk.bytes, Callback.from(() -> written(chunk), this::failed));
   }
 
-  private void written(Chunk piece) {
-    if (piece.last) {
+  private void written(Chunk chunk) {
+    if (chunk.last) {
       callback.succeeded();
     } else {
       writeNext();
--- a/sequoia-runtime/src/main/java/org/sequoiahub/runtime/http/package-info.java
+++ b/sequoia-runtime/src/main/java/org/sequoiahub/runtime/http/package-info.java
@@ -1,4 +1,4 @@
-/** Writing HTTP answers piece by piece. */
+/** Incremental writing of HTTP responses. */
 @NullMarked
 package org.sequoiahub.runtime.http;
 
--- a/sequoia-runtime/src/main/java/org/sequoiahub/runtime/log/AsyncLogHandler.java
+++ b/sequoia-runtime/src/main/java/org/sequoiahub/runtime/log/AsyncLogHandler.java
@@ -14,22 +14,22 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * Writes log records on a thread of its own, fed through a bounded ring.
+ * Writes log records asynchronously, on its own thread fed through a bounded queue.
  *
- * <p>A reader of our output that stalls blocks whoever writes to it; were that the thread that
- * decides, every request of the host would stall with it. So a record is dropped when the ring is
- * full, and the next line that gets through says how many were.
+ * <p>A stalled reader of the output blocks the thread that writes to it; if that thread also served
+ * requests, all requests of the host would stall. A record is therefore dropped if the queue is
+ * full, and a later line reports the number of dropped records.
  */
 public final class AsyncLogHandler extends Handler {
 
-  /** Records are written at least this often (ms). */
-  private static final long PERIOD_MILLIS = 20;
+  /** The longest interval between writes (ms). */
+  private static final long WRITE_PERIOD_MILLIS = 20;
 
-  /** Longest wait for the last records when the process ends (ms). */
-  private static final long FLUSH_MILLIS = 500;
+  /** The longest wait for the remaining records when the process terminates (ms). */
+  private static final long FLUSH_TIMEOUT_MILLIS = 500;
 
-  /** The library's queue: unlike the duties' rings it runs without opened modules. */
-  private final ArrayBlockingQueue<String> ring;
+  /** A queue of the JDK; unlike the rings of duties it requires no opened modules. */
+  private final ArrayBlockingQueue<String> lines;
 
   private final PrintStream out;
   private final AtomicLong dropped = new AtomicLong();
@@ -39,13 +39,13 @@
   /**
    * Creates a handler and starts its thread.
    *
-   * @param out where the lines go
-   * @param capacity how many lines may wait
+   * @param out the stream to write to
+   * @param capacity the maximum number of queued lines
    */
   public AsyncLogHandler(OutputStream out, int capacity) {
     checkArgument(capacity > 0, "capacity must be above 0, was %s", capacity);
     this.out = new PrintStream(out, false, UTF_8);
-    this.ring = new ArrayBlockingQueue<>(capacity);
+    this.lines = new ArrayBlockingQueue<>(capacity);
     this.writer = new Thread(this::run, "log");
     this.writer.setDaemon(true);
     this.writer.start();
@@ -53,20 +53,20 @@
 
   @Override
   public void publish(LogRecord record) {
-    if (isLoggable(record) && !ring.offer(getFormatter().format(record))) {
+    if (isLoggable(record) && !lines.offer(getFormatter().format(record))) {
       dropped.incrementAndGet();
     }
   }
 
-  /** Returns how many lines were dropped and not yet told. */
+  /** Returns the number of dropped lines that the log has not reported yet. */
   public long dropped() {
     return dropped.get();
   }
 
   @Override
   public void flush() {
-    long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(FLUSH_MILLIS);
-    while (!ring.isEmpty() && System.nanoTime() < end) {
+    long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(FLUSH_TIMEOUT_MILLIS);
+    while (!lines.isEmpty() && System.nanoTime() < end) {
       LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(1));
     }
   }
@@ -79,23 +79,23 @@
   }
 
   private void run() {
-    while (running || !ring.isEmpty()) {
+    while (running || !lines.isEmpty()) {
       boolean wrote = false;
-      @Nullable String line = ring.poll();
+      @Nullable String line = lines.poll();
       while (line != null) {
         out.print(line);
         wrote = true;
-        line = ring.poll();
+        line = lines.poll();
       }
-      long lost = dropped.getAndSet(0);
-      if (lost > 0) {
-        out.print("event=log-dropped lines=" + lost + "\n");
+      long unreported = dropped.getAndSet(0);
+      if (unreported > 0) {
+        out.print("event=log-dropped lines=" + unreported + "\n");
         wrote = true;
       }
       if (wrote) {
         out.flush();
       }
-      LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(PERIOD_MILLIS));
+      LockSupport.parkNanos(TimeUnit.MILLISECONDS.toNanos(WRITE_PERIOD_MILLIS));
     }
   }
 }
--- a/sequoia-runtime/src/main/java/org/sequoiahub/runtime/log/EventLog.java
+++ b/sequoia-runtime/src/main/java/org/sequoiahub/runtime/log/EventLog.java
@@ -16,19 +16,19 @@
 
   private static final FluentLogger LOGGER = FluentLogger.forEnclosingClass();
 
-  private final String fixed;
+  private final String commonPairs;
 
   /**
-   * Creates a log whose lines all carry the process's role and host.
+   * Creates a log whose lines all contain the process's role and host.
    *
    * @param role the binary's role, such as {@code entry}
    * @param host the host's name
    */
   public EventLog(String role, String host) {
-    this.fixed = " role=" + role + " host=" + host;
+    this.commonPairs = " role=" + role + " host=" + host;
   }
 
-  /** Writes an event that is part of normal work. */
+  /** Writes an event of normal operation. */
   public void info(String event, @Nullable Object... pairs) {
     write(Level.INFO, event, pairs);
   }
@@ -38,7 +38,7 @@
     write(Level.WARNING, event, pairs);
   }
 
-  /** Writes an event of use while a problem is looked into; off by default. */
+  /** Writes an event for troubleshooting; disabled by default. */
   public void debug(String event, @Nullable Object... pairs) {
     if (LOGGER.atFine().isEnabled()) {
       write(Level.FINE, event, pairs);
@@ -46,15 +46,15 @@
   }
 
   private void write(Level level, String event, @Nullable Object[] pairs) {
-    checkArgument(pairs.length % 2 == 0, "pairs must come as key, value; event was %s", event);
-    StringBuilder line = new StringBuilder("event=").append(event).append(fixed);
+    checkArgument(pairs.length % 2 == 0, "pairs must be key, value, ...; event was %s", event);
+    StringBuilder line = new StringBuilder("event=").append(event).append(commonPairs);
     for (int i = 0; i < pairs.length; i += 2) {
-      line.append(' ').append(pairs[i]).append('=').append(quoted(String.valueOf(pairs[i + 1])));
+      line.append(' ').append(pairs[i]).append('=').append(quoteIfNeeded(String.valueOf(pairs[i + 1])));
     }
     LOGGER.at(level).log("%s", line);
   }
 
-  private static String quoted(String value) {
+  private static String quoteIfNeeded(String value) {
     boolean plain = !value.isEmpty();
     for (int i = 0; i < value.length() && plain; i++) {
       char c = value.charAt(i);
--- a/sequoia-runtime/src/main/java/org/sequoiahub/runtime/log/LineFormatter.java
+++ b/sequoia-runtime/src/main/java/org/sequoiahub/runtime/log/LineFormatter.java
@@ -14,16 +14,16 @@
 /** Formats each log record as one line that starts with its time and level. */
 public final class LineFormatter extends Formatter {
 
-  /** Lines that may wait to be written: two seconds of a host at its busiest. */
-  private static final int RING = 8_192;
+  /** Holds the lines of two seconds at a host's peak load. */
+  private static final int QUEUE_CAPACITY = 8_192;
 
-  /** Sends all log records of this process to standard output, formatted by this class. */
+  /** Directs all log records of this process to standard output, formatted by this class. */
   public static void install(Level level) {
     Logger root = Logger.getLogger("");
     for (Handler handler : root.getHandlers()) {
       root.removeHandler(handler);
     }
-    Handler console = new AsyncLogHandler(new FileOutputStream(FileDescriptor.out), RING);
+    Handler console = new AsyncLogHandler(new FileOutputStream(FileDescriptor.out), QUEUE_CAPACITY);
     console.setFormatter(new LineFormatter());
     console.setLevel(level);
     root.addHandler(console);
--- a/sequoia-runtime/src/main/java/org/sequoiahub/runtime/log/package-info.java
+++ b/sequoia-runtime/src/main/java/org/sequoiahub/runtime/log/package-info.java
@@ -1,4 +1,4 @@
-/** Structured events: one line of key=value pairs each. */
+/** Logging of structured events as lines of key=value pairs. */
 @NullMarked
 package org.sequoiahub.runtime.log;
 
--- a/sequoia-runtime/src/main/java/org/sequoiahub/runtime/metrics/MetricsText.java
+++ b/sequoia-runtime/src/main/java/org/sequoiahub/runtime/metrics/MetricsText.java
@@ -5,39 +5,39 @@
 import com.codahale.metrics.Snapshot;
 import java.util.Locale;
 
-/** Writes a registry as text: a name and a value a line, sorted by name. */
+/** Renders a registry as text with a name and a value per line, sorted by name within each kind. */
 public final class MetricsText {
 
   private static final double P90 = 0.9;
 
   private MetricsText() {}
 
-  /** Returns the text. */
+  /** Returns the counters, numeric gauges and histograms of {@code metrics} as text. */
   public static String render(MetricRegistry metrics) {
     StringBuilder text = new StringBuilder();
-    metrics.getCounters().forEach((name, counter) -> line(text, name, counter.getCount()));
-    metrics.getGauges().forEach((name, gauge) -> gauge(text, name, gauge));
+    metrics.getCounters().forEach((name, counter) -> appendLine(text, name, counter.getCount()));
+    metrics.getGauges().forEach((name, gauge) -> appendGauge(text, name, gauge));
     metrics
         .getHistograms()
         .forEach(
             (name, histogram) -> {
               Snapshot snapshot = histogram.getSnapshot();
-              line(text, name + ".count", histogram.getCount());
-              line(text, name + ".p50", snapshot.getMedian());
-              line(text, name + ".p90", snapshot.getValue(P90));
-              line(text, name + ".p99", snapshot.get99thPercentile());
-              line(text, name + ".max", snapshot.getMax());
+              appendLine(text, name + ".count", histogram.getCount());
+              appendLine(text, name + ".p50", snapshot.getMedian());
+              appendLine(text, name + ".p90", snapshot.getValue(P90));
+              appendLine(text, name + ".p99", snapshot.get99thPercentile());
+              appendLine(text, name + ".max", snapshot.getMax());
             });
     return text.toString();
   }
 
-  private static void gauge(StringBuilder text, String name, Gauge<?> gauge) {
+  private static void appendGauge(StringBuilder text, String name, Gauge<?> gauge) {
     if (gauge.getValue() instanceof Number number) {
-      line(text, name, number.doubleValue());
+      appendLine(text, name, number.doubleValue());
     }
   }
 
-  private static void line(StringBuilder text, String name, double value) {
+  private static void appendLine(StringBuilder text, String name, double value) {
     boolean whole = value == Math.rint(value);
     String shown = whole ? Long.toString((long) value) : String.format(Locale.ROOT, "%.2f", value);
     text.append(name).append(' ').append(shown).append('\n');
--- a/sequoia-runtime/src/main/java/org/sequoiahub/runtime/metrics/package-info.java
+++ b/sequoia-runtime/src/main/java/org/sequoiahub/runtime/metrics/package-info.java
@@ -1,4 +1,4 @@
-/** Counters and histograms as text. */
+/** Text rendering of metrics. */
 @NullMarked
 package org.sequoiahub.runtime.metrics;
 
--- a/sequoia-runtime/src/main/java/org/sequoiahub/runtime/port/FreePorts.java
+++ b/sequoia-runtime/src/main/java/org/sequoiahub/runtime/port/FreePorts.java
@@ -11,61 +11,61 @@
 import java.util.random.RandomGenerator;
 
 /**
- * Finds ports that nobody listens on and that the system gives to no outgoing connection.
+ * Finds ports that are free and outside the range of ephemeral ports.
  *
- * <p>A port that the system chose for a listener comes from the range out of which it also serves
- * outgoing connections. Between the search and the start of the listener a connection may take it,
- * and the listener fails to bind. So ports are drawn from below that range.
+ * <p>A port that the system selects for a listener comes from the same range as the ports of outgoing
+ * connections. A connection may take it between the search and the start of the listener, which then
+ * fails to bind. Ports are therefore drawn from below that range.
  */
 public final class FreePorts {
 
-  /** Below are the ports of well-known services. */
-  private static final int LOWEST = 10_000;
+  /** Excludes the ports of well-known services. */
+  private static final int MIN_PORT = 10_000;
 
-  /** Outgoing connections get their ports from here on, unless the machine is set otherwise. */
-  private static final int EPHEMERAL = 32_768;
+  /** The first port for outgoing connections in the system's default configuration. */
+  private static final int FIRST_EPHEMERAL_PORT = 32_768;
 
-  private static final int MAX_TRIES = 1_000;
+  private static final int MAX_ATTEMPTS = 1_000;
 
   private FreePorts() {}
 
   /**
-   * Returns different ports that are free on all addresses, for TCP and UDP.
+   * Returns distinct ports that are free on all addresses, for TCP and UDP.
    *
-   * @param count how many
-   * @param random where they are drawn from
-   * @throws IOException if too few are free
+   * @param count the number of ports
+   * @param random the source from which the ports are drawn
+   * @throws IOException if too few free ports are found
    */
   public static List<Integer> find(int count, RandomGenerator random) throws IOException {
-    List<Closeable> held = new ArrayList<>();
+    List<Closeable> sockets = new ArrayList<>();
     List<Integer> ports = new ArrayList<>();
     try {
-      for (int i = 0; i < MAX_TRIES && ports.size() < count; i++) {
-        int port = random.nextInt(LOWEST, EPHEMERAL);
-        if (hold(port, held)) {
+      for (int i = 0; i < MAX_ATTEMPTS && ports.size() < count; i++) {
+        int port = random.nextInt(MIN_PORT, FIRST_EPHEMERAL_PORT);
+        if (tryBind(port, sockets)) {
           ports.add(port);
         }
       }
     } finally {
-      for (Closeable socket : held) {
+      for (Closeable socket : sockets) {
         socket.close();
       }
     }
     if (ports.size() < count) {
-      throw new IOException("only " + ports.size() + " of " + count + " ports are free");
+      throw new IOException("only " + ports.size() + " of " + count + " free ports found; check what listens on this host");
     }
     return ports;
   }
 
-  private static boolean hold(int port, List<Closeable> held) throws IOException {
+  private static boolean tryBind(int port, List<Closeable> sockets) throws IOException {
     ServerSocket listener = new ServerSocket();
-    held.add(listener);
+    sockets.add(listener);
     try {
       listener.bind(new InetSocketAddress(port), 1);
-      held.add(new DatagramSocket(port));
+      sockets.add(new DatagramSocket(port));
       return true;
     } catch (BindException e) {
-      // Taken by another process or drawn before: the caller draws again.
+      // In use by another process or drawn before; the caller draws another port.
       return false;
     }
   }
--- a/sequoia-runtime/src/main/java/org/sequoiahub/runtime/port/package-info.java
+++ b/sequoia-runtime/src/main/java/org/sequoiahub/runtime/port/package-info.java
@@ -1,5 +1,5 @@
 /**
- * Ports for processes that run beside others on loopback addresses: self-checks, demos and tests.
+ * Free ports for processes that share a loopback interface: self-checks, demos and tests.
  */
 @NullMarked
 package org.sequoiahub.runtime.port;
--- a/sequoia-runtime/src/main/java/org/sequoiahub/runtime/process/ProcessMain.java
+++ b/sequoia-runtime/src/main/java/org/sequoiahub/runtime/process/ProcessMain.java
@@ -9,16 +9,16 @@
 import org.sequoiahub.runtime.log.LineFormatter;
 import org.sequoiahub.runtime.settings.SettingsLoader;
 
-/** Starts a process from its settings and stops it gracefully on SIGTERM. */
+/** Starts a process from its settings and stops it gracefully on SIGTERM or SIGINT. */
 public final class ProcessMain {
 
-  /** Exit code: the settings are not valid. */
+  /** Exit code: the settings are invalid. */
   public static final int EXIT_INVALID_SETTINGS = 2;
 
   /** Exit code: a port or address cannot be used. */
   public static final int EXIT_CANNOT_BIND = 3;
 
-  /** Exit code: a defect of ours. */
+  /** Exit code: an internal error. */
   public static final int EXIT_INTERNAL_ERROR = 70;
 
   private ProcessMain() {}
@@ -26,12 +26,12 @@
   /** A started process. */
   @FunctionalInterface
   public interface RunningProcess {
-    /** Finishes what is in progress, then returns. */
+    /** Completes the work in progress, then returns. */
     void stopGracefully() throws Exception;
   }
 
   /**
-   * Starts a process from checked settings.
+   * Starts a process from validated settings.
    *
    * @param <T> the settings message
    */
@@ -41,13 +41,13 @@
     RunningProcess start(T settings) throws Exception;
   }
 
-  /** Returns the version that the jar's manifest names. */
+  /** Returns the version in the jar's manifest, or {@code unpackaged}. */
   public static String version() {
     return Optional.ofNullable(ProcessMain.class.getPackage().getImplementationVersion())
         .orElse("unpackaged");
   }
 
-  /** Runs a process until SIGTERM and returns never. */
+  /** Runs a process until SIGTERM or SIGINT, then exits the JVM. */
   public static <T extends Message> void run(
       String binary, T prototype, String[] arguments, Starter<T> starter) {
     SettingsLoader<T> loader = new SettingsLoader<>(binary, version(), prototype);
@@ -55,12 +55,12 @@
         .load(arguments, System.getenv())
         .<Runnable>fold(
             settings -> () -> start(settings, starter),
-            problems -> () -> refuse(binary, problems),
+            problems -> () -> exitWithProblems(binary, problems),
             text -> () -> System.out.println(text))
         .run();
   }
 
-  private static void refuse(String binary, List<String> problems) {
+  private static void exitWithProblems(String binary, List<String> problems) {
     problems.forEach(problem -> System.err.println(binary + ": " + problem));
     System.exit(EXIT_INVALID_SETTINGS);
   }
--- a/sequoia-runtime/src/main/java/org/sequoiahub/runtime/process/Signals.java
+++ b/sequoia-runtime/src/main/java/org/sequoiahub/runtime/process/Signals.java
@@ -2,12 +2,12 @@
 
 import sun.misc.Signal;
 
-/** Signals that the virtual machine would otherwise act on itself. */
+/** Handlers for signals that the JVM would otherwise handle itself. */
 public final class Signals {
 
   private Signals() {}
 
-  /** Runs an action on SIGHUP; without a handler the signal ends the process. */
+  /** Runs an action on SIGHUP; without a handler the signal terminates the process. */
   public static void onHangup(Runnable action) {
     handle("HUP", action);
   }
@@ -15,8 +15,8 @@
   /**
    * Runs an action on SIGTERM and SIGINT.
    *
-   * <p>A shutdown hook would run beside the logging library's own, which closes the log first: the
-   * lines that tell how a process stopped would be missing.
+   * <p>A shutdown hook would run concurrently with that of the logging library, which closes the
+   * log: lines about the shutdown would be lost.
    */
   static void onStop(Runnable action) {
     handle("TERM", action);
--- a/sequoia-runtime/src/main/java/org/sequoiahub/runtime/process/package-info.java
+++ b/sequoia-runtime/src/main/java/org/sequoiahub/runtime/process/package-info.java
@@ -1,4 +1,4 @@
-/** Start, graceful stop and exit codes of a process. */
+/** Start, graceful shutdown and exit codes of a process. */
 @NullMarked
 package org.sequoiahub.runtime.process;
 
--- a/sequoia-runtime/src/main/java/org/sequoiahub/runtime/settings/Endpoint.java
+++ b/sequoia-runtime/src/main/java/org/sequoiahub/runtime/settings/Endpoint.java
@@ -4,14 +4,14 @@
 import java.util.Optional;
 
 /**
- * An IP number and a port.
+ * An IP address and a port.
  *
- * @param host the IP number
+ * @param host the IP address
  * @param port the port, from 1 to 65535
  */
 public record Endpoint(String host, int port) {
 
-  /** Reads {@code host:port}; empty if {@code text} is not of that form. */
+  /** Parses {@code host:port}; empty if {@code text} is not of that form. */
   public static Optional<Endpoint> parse(String text) {
     try {
       HostAndPort parsed = HostAndPort.fromString(text);
@@ -24,7 +24,7 @@
   }
 
   /**
-   * Reads {@code host:port} that was checked before.
+   * Parses {@code host:port} that has been validated before.
    *
    * @throws IllegalArgumentException if {@code text} is not of that form
    */
--- a/sequoia-runtime/src/main/java/org/sequoiahub/runtime/settings/SettingsLoader.java
+++ b/sequoia-runtime/src/main/java/org/sequoiahub/runtime/settings/SettingsLoader.java
@@ -20,11 +20,11 @@
 import org.sequoiahub.schema.settings.SettingsProto;
 
 /**
- * Fills a settings message from flags and environment variables, as its schema describes.
+ * Loads a settings message from flags and environment variables according to its schema.
  *
- * <p>The field {@code http_port} is the flag {@code --http-port} and the variable {@code
- * SEQUOIA_HTTP_PORT}; the flag wins. All problems are reported at once, so that an operator mends a
- * unit file in one go.
+ * <p>The field {@code http_port} is set by the flag {@code --http-port} or the variable {@code
+ * SEQUOIA_HTTP_PORT}; the flag takes precedence. All problems are reported together, so that an
+ * operator can fix a unit file at once.
  *
  * @param <T> the settings message
  */
@@ -50,7 +50,7 @@
     this.prototype = requireNonNull(prototype, "prototype must not be null");
   }
 
-  /** Reads the settings from a command line and an environment. */
+  /** Loads the settings from a command line and an environment. */
   public SettingsResult<T> load(String[] arguments, Map<String, String> environment) {
     CommandLine line;
     try {
@@ -72,7 +72,7 @@
     for (String extra : line.getArgList()) {
       problems.add("'" + extra + "' is not a flag (see --help)");
     }
-    return filled(line, environment, problems);
+    return buildSettings(line, environment, problems);
   }
 
   /** Returns the text that {@code --help} prints. */
@@ -80,28 +80,28 @@
     StringWriter text = new StringWriter();
     PrintWriter out = new PrintWriter(text);
     out.println("usage: " + binary + " [--FLAG VALUE ...]");
-    out.println("Each flag has an environment variable; the flag wins. Exit codes: 0 stopped as");
-    out.println("asked, 2 settings not valid, 3 a port or address cannot be used, 70 a defect.");
+    out.println("Each flag has an environment variable; the flag takes precedence. Exit codes: 0 stopped");
+    out.println("on request, 2 invalid settings, 3 port or address not available, 70 internal error.");
     for (FieldDescriptor field : prototype.getDescriptorForType().getFields()) {
       Rule rule = rule(field);
       out.println();
       out.println("  --" + flag(field) + "  (" + variable(field) + ")");
-      out.println(" ".repeat(HELP_INDENT) + rule.getHelp() + allowed(rule));
+      out.println(" ".repeat(HELP_INDENT) + rule.getHelp() + constraints(rule));
     }
     return text.toString();
   }
 
   @SuppressWarnings("unchecked") // the builder of a T builds a T
-  private SettingsResult<T> filled(
+  private SettingsResult<T> buildSettings(
       CommandLine line, Map<String, String> environment, List<String> problems) {
     Message.Builder builder = prototype.newBuilderForType();
     for (FieldDescriptor field : prototype.getDescriptorForType().getFields()) {
       Rule rule = rule(field);
-      Optional<String> text = text(field, line, environment);
+      Optional<String> text = configuredText(field, line, environment);
       if (text.isPresent()) {
-        value(field, rule, text.get(), problems).ifPresent(v -> builder.setField(field, v));
+        parseValue(field, rule, text.get(), problems).ifPresent(v -> builder.setField(field, v));
       } else if (rule.getRequired()) {
-        problems.add(name(field) + ": is required: " + rule.getHelp());
+        problems.add(name(field) + ": missing required value: " + rule.getHelp());
       }
     }
     return problems.isEmpty()
@@ -109,7 +109,7 @@
         : new SettingsResult.Invalid<>(problems);
   }
 
-  private Optional<String> text(
+  private Optional<String> configuredText(
       FieldDescriptor field, CommandLine line, Map<String, String> environment) {
     if (line.hasOption(flag(field))) {
       return Optional.of(line.getOptionValue(flag(field)));
@@ -121,7 +121,7 @@
     return rule.hasDefaultValue() ? Optional.of(rule.getDefaultValue()) : Optional.empty();
   }
 
-  private static Optional<Object> value(
+  private static Optional<Object> parseValue(
       FieldDescriptor field, Rule rule, String text, List<String> problems) {
     if (field.getJavaType() == FieldDescriptor.JavaType.STRING) {
       checkText(field, rule, text, problems);
@@ -169,7 +169,7 @@
     return options;
   }
 
-  private static String allowed(Rule rule) {
+  private static String constraints(Rule rule) {
     StringBuilder text = new StringBuilder();
     if (rule.getOneOfCount() > 0) {
       text.append("; one of ").append(rule.getOneOfList());
--- a/sequoia-runtime/src/main/java/org/sequoiahub/runtime/settings/SettingsResult.java
+++ b/sequoia-runtime/src/main/java/org/sequoiahub/runtime/settings/SettingsResult.java
@@ -4,24 +4,24 @@
 import java.util.function.Function;
 
 /**
- * What became of a process's settings.
+ * The result of loading a process's settings.
  *
  * @param <T> the settings message
  */
 public sealed interface SettingsResult<T> {
 
-  /** All settings are valid. */
+  /** Valid settings. */
   record Valid<T>(T settings) implements SettingsResult<T> {}
 
-  /** Every problem found, never empty. */
+  /** Invalid settings with all problems found, at least one. */
   record Invalid<T>(List<String> problems) implements SettingsResult<T> {
-    /** Copies the list. */
+    /** Creates a result with a copy of the problems. */
     public Invalid {
       problems = List.copyOf(problems);
     }
   }
 
-  /** The text that was asked for by {@code --help} or {@code --version}. */
+  /** The text requested by {@code --help} or {@code --version}. */
   record Information<T>(String text) implements SettingsResult<T> {}
 
   /** Applies the function that matches this result. */
--- a/sequoia-runtime/src/main/java/org/sequoiahub/runtime/settings/package-info.java
+++ b/sequoia-runtime/src/main/java/org/sequoiahub/runtime/settings/package-info.java
@@ -1,4 +1,4 @@
-/** Settings from flags and environment variables, read and checked by their schema. */
+/** Settings from flags and environment variables, parsed and validated by their schema. */
 @NullMarked
 package org.sequoiahub.runtime.settings;
 
--- a/sequoia-runtime/src/main/java/org/sequoiahub/runtime/trace/EventLogSpanExporter.java
+++ b/sequoia-runtime/src/main/java/org/sequoiahub/runtime/trace/EventLogSpanExporter.java
@@ -6,7 +6,7 @@
 import java.util.Collection;
 import org.sequoiahub.runtime.log.EventLog;
 
-/** Writes each span as one event. */
+/** Exports each span as an event of the {@link EventLog}. */
 final class EventLogSpanExporter implements SpanExporter {
 
   private static final long NANOS_PER_MICRO = 1_000;
--- a/sequoia-runtime/src/main/java/org/sequoiahub/runtime/trace/Tracing.java
+++ b/sequoia-runtime/src/main/java/org/sequoiahub/runtime/trace/Tracing.java
@@ -20,7 +20,7 @@
 import org.jspecify.annotations.Nullable;
 import org.sequoiahub.runtime.log.EventLog;
 
-/** Starts spans and carries their context between hops as a W3C {@code traceparent}. */
+/** Starts spans and propagates their context between hops as a W3C {@code traceparent}. */
 public final class Tracing implements AutoCloseable {
 
   private static final String TRACEPARENT = "traceparent";
@@ -41,7 +41,7 @@
    * @param destination {@code off}, {@code log} or {@code otlp}
    * @param otlpEndpoint the collector's address, for {@code otlp}
    * @param role the process's role
-   * @param log where spans go for {@code log}
+   * @param log the log that receives the spans, for {@code log}
    */
   public static Tracing create(String destination, String otlpEndpoint, String role, EventLog log) {
     if (destination.equals("off")) {
@@ -68,9 +68,9 @@
   /**
    * Starts the span of one hop.
    *
-   * @param name the hop
+   * @param name the name of the hop
    * @param kind whether the hop receives or sends
-   * @param traceparent the context that the request came with; null or not valid starts a new trace
+   * @param traceparent the context received with the request; a new trace starts if null or invalid
    */
   public Span start(String name, SpanKind kind, @Nullable String traceparent) {
     Context parent = Context.root();
@@ -80,7 +80,7 @@
     return tracer.spanBuilder(name).setSpanKind(kind).setParent(parent).startSpan();
   }
 
-  /** Returns the {@code traceparent} that makes {@code span} the parent of the next hop's. */
+  /** Returns the {@code traceparent} that makes {@code span} the parent of the next hop's span. */
   public String traceparent(Span span) {
     Map<String, String> carrier = new HashMap<>();
     PROPAGATOR.inject(
--- a/sequoia-runtime/src/main/java/org/sequoiahub/runtime/trace/package-info.java
+++ b/sequoia-runtime/src/main/java/org/sequoiahub/runtime/trace/package-info.java
@@ -1,4 +1,4 @@
-/** Spans, one for each hop of a request. */
+/** Distributed tracing with one span per hop of a request. */
 @NullMarked
 package org.sequoiahub.runtime.trace;
 
--- a/sequoia-runtime/src/test/java/org/sequoiahub/runtime/duty/DutyTest.java
+++ b/sequoia-runtime/src/test/java/org/sequoiahub/runtime/duty/DutyTest.java
@@ -11,18 +11,16 @@
 
   private static final long HOUR_MILLIS = 3_600_000;
 
-  /** Ends a test that hangs; nothing is judged by it. */
-  private static final long PATIENCE_SECONDS = 60;
+  /** Terminates a hanging test; does not affect the result otherwise. */
+  private static final long TIMEOUT_SECONDS = 60;
 
   /**
-   * Symptom: what an event made due waits for the tick that was planned before it.
-   *
-   * <p>Events: the period is long as nothing is due; an event makes it short.
-   *
-   * <p>Cause looked for: the next tick planned once, when the last one ended.
+   * Guards against work that becomes due by an event but waits for the tick scheduled before it: the
+   * period is long while nothing is due, an event shortens it, but the next tick was scheduled only
+   * once, when the last one ended.
    */
   @Test
-  void eventBringsTheNextTickForward() throws InterruptedException {
+  void eventAdvancesNextTick() throws InterruptedException {
     AtomicLong period = new AtomicLong(HOUR_MILLIS);
     CountDownLatch first = new CountDownLatch(1);
     CountDownLatch second = new CountDownLatch(2);
@@ -39,9 +37,9 @@
             failure -> {},
             MonotonicClock.SYSTEM)) {
       duty.start();
-      assertThat(first.await(PATIENCE_SECONDS, TimeUnit.SECONDS)).isTrue();
+      assertThat(first.await(TIMEOUT_SECONDS, TimeUnit.SECONDS)).isTrue();
       duty.put(1L);
-      assertThat(second.await(PATIENCE_SECONDS, TimeUnit.SECONDS)).isTrue();
+      assertThat(second.await(TIMEOUT_SECONDS, TimeUnit.SECONDS)).isTrue();
     }
   }
 }
--- a/sequoia-runtime/src/test/java/org/sequoiahub/runtime/log/AsyncLogHandlerTest.java
+++ b/sequoia-runtime/src/test/java/org/sequoiahub/runtime/log/AsyncLogHandlerTest.java
@@ -17,7 +17,7 @@
   }
 
   @Test
-  void writesLinesInTheirOrder() {
+  void writesLinesInOrder() {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
     AsyncLogHandler handler = new AsyncLogHandler(out, 64);
     handler.setFormatter(new LineFormatter());
@@ -32,14 +32,11 @@
   }
 
   /**
-   * Symptom: all requests of a host stall while somebody looks at its log.
-   *
-   * <p>Events: the reader of the output stops reading; lines go on being logged.
-   *
-   * <p>Cause looked for: a thread that waits for the reader.
+   * Guards against requests of a host that stall while its log is being viewed: the reader of the
+   * output stops reading, and a thread that logs further lines blocks until it continues.
    */
   @Test
-  void dropsInsteadOfWaiting() throws Exception {
+  void dropsLinesInsteadOfBlocking() throws Exception {
     CountDownLatch reading = new CountDownLatch(1);
     ByteArrayOutputStream read = new ByteArrayOutputStream();
     OutputStream stalled =
--- a/sequoia-runtime/src/test/java/org/sequoiahub/runtime/metrics/MetricsTextTest.java
+++ b/sequoia-runtime/src/test/java/org/sequoiahub/runtime/metrics/MetricsTextTest.java
@@ -9,7 +9,7 @@
 class MetricsTextTest {
 
   @Test
-  void lineForEachValue() {
+  void rendersLinePerValue() {
     MetricRegistry metrics = new MetricRegistry();
     metrics.counter("requests.ended.200").inc(3);
     metrics.histogram("first_event_ms").update(40);
--- a/sequoia-runtime/src/test/java/org/sequoiahub/runtime/port/FreePortsTest.java
+++ b/sequoia-runtime/src/test/java/org/sequoiahub/runtime/port/FreePortsTest.java
@@ -20,20 +20,14 @@
   class OutgoingConnections {
 
     /**
-     * Symptom: a host in a test fails to bind its port, once in many runs.
-     *
-     * <p>Events: the port is found by asking the system for any free one and let go again; before
-     * the host binds it, an outgoing connection of another host on the same address is opened.
-     *
-     * <p>Cause: the system serves listeners that ask for any port and outgoing connections from the
-     * same range.
-     *
-     * <p>Evidence: "Failed to bind" for a port of that range while hosts with many outgoing
-     * connections started and ended. The connections here take ports as those did: none may be
-     * given to one of them.
+     * Guards against a host in a test that occasionally fails with "Failed to bind": its port was
+     * selected by the system and released again, and before the host bound it, an outgoing
+     * connection of another host on the same address took it. The system serves listeners on any
+     * port and outgoing connections from the same range; the sockets here take ports from that
+     * range, and none may get a port that was found.
      */
     @Test
-    void takeNoPortThatWasFound() throws Exception {
+    void neverTakeFoundPort() throws Exception {
       List<Integer> found = FreePorts.find(COUNT, new Random(SEED));
       List<ServerSocket> taken = new ArrayList<>();
       for (int i = 0; i < 200; i++) {
@@ -52,13 +46,13 @@
   class Found {
 
     @Test
-    void portsDiffer() throws Exception {
+    void portsAreDistinct() throws Exception {
       List<Integer> found = FreePorts.find(COUNT, new Random(SEED));
       assertThat(new HashSet<>(found)).hasSize(COUNT);
     }
 
     @Test
-    void portThatIsListenedOnIsPassedOver() throws Exception {
+    void excludePortInUse() throws Exception {
       int first = FreePorts.find(1, new Random(SEED)).get(0);
       try (ServerSocket listener = new ServerSocket(first)) {
         assertThat(listener.isBound()).isTrue();
