--- a/sequoia-runtime/src/main/java/org/sequoiahub/runtime/duty/Duty.java
+++ b/sequoia-runtime/src/main/java/org/sequoiahub/runtime/duty/Duty.java
@@ -40,8 +40,8 @@
    *
    * @param name the thread's name
    * @param capacity the ring's capacity
-   * @param period the maximum interval between calls of {@code tick} (ms), evaluated again after each
-   *     tick and each event
+   * @param period the maximum interval between calls of {@code tick} (ms), evaluated again after
+   *     each tick and each event
    * @param handler handles one event
    * @param tick performs the work that is due at the given time (ms)
    * @param onFailure receives what the handler or tick threw; the duty continues
--- a/sequoia-runtime/src/main/java/org/sequoiahub/runtime/http/ChunkWriter.java
+++ b/sequoia-runtime/src/main/java/org/sequoiahub/runtime/http/ChunkWriter.java
@@ -12,8 +12,8 @@
 /**
  * Writes the chunks of a response in order, without blocking and from any thread.
  *
- * <p>The response is aborted if {@link #MAX_PENDING_CHUNKS} chunks are pending because its reader is
- * too slow: without that limit a stalled connection would keep its whole response in memory.
+ * <p>The response is aborted if {@link #MAX_PENDING_CHUNKS} chunks are pending because its reader
+ * is too slow: without that limit a stalled connection would keep its whole response in memory.
  */
 public final class ChunkWriter {
 
--- a/sequoia-runtime/src/main/java/org/sequoiahub/runtime/log/EventLog.java
+++ b/sequoia-runtime/src/main/java/org/sequoiahub/runtime/log/EventLog.java
@@ -49,7 +49,10 @@
     checkArgument(pairs.length % 2 == 0, "pairs must be key, value, ...; event was %s", event);
     StringBuilder line = new StringBuilder("event=").append(event).append(commonPairs);
     for (int i = 0; i < pairs.length; i += 2) {
-      line.append(' ').append(pairs[i]).append('=').append(quoteIfNeeded(String.valueOf(pairs[i + 1])));
+      line.append(' ')
+          .append(pairs[i])
+          .append('=')
+          .append(quoteIfNeeded(String.valueOf(pairs[i + 1])));
     }
     LOGGER.at(level).log("%s", line);
   }
--- a/sequoia-runtime/src/main/java/org/sequoiahub/runtime/port/FreePorts.java
+++ b/sequoia-runtime/src/main/java/org/sequoiahub/runtime/port/FreePorts.java
@@ -13,9 +13,9 @@
 /**
  * Finds ports that are free and outside the range of ephemeral ports.
  *
- * <p>A port that the system selects for a listener comes from the same range as the ports of outgoing
- * connections. A connection may take it between the search and the start of the listener, which then
- * fails to bind. Ports are therefore drawn from below that range.
+ * <p>A port that the system selects for a listener comes from the same range as the ports of
+ * outgoing connections. A connection may take it between the search and the start of the listener,
+ * which then fails to bind. Ports are therefore drawn from below that range.
  */
 public final class FreePorts {
 
@@ -52,7 +52,12 @@
       }
     }
     if (ports.size() < count) {
-      throw new IOException("only " + ports.size() + " of " + count + " free ports found; check what listens on this host");
+      throw new IOException(
+          "only "
+              + ports.size()
+              + " of "
+              + count
+              + " free ports found; check what listens on this host");
     }
     return ports;
   }
--- a/sequoia-runtime/src/main/java/org/sequoiahub/runtime/port/package-info.java
+++ b/sequoia-runtime/src/main/java/org/sequoiahub/runtime/port/package-info.java
@@ -1,6 +1,4 @@
-/**
- * Free ports for processes that share a loopback interface: self-checks, demos and tests.
- */
+/** Free ports for processes that share a loopback interface: self-checks, demos and tests. */
 @NullMarked
 package org.sequoiahub.runtime.port;
 
--- a/sequoia-runtime/src/main/java/org/sequoiahub/runtime/settings/SettingsLoader.java
+++ b/sequoia-runtime/src/main/java/org/sequoiahub/runtime/settings/SettingsLoader.java
@@ -80,8 +80,10 @@
     StringWriter text = new StringWriter();
     PrintWriter out = new PrintWriter(text);
     out.println("usage: " + binary + " [--FLAG VALUE ...]");
-    out.println("Each flag has an environment variable; the flag takes precedence. Exit codes: 0 stopped");
-    out.println("on request, 2 invalid settings, 3 port or address not available, 70 internal error.");
+    out.println(
+        "Each flag has an environment variable; the flag takes precedence. Exit codes: 0 stopped");
+    out.println(
+        "on request, 2 invalid settings, 3 port or address not available, 70 internal error.");
     for (FieldDescriptor field : prototype.getDescriptorForType().getFields()) {
       Rule rule = rule(field);
       out.println();
--- a/sequoia-runtime/src/test/java/org/sequoiahub/runtime/duty/DutyTest.java
+++ b/sequoia-runtime/src/test/java/org/sequoiahub/runtime/duty/DutyTest.java
@@ -15,9 +15,9 @@
   private static final long TIMEOUT_SECONDS = 60;
 
   /**
-   * Guards against work that becomes due by an event but waits for the tick scheduled before it: the
-   * period is long while nothing is due, an event shortens it, but the next tick was scheduled only
-   * once, when the last one ended.
+   * Guards against work that becomes due by an event but waits for the tick scheduled before it:
+   * the period is long while nothing is due, an event shortens it, but the next tick was scheduled
+   * only once, when the last one ended.
    */
   @Test
   void eventAdvancesNextTick() throws InterruptedException {
--- a/sequoia-wire/src/main/java/org/sequoiahub/wire/WireClient.java
+++ b/sequoia-wire/src/main/java/org/sequoiahub/wire/WireClient.java
@@ -141,7 +141,8 @@
             new ChannelInitializer<Channel>() {
               @Override
               protected void initChannel(Channel child) {
-                Pipelines.addCodec(child.pipeline(), Math.max(1, idleTimeoutMillis / IDLE_EVENTS_BEFORE_CLOSE));
+                Pipelines.addCodec(
+                    child.pipeline(), Math.max(1, idleTimeoutMillis / IDLE_EVENTS_BEFORE_CLOSE));
                 child.pipeline().addLast(new Inbound());
               }
             })
