--- a/sequoia-node/src/main/java/org/sequoiahub/node/Node.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/Node.java
@@ -65,8 +65,8 @@
 import org.sequoiahub.usersplatform.OrderClient;
 import org.sequoiahub.usersplatform.RecordDecoder;
 import org.sequoiahub.usersplatform.StoreClient;
-import org.sequoiahub.usersplatform.StoredItem;
 import org.sequoiahub.usersplatform.StoreKeys;
+import org.sequoiahub.usersplatform.StoredItem;
 import org.sequoiahub.wire.WireClients;
 import org.sequoiahub.wire.WireConnection;
 import org.sequoiahub.wire.WireServer;
@@ -186,7 +186,11 @@
     this.spending = new FleetSpending(host.allowances().windowMillis());
     this.allowances =
         new AllowanceKeeper(
-            spending, host.allowances(), host.expectsOtherHosts(), random::nextDouble, startedMillis);
+            spending,
+            host.allowances(),
+            host.expectsOtherHosts(),
+            random::nextDouble,
+            startedMillis);
     KeyHasher keys = KeyHasher.drawn(new SecureRandom());
     RecordDecoder decoder = new RecordDecoder(keys);
     this.store = new StoreRegistry(decoder, book, this::inForce, this::changed, log);
--- a/sequoia-node/src/main/java/org/sequoiahub/node/store/StoreRegistry.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/store/StoreRegistry.java
@@ -18,8 +18,8 @@
 import org.sequoiahub.usersplatform.DecodeException;
 import org.sequoiahub.usersplatform.RecordDecoder;
 import org.sequoiahub.usersplatform.RecordDecoder.PublishedVersion;
-import org.sequoiahub.usersplatform.StoredItem;
 import org.sequoiahub.usersplatform.StoreKeys;
+import org.sequoiahub.usersplatform.StoredItem;
 
 /**
  * What the store holds, as this host accepted it; runs on the decision thread.
--- a/sequoia-node/src/main/java/org/sequoiahub/node/upstream/Attempt.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/upstream/Attempt.java
@@ -63,7 +63,8 @@
   }
 
   private void headers(Response response) {
-    ResponseHeaders answer = HeaderCodec.decodeResponse(response.getStatus(), response.getHeaders());
+    ResponseHeaders answer =
+        HeaderCodec.decodeResponse(response.getStatus(), response.getHeaders());
     // A runner may send a second answer to an earlier request, where ours is due. Its id tells.
     if (!answer.requestId().isEmpty() && !answer.requestId().equals(requestId)) {
       end(new Outcome.Lost("answer to another request", false));
--- a/sequoia-node/src/test/java/org/sequoiahub/node/AccessKeyTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/AccessKeyTest.java
@@ -129,7 +129,8 @@
       request.headers(headers -> headers.add(Headers.WORKSPACE, "other"));
       assertThat(request.send().getStatus()).isEqualTo(200);
       assertThat(request(1, "/open/x", "q2").send().getStatus()).isEqualTo(200);
-      assertThat(runner.callerIdentities().get("q1")).isEqualTo(new StandinRunner.CallerIdentity(List.of(), List.of()));
+      assertThat(runner.callerIdentities().get("q1"))
+          .isEqualTo(new StandinRunner.CallerIdentity(List.of(), List.of()));
     }
 
     @Test
@@ -177,7 +178,8 @@
       model.loadMillis(60_000);
       LoopbackFleet.await("the model runner known at host 1", () -> servesModel("before"));
       Request waiting = withKey(request(1, "/s/x", "waits"), "key-one");
-      waiting.headers(headers -> headers.put(Headers.MODEL, "m/a1").put(Headers.TOKEN_COUNTS, "100,20"));
+      waiting.headers(
+          headers -> headers.put(Headers.MODEL, "m/a1").put(Headers.TOKEN_COUNTS, "100,20"));
       CompletableFuture<ContentResponse> answer = new CompletableResponseListener(waiting).send();
       LoopbackFleet.await("an order for its adapter", () -> !model.acceptedOrders().isEmpty());
       configure(List.of("key-two"), 0);
--- a/sequoia-node/src/test/java/org/sequoiahub/node/NodeTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/NodeTest.java
@@ -328,7 +328,9 @@
       }
       LoopbackFleet.await(
           "the runner to be told",
-          () -> first.cancelledRequests().contains("gone") || second.cancelledRequests().contains("gone"));
+          () ->
+              first.cancelledRequests().contains("gone")
+                  || second.cancelledRequests().contains("gone"));
     }
   }
 
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/RecordWorld.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/RecordWorld.java
@@ -21,8 +21,8 @@
 import org.sequoiahub.schema.peer.StorePull;
 import org.sequoiahub.schema.peer.StoreRecords;
 import org.sequoiahub.usersplatform.RecordDecoder;
-import org.sequoiahub.usersplatform.StoreReader;
 import org.sequoiahub.usersplatform.StoreKeys;
+import org.sequoiahub.usersplatform.StoreReader;
 import org.sequoiahub.usersplatform.standin.VirtualStore;
 
 /**
--- a/sequoia-soak/src/main/java/org/sequoiahub/soak/Faults.java
+++ b/sequoia-soak/src/main/java/org/sequoiahub/soak/Faults.java
@@ -67,7 +67,11 @@
   private void store(long millis) {
     switch (random.nextInt(3)) {
       case 0 ->
-          now("store down", () -> soak.store().setDown(true), millis, () -> soak.store().setDown(false));
+          now(
+              "store down",
+              () -> soak.store().setDown(true),
+              millis,
+              () -> soak.store().setDown(false));
       case 1 -> now("store forgets", () -> soak.store().compact(), 0, () -> {});
       default -> now("configuration", soak::changeConfiguration, 0, () -> {});
     }
