--- a/sequoia-runtime/src/main/java/org/sequoiahub/runtime/http/ChunkWriter.java
+++ b/sequoia-runtime/src/main/java/org/sequoiahub/runtime/http/ChunkWriter.java
@@ -76,7 +76,7 @@
     callback.failed(cause);
   }
 
-  /** Returns whether the response was aborted, because its reader is gone or for another cause. */
+  /** Returns whether the response was aborted by {@link #abort} or by a failing or slow reader. */
   public synchronized boolean isAborted() {
     return aborted;
   }
