--- a/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/Dispatcher.java
+++ b/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/Dispatcher.java
@@ -31,8 +31,8 @@
 /** A running dispatcher: its thread, ports and clients. */
 public final class Dispatcher implements AutoCloseable {
 
-  private static final int RING = 65_536;
-  private static final long TICK_MILLIS = 25;
+  private static final int EVENT_QUEUE_CAPACITY = 65_536;
+  private static final long TICK_INTERVAL_MILLIS = 25;
 
   private final DispatcherSettings settings;
   private final EventLog log;
@@ -54,23 +54,23 @@
     this.tracing =
         Tracing.create(settings.getTraces(), settings.getOtlpEndpoint(), "dispatcher", log);
     Inbox<DispatcherEvent> events = new Inbox<>();
-    DispatcherDuty state = state(metrics, events);
+    DispatcherDuty state = createDuty(metrics, events);
     ViewFeed feed =
         new ViewFeed(
             clients.to(Endpoint.of(settings.getWatcher())),
             true,
-            update -> events.accept(new DispatcherEvent.Viewed(update)));
+            update -> events.accept(new DispatcherEvent.ViewUpdated(update)));
     this.duty =
         new Duty<>(
             "dispatcher",
-            RING,
-            () -> TICK_MILLIS,
+            EVENT_QUEUE_CAPACITY,
+            () -> TICK_INTERVAL_MILLIS,
             state::handle,
             now -> {
               feed.tick(now);
               state.tick(now);
             },
-            state::failed,
+            state::logFailure,
             MonotonicClock.SYSTEM);
     events.connectTo(duty);
     this.admin =
@@ -86,7 +86,7 @@
             settings.getBindAddress(),
             settings.getPort(),
             settings.getSilenceMs(),
-            new Inbound());
+            new InboundHandler());
   }
 
   /**
@@ -122,7 +122,7 @@
     log.info("stopped");
   }
 
-  private DispatcherDuty state(MetricRegistry metrics, Consumer<DispatcherEvent> events) {
+  private DispatcherDuty createDuty(MetricRegistry metrics, Consumer<DispatcherEvent> events) {
     long incarnation = new SecureRandom().nextLong();
     long now = MonotonicClock.SYSTEM.nowMillis();
     String holder = settings.getHostId() + "/" + Long.toHexString(incarnation);
@@ -150,15 +150,15 @@
         log);
   }
 
-  private final class Inbound implements WireServer.Handler {
+  private final class InboundHandler implements WireServer.Handler {
     @Override
     public void message(WireConnection connection, Envelope message) {
-      duty.put(new DispatcherEvent.Received(connection, message));
+      duty.put(new DispatcherEvent.MessageReceived(connection, message));
     }
 
     @Override
     public void closed(WireConnection connection) {
-      duty.put(new DispatcherEvent.Closed(connection));
+      duty.put(new DispatcherEvent.ConnectionClosed(connection));
     }
   }
 }
--- a/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/DispatcherDuty.java
+++ b/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/DispatcherDuty.java
@@ -16,7 +16,7 @@
 /** Hands each event to the service that it is for; all state lives on one thread. */
 final class DispatcherDuty {
 
-  private static final long STATUS_MILLIS = 200;
+  private static final long STATUS_INTERVAL_MILLIS = 200;
 
   private final DispatcherSettings settings;
   private final LocalView view;
@@ -27,7 +27,7 @@
   private final LoadTurnService turns;
   private final MonotonicClock clock;
   private final EventLog log;
-  private @Nullable Runnable drained;
+  private @Nullable Runnable onDrained;
   private long nextStatusMillis = Long.MIN_VALUE;
   private volatile boolean ready;
   private volatile Map<String, Object> status = Map.of();
@@ -52,7 +52,7 @@
     this.turns = turns;
     this.clock = clock;
     this.log = log;
-    runners.connectTo(jobs);
+    runners.setRequestHandler(jobs);
     metrics.register("requests.in_progress", (Gauge<Object>) jobs::size);
   }
 
@@ -64,29 +64,29 @@
     return status;
   }
 
-  void failed(Throwable failure) {
+  void logFailure(Throwable failure) {
     log.warning("defect", "error", failure, "at", failure.getStackTrace()[0]);
   }
 
   void handle(DispatcherEvent event) {
     long now = clock.nowMillis();
-    jobs.now(now);
-    if (event instanceof DispatcherEvent.ChunkCame e) {
-      jobs.chunkCame(e);
-    } else if (event instanceof DispatcherEvent.Received e) {
-      received(e.connection(), e.message(), now);
-    } else if (event instanceof DispatcherEvent.EndCame e) {
-      jobs.endCame(e);
+    jobs.setNowMillis(now);
+    if (event instanceof DispatcherEvent.ChunkReceived e) {
+      jobs.chunkReceived(e);
+    } else if (event instanceof DispatcherEvent.MessageReceived e) {
+      routeMessage(e.connection(), e.message(), now);
+    } else if (event instanceof DispatcherEvent.EndReceived e) {
+      jobs.endReceived(e);
     } else if (event instanceof DispatcherEvent.StartRefused e) {
       jobs.startRefused(e);
-    } else if (event instanceof DispatcherEvent.StreamBroke e) {
-      jobs.streamBroke(e);
+    } else if (event instanceof DispatcherEvent.StreamFailed e) {
+      jobs.streamFailed(e);
     } else if (event instanceof DispatcherEvent.CancelAnswered e) {
       jobs.cancelAnswered(e);
-    } else if (event instanceof DispatcherEvent.Reported e) {
-      runners.reported(e.runner(), e.report(), now);
+    } else if (event instanceof DispatcherEvent.ReportReceived e) {
+      runners.reportReceived(e.runner(), e.report(), now);
     } else if (event instanceof DispatcherEvent.ReportFailed e) {
-      runners.reportFailed(e.runner(), e.why());
+      runners.reportFailed(e.runner(), e.reason());
     } else if (event instanceof DispatcherEvent.ClaimAnswered e) {
       runners.claimAnswered(e, now);
     } else if (event instanceof DispatcherEvent.LeaseAnswered e) {
@@ -95,52 +95,52 @@
       runners.loadAnswered(e, now);
     } else if (event instanceof DispatcherEvent.UnloadAnswered e) {
       runners.unloadAnswered(e, now);
-    } else if (event instanceof DispatcherEvent.TurnAnswered e) {
-      runners.turnAnswered(e, now);
+    } else if (event instanceof DispatcherEvent.LoadTurnAnswered e) {
+      runners.loadTurnAnswered(e, now);
     } else if (event instanceof DispatcherEvent.ServiceAnswered e) {
-      services.answered(e);
+      services.upstreamAnswered(e);
     } else if (event instanceof DispatcherEvent.ServiceFailed e) {
-      services.failed(e);
-    } else if (event instanceof DispatcherEvent.Viewed e) {
-      viewed(e, now);
-    } else if (event instanceof DispatcherEvent.Closed e) {
-      jobs.closed(e.connection());
-      turns.closed(e.connection());
+      services.upstreamFailed(e);
+    } else if (event instanceof DispatcherEvent.ViewUpdated e) {
+      applyViewUpdate(e, now);
+    } else if (event instanceof DispatcherEvent.ConnectionClosed e) {
+      jobs.connectionClosed(e.connection());
+      turns.connectionClosed(e.connection());
     } else if (event instanceof DispatcherEvent.Stop e) {
-      stop(e.drained(), now);
+      stop(e.onDrained(), now);
     }
   }
 
   void tick(long nowMillis) {
-    jobs.now(nowMillis);
+    jobs.setNowMillis(nowMillis);
     runners.tick(nowMillis);
     jobs.tick();
     turns.tick(nowMillis);
     if (nowMillis >= nextStatusMillis) {
-      nextStatusMillis = nowMillis + STATUS_MILLIS;
+      nextStatusMillis = nowMillis + STATUS_INTERVAL_MILLIS;
       publishStatus(nowMillis);
     }
-    Runnable waiting = drained;
+    Runnable waiting = onDrained;
     if (waiting != null && jobs.size() == 0 && services.size() == 0) {
-      drained = null;
+      onDrained = null;
       waiting.run();
     }
   }
 
-  private void received(WireConnection connection, Envelope message, long nowMillis) {
+  private void routeMessage(WireConnection connection, Envelope message, long nowMillis) {
     long call = message.getCall();
     switch (message.getBodyCase()) {
-      case INFERENCE -> jobs.received(connection, call, message.getInference());
-      case CANCEL -> jobs.cancelled(connection, call);
-      case SERVICE -> services.received(connection, call, message.getService(), nowMillis);
-      case MINT -> services.mint(connection, call, message.getMint(), nowMillis);
-      case LEASE -> leases.received(connection, call, message.getLease(), nowMillis);
-      case LOAD_TURN -> turns.received(connection, call, message.getLoadTurn(), nowMillis);
+      case INFERENCE -> jobs.handleInferenceCall(connection, call, message.getInference());
+      case CANCEL -> jobs.handleCancel(connection, call);
+      case SERVICE -> services.handleServiceCall(connection, call, message.getService(), nowMillis);
+      case MINT -> services.mintOperationIds(connection, call, message.getMint(), nowMillis);
+      case LEASE -> leases.handleLeaseCall(connection, call, message.getLease(), nowMillis);
+      case LOAD_TURN -> turns.handleLoadTurnCall(connection, call, message.getLoadTurn(), nowMillis);
       default -> log.warning("unexpected-message", "kind", message.getBodyCase());
     }
   }
 
-  private void viewed(DispatcherEvent.Viewed event, long nowMillis) {
+  private void applyViewUpdate(DispatcherEvent.ViewUpdated event, long nowMillis) {
     if (view.apply(event.update())) {
       Fleet fleet = view.fleet();
       jobs.fleet(fleet);
@@ -149,12 +149,12 @@
       turns.fleet(fleet);
       runners.fleet(fleet, nowMillis);
     }
-    ready = view.isCaughtUp() && drained == null;
+    ready = view.isCaughtUp() && onDrained == null;
   }
 
   private void stop(Runnable whenDrained, long nowMillis) {
     ready = false;
-    drained = whenDrained;
+    onDrained = whenDrained;
     services.stop();
     runners.stop(nowMillis);
   }
--- a/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/DispatcherEvent.java
+++ b/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/DispatcherEvent.java
@@ -12,16 +12,16 @@
 sealed interface DispatcherEvent {
 
   /** The watcher sent news. */
-  record Viewed(Update update) implements DispatcherEvent {}
+  record ViewUpdated(Update update) implements DispatcherEvent {}
 
   /** An entry or another dispatcher sent a message. */
-  record Received(WireConnection connection, Envelope message) implements DispatcherEvent {}
+  record MessageReceived(WireConnection connection, Envelope message) implements DispatcherEvent {}
 
   /** A connection is gone. */
-  record Closed(WireConnection connection) implements DispatcherEvent {}
+  record ConnectionClosed(WireConnection connection) implements DispatcherEvent {}
 
   /** An engine answered a claim of authority. */
-  record ClaimAnswered(String runner, long number, long sentMillis, OrderAnswer answer)
+  record ClaimAnswered(String runner, long fencingNumber, long sentMillis, OrderAnswer answer)
       implements DispatcherEvent {}
 
   /** A host answered a lease round. */
@@ -29,36 +29,36 @@
       implements DispatcherEvent {}
 
   /** An engine answered a load order. */
-  record LoadAnswered(String runner, AdapterVersion adapter, long number, OrderAnswer answer)
+  record LoadAnswered(String runner, AdapterVersion adapter, long fencingNumber, OrderAnswer answer)
       implements DispatcherEvent {}
 
   /** An engine answered an eviction order. */
-  record UnloadAnswered(String runner, AdapterVersion adapter, long number, OrderAnswer answer)
+  record UnloadAnswered(String runner, AdapterVersion adapter, long fencingNumber, OrderAnswer answer)
       implements DispatcherEvent {}
 
   /** A load turn was granted, or its keeper cannot be reached. */
-  record TurnAnswered(String runner, AdapterVersion adapter, boolean granted)
+  record LoadTurnAnswered(String runner, AdapterVersion adapter, boolean granted)
       implements DispatcherEvent {}
 
   /** An engine's report was read. */
-  record Reported(String runner, EngineReport report) implements DispatcherEvent {}
+  record ReportReceived(String runner, EngineReport report) implements DispatcherEvent {}
 
   /** An engine's report could not be read. */
-  record ReportFailed(String runner, String why) implements DispatcherEvent {}
+  record ReportFailed(String runner, String reason) implements DispatcherEvent {}
 
   /** An engine sent a chunk on stream number {@code stream} of a job. */
-  record ChunkCame(String request, int stream, long sequence, String model, byte[] data)
+  record ChunkReceived(String request, int stream, long sequence, String model, byte[] data)
       implements DispatcherEvent {}
 
   /** An engine sent its end marker. */
-  record EndCame(String request, int stream, long chunks) implements DispatcherEvent {}
+  record EndReceived(String request, int stream, long chunks) implements DispatcherEvent {}
 
   /** An engine refused a request. */
   record StartRefused(String request, int stream, int status, String message)
       implements DispatcherEvent {}
 
   /** A stream broke. */
-  record StreamBroke(String request, int stream, String why) implements DispatcherEvent {}
+  record StreamFailed(String request, int stream, String reason) implements DispatcherEvent {}
 
   /** An engine answered a cancel. */
   record CancelAnswered(String request, boolean confirmed) implements DispatcherEvent {}
@@ -68,8 +68,8 @@
       implements DispatcherEvent {}
 
   /** A service call failed. */
-  record ServiceFailed(long job, boolean sent, String why) implements DispatcherEvent {}
+  record ServiceFailed(long job, boolean sent, String reason) implements DispatcherEvent {}
 
   /** The process is asked to stop. */
-  record Stop(Runnable drained) implements DispatcherEvent {}
+  record Stop(Runnable onDrained) implements DispatcherEvent {}
 }
--- a/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/Job.java
+++ b/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/Job.java
@@ -16,7 +16,7 @@
   private static final int CHUNKS_AHEAD = 1_024;
 
   private final InferenceCall request;
-  private final RunnerRequest asked;
+  private final RunnerRequest runnerRequest;
   private final Span span;
   private final boolean resident;
   private WireConnection connection;
@@ -24,10 +24,10 @@
   private ChunkSequencer sequencer;
   private @Nullable EngineStream stream;
   private int streamNumber;
-  private int resumes;
+  private int consecutiveResumes;
   private boolean started;
   private boolean cancelled;
-  private long lastHeardMillis;
+  private long lastReceivedMillis;
   private long orphanedMillis = Long.MAX_VALUE;
 
   Job(
@@ -39,29 +39,29 @@
       long call,
       long nowMillis) {
     this.request = request;
-    this.asked = asked;
+    this.runnerRequest = asked;
     this.span = span;
     this.resident = resident;
     this.connection = connection;
     this.call = call;
     this.sequencer = new ChunkSequencer(request.getResumeAfter(), CHUNKS_AHEAD);
-    this.lastHeardMillis = nowMillis;
+    this.lastReceivedMillis = nowMillis;
   }
 
   InferenceCall request() {
     return request;
   }
 
-  RunnerRequest asked() {
-    return asked;
+  RunnerRequest runnerRequest() {
+    return runnerRequest;
   }
 
   AdapterVersion adapter() {
-    return asked.adapter();
+    return runnerRequest.adapter();
   }
 
   String id() {
-    return asked.id();
+    return runnerRequest.id();
   }
 
   Span span() {
@@ -80,16 +80,16 @@
     connection.send(call, message);
   }
 
-  boolean isOn(WireConnection other) {
+  boolean usesConnection(WireConnection other) {
     return connection.equals(other);
   }
 
-  boolean isCall(WireConnection other, long number) {
+  boolean respondsTo(WireConnection other, long number) {
     return connection.equals(other) && call == number;
   }
 
   /** Sends the rest of the answer to another call, from after chunk {@code after}. */
-  void moveTo(WireConnection other, long number, long after) {
+  void redirectTo(WireConnection other, long number, long after) {
     connection = other;
     call = number;
     sequencer = new ChunkSequencer(after, CHUNKS_AHEAD);
@@ -99,17 +99,17 @@
   /**
    * Returns the number of the stream that is about to be opened; older streams' events are void.
    */
-  int nextStream(long nowMillis) {
+  int nextStreamNumber(long nowMillis) {
     abandonStream();
-    lastHeardMillis = nowMillis;
+    lastReceivedMillis = nowMillis;
     return ++streamNumber;
   }
 
-  void opened(EngineStream opened) {
+  void streamOpened(EngineStream opened) {
     stream = opened;
   }
 
-  boolean isCurrent(int number) {
+  boolean isCurrentStream(int number) {
     return streamNumber == number;
   }
 
@@ -120,24 +120,24 @@
     }
   }
 
-  int countResume() {
-    return ++resumes;
+  int incrementResumes() {
+    return ++consecutiveResumes;
   }
 
-  void heard(long nowMillis) {
-    lastHeardMillis = nowMillis;
-    resumes = 0;
+  void chunkReceived(long nowMillis) {
+    lastReceivedMillis = nowMillis;
+    consecutiveResumes = 0;
   }
 
   long silentMillis(long nowMillis) {
-    return nowMillis - lastHeardMillis;
+    return nowMillis - lastReceivedMillis;
   }
 
   boolean isStarted() {
     return started;
   }
 
-  void start() {
+  void markStarted() {
     started = true;
   }
 
@@ -145,11 +145,11 @@
     return cancelled;
   }
 
-  void cancel() {
+  void markCancelled() {
     cancelled = true;
   }
 
-  void orphaned(long nowMillis) {
+  void markOrphaned(long nowMillis) {
     orphanedMillis = nowMillis;
   }
 
--- a/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/JobScheduler.java
+++ b/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/JobScheduler.java
@@ -35,11 +35,11 @@
 import org.sequoiahub.wire.WireConnection;
 
 /** The inference requests at this dispatcher and the streams of their answers. */
-final class JobScheduler implements OwnedRunnerController.Requests {
+final class JobScheduler implements OwnedRunnerController.RequestHandler {
 
   private static final int MAX_RESUMES = 5;
   private static final long CANCEL_TIMEOUT_MILLIS = 2_000;
-  private static final long ORPHAN_MILLIS = 5_000;
+  private static final long ORPHAN_TIMEOUT_MILLIS = 5_000;
   private static final long LIMIT_RETRY_AFTER_MILLIS = 500;
   private static final int NOT_FOUND = 404;
 
@@ -51,9 +51,9 @@
   private final EventLog log;
   private final Map<String, Job> jobs = new HashMap<>();
   private final Map<String, Integer> inFlightByAdapter = new HashMap<>();
-  private final Counter whole;
+  private final Counter completed;
   private final Counter notRun;
-  private final Counter notWhole;
+  private final Counter incomplete;
   private final Counter resumes;
   private final Counter wrongAdapter;
   private final Counter staleEvents;
@@ -74,9 +74,9 @@
     this.events = events;
     this.tracing = tracing;
     this.log = log;
-    this.whole = metrics.counter("requests.whole");
+    this.completed = metrics.counter("requests.whole");
     this.notRun = metrics.counter("requests.not_run");
-    this.notWhole = metrics.counter("requests.not_whole");
+    this.incomplete = metrics.counter("requests.not_whole");
     this.resumes = metrics.counter("streams.resumed");
     this.wrongAdapter = metrics.counter("answers.wrong_adapter");
     this.staleEvents = metrics.counter("streams.stale_events");
@@ -87,7 +87,7 @@
   }
 
   /** Sets the time that the event at hand is handled at. */
-  void now(long millis) {
+  void setNowMillis(long millis) {
     nowMillis = millis;
   }
 
@@ -95,14 +95,14 @@
     return jobs.size();
   }
 
-  void received(WireConnection connection, long call, InferenceCall message) {
+  void handleInferenceCall(WireConnection connection, long call, InferenceCall message) {
     if (message.getResume()) {
       resume(connection, call, message);
       return;
     }
     AdapterVersion adapter = new AdapterVersion(message.getAdapter(), message.getVersion());
-    RunnerRequest asked = asked(message, adapter);
-    Optional<NotRun> limit = overLimit(adapter, message.getMaxInFlight());
+    RunnerRequest asked = toRunnerRequest(message, adapter);
+    Optional<NotRun> limit = checkAdapterLimit(adapter, message.getMaxInFlight());
     if (limit.isPresent()) {
       refuseCall(connection, call, limit.get(), message.getRunner());
       return;
@@ -139,15 +139,15 @@
   }
 
   /** The caller went away or its deadline passed. */
-  void cancelled(WireConnection connection, long call) {
-    find(connection, call).ifPresent(this::cancel);
+  void handleCancel(WireConnection connection, long call) {
+    findJob(connection, call).ifPresent(this::cancel);
   }
 
   /** An entry's connection is gone: its jobs wait a while to be resumed on another one. */
-  void closed(WireConnection connection) {
+  void connectionClosed(WireConnection connection) {
     for (Job job : jobs.values()) {
-      if (job.isOn(connection)) {
-        job.orphaned(nowMillis);
+      if (job.usesConnection(connection)) {
+        job.markOrphaned(nowMillis);
       }
     }
   }
@@ -162,10 +162,10 @@
       }
       return;
     }
-    job.start();
+    job.markStarted();
     job.send(Envelope.newBuilder().setStarted(Started.newBuilder().setRunner(runner.id())));
-    int number = job.nextStream(nowMillis);
-    job.opened(
+    int number = job.nextStreamNumber(nowMillis);
+    job.streamOpened(
         engines.start(
             runner.address(),
             job.request().getPath(),
@@ -194,8 +194,8 @@
         confirmed -> events.accept(new DispatcherEvent.CancelAnswered(request.id(), confirmed)));
   }
 
-  void chunkCame(DispatcherEvent.ChunkCame event) {
-    Job job = current(event.request(), event.stream());
+  void chunkReceived(DispatcherEvent.ChunkReceived event) {
+    Job job = findJobOfCurrentStream(event.request(), event.stream());
     if (job == null) {
       return;
     }
@@ -209,13 +209,13 @@
           job.adapter().exactName(),
           "answered",
           event.model());
-      endWithoutMarker(job);
+      abandonRunning(job);
       finish(
           job,
           Outcomes.ranButFailed("wrong-adapter", "the engine answered as '" + event.model() + "'"));
       return;
     }
-    job.heard(nowMillis);
+    job.chunkReceived(nowMillis);
     long sequence = job.sequencer().delivered();
     for (byte[] data : job.sequencer().accept(event.sequence(), event.data())) {
       Chunk chunk =
@@ -224,8 +224,8 @@
     }
   }
 
-  void endCame(DispatcherEvent.EndCame event) {
-    Job job = current(event.request(), event.stream());
+  void endReceived(DispatcherEvent.EndReceived event) {
+    Job job = findJobOfCurrentStream(event.request(), event.stream());
     if (job == null) {
       return;
     }
@@ -235,16 +235,16 @@
       return;
     }
     withRunner(job, owner -> owner.controller().ended(job.id(), nowMillis));
-    finish(job, Outcomes.whole(event.chunks()));
+    finish(job, Outcomes.complete(event.chunks()));
   }
 
   void startRefused(DispatcherEvent.StartRefused event) {
-    Job job = current(event.request(), event.stream());
+    Job job = findJobOfCurrentStream(event.request(), event.stream());
     if (job == null) {
       return;
     }
     withRunner(job, owner -> owner.controller().ended(job.id(), nowMillis));
-    if (job.countResume() > 1 || job.request().getResume() || job.sequencer().delivered() > 0) {
+    if (job.incrementResumes() > 1 || job.request().getResume() || job.sequencer().delivered() > 0) {
       // A refused resume: the engine no longer knows the request, for example after a restart.
       finish(job, Outcomes.of(new MayHaveRun("engine-lost-request", event.message())));
     } else {
@@ -253,10 +253,10 @@
     }
   }
 
-  void streamBroke(DispatcherEvent.StreamBroke event) {
-    Job job = current(event.request(), event.stream());
+  void streamFailed(DispatcherEvent.StreamFailed event) {
+    Job job = findJobOfCurrentStream(event.request(), event.stream());
     if (job != null) {
-      resumeStream(job, event.why());
+      resumeStream(job, event.reason());
     }
   }
 
@@ -269,7 +269,7 @@
       withRunner(job, owner -> owner.controller().ended(job.id(), nowMillis));
       finish(job, Outcomes.ranButFailed("cancelled", "the request was cancelled"));
     } else {
-      endWithoutMarker(job);
+      abandonRunning(job);
       finish(job, Outcomes.of(new MayHaveRun("cancel-unconfirmed", "the engine did not answer")));
     }
   }
@@ -280,15 +280,15 @@
           job.isStarted() && job.silentMillis(nowMillis) >= settings.getStreamSilenceMs();
       if (silent) {
         resumeStream(job, "the stream is silent");
-      } else if (job.isOrphanedFor(ORPHAN_MILLIS, nowMillis)) {
+      } else if (job.isOrphanedFor(ORPHAN_TIMEOUT_MILLIS, nowMillis)) {
         cancel(job);
-      } else if (job.isStarted() && nowMillis >= job.asked().deadlineMillis()) {
+      } else if (job.isStarted() && nowMillis >= job.runnerRequest().deadlineMillis()) {
         cancel(job);
       }
     }
   }
 
-  private RunnerRequest asked(InferenceCall message, AdapterVersion adapter) {
+  private RunnerRequest toRunnerRequest(InferenceCall message, AdapterVersion adapter) {
     long remaining = Math.min(message.getRemainingMs(), settings.getRequestLimitMs());
     return new RunnerRequest(
         message.getRequestId(),
@@ -301,7 +301,7 @@
    * Says whether the adapter's limit is reached. Entries send every request for a limited adapter
    * to its first candidate runner, so the count here is the fleet's.
    */
-  private Optional<NotRun> overLimit(AdapterVersion adapter, int limit) {
+  private Optional<NotRun> checkAdapterLimit(AdapterVersion adapter, int limit) {
     int inFlight = inFlightByAdapter.getOrDefault(adapter.adapter(), 0);
     return limit > 0 && inFlight >= limit
         ? Optional.of(
@@ -315,29 +315,29 @@
   private void resume(WireConnection connection, long call, InferenceCall message) {
     Job job = jobs.get(message.getRequestId());
     if (job == null) {
-      adopt(connection, call, message);
+      resumeUnknownJob(connection, call, message);
       return;
     }
-    job.moveTo(connection, call, message.getResumeAfter());
+    job.redirectTo(connection, call, message.getResumeAfter());
     if (job.isStarted()) {
       openResume(job);
     }
   }
 
-  private void adopt(WireConnection connection, long call, InferenceCall message) {
+  private void resumeUnknownJob(WireConnection connection, long call, InferenceCall message) {
     AdapterVersion adapter = new AdapterVersion(message.getAdapter(), message.getVersion());
     Span span = tracing.start("dispatcher.resume", SpanKind.SERVER, message.getTraceparent());
-    Job job = new Job(message, asked(message, adapter), span, true, connection, call, nowMillis);
+    Job job = new Job(message, toRunnerRequest(message, adapter), span, true, connection, call, nowMillis);
     jobs.put(job.id(), job);
     inFlightByAdapter.merge(adapter.adapter(), 1, Integer::sum);
-    job.start();
-    withRunner(job, owner -> owner.controller().adopted(job.asked(), nowMillis));
+    job.markStarted();
+    withRunner(job, owner -> owner.controller().adopted(job.runnerRequest(), nowMillis));
     openResume(job);
   }
 
   private void resumeStream(Job job, String why) {
-    if (job.countResume() > MAX_RESUMES) {
-      endWithoutMarker(job);
+    if (job.incrementResumes() > MAX_RESUMES) {
+      abandonRunning(job);
       finish(job, Outcomes.of(new MayHaveRun("stream-lost", why)));
       return;
     }
@@ -353,8 +353,8 @@
       return;
     }
     resumes.inc();
-    int number = job.nextStream(nowMillis);
-    job.opened(
+    int number = job.nextStreamNumber(nowMillis);
+    job.streamOpened(
         engines.resume(
             runner.get().address(),
             job.id(),
@@ -366,21 +366,21 @@
     if (job.isCancelled()) {
       return;
     }
-    job.cancel();
+    job.markCancelled();
     OwnedRunner owner = runners.owned(job.request().getRunner());
     if (owner != null && owner.controller().cancel(job.id())) {
-      finish(job, Outcomes.of(notStarted(job)));
+      finish(job, Outcomes.of(notStartedVerdict(job)));
     } else if (owner != null) {
-      runners.settle(owner, nowMillis);
+      runners.performActions(owner, nowMillis);
     } else {
       fleet
           .runner(job.request().getRunner())
-          .ifPresent(runner -> cancelRunning(runner, job.asked()));
+          .ifPresent(runner -> cancelRunning(runner, job.runnerRequest()));
     }
   }
 
-  private NotRun notStarted(Job job) {
-    return nowMillis >= job.asked().deadlineMillis()
+  private NotRun notStartedVerdict(Job job) {
+    return nowMillis >= job.runnerRequest().deadlineMillis()
         ? new NotRun("deadline-passed", "the deadline passed while the request waited", 1)
         : new NotRun("cancelled", "cancelled before it started", 0);
   }
@@ -388,7 +388,7 @@
   /**
    * Gives a running request up without knowing that it stopped: its pin stays until that is known.
    */
-  private void endWithoutMarker(Job job) {
+  private void abandonRunning(Job job) {
     withRunner(
         job,
         owner -> {
@@ -403,7 +403,7 @@
     OwnedRunner owner = runners.owned(job.request().getRunner());
     if (owner != null) {
       action.accept(owner);
-      runners.settle(owner, nowMillis);
+      runners.performActions(owner, nowMillis);
     }
   }
 
@@ -419,7 +419,7 @@
     }
     outcome.setRunner(job.request().getRunner()).setResident(job.wasResident());
     job.send(Outcomes.envelope(outcome));
-    count(outcome);
+    countOutcome(outcome);
     job.span().setAttribute("verdict", outcome.getVerdict().name());
     job.span().setStatus(outcome.getComplete() ? StatusCode.OK : StatusCode.ERROR);
     job.span().end();
@@ -433,13 +433,13 @@
         outcome.getReason());
   }
 
-  private void count(Outcome.Builder outcome) {
+  private void countOutcome(Outcome.Builder outcome) {
     if (outcome.getComplete()) {
-      whole.inc();
+      completed.inc();
     } else if (outcome.getVerdict() == RunVerdict.NOT_RUN) {
       notRun.inc();
     } else {
-      notWhole.inc();
+      incomplete.inc();
     }
   }
 
@@ -448,13 +448,13 @@
     connection.send(call, Outcomes.envelope(Outcomes.of(verdict).setRunner(runner)));
   }
 
-  private Optional<Job> find(WireConnection connection, long call) {
-    return jobs.values().stream().filter(job -> job.isCall(connection, call)).findFirst();
+  private Optional<Job> findJob(WireConnection connection, long call) {
+    return jobs.values().stream().filter(job -> job.respondsTo(connection, call)).findFirst();
   }
 
-  private @Nullable Job current(String request, int stream) {
+  private @Nullable Job findJobOfCurrentStream(String request, int stream) {
     Job job = jobs.get(request);
-    if (job == null || !job.isCurrent(stream)) {
+    if (job == null || !job.isCurrentStream(stream)) {
       staleEvents.inc();
       return null;
     }
@@ -472,12 +472,12 @@
 
     @Override
     public void chunk(long sequence, String model, byte[] data) {
-      events.accept(new DispatcherEvent.ChunkCame(request, number, sequence, model, data));
+      events.accept(new DispatcherEvent.ChunkReceived(request, number, sequence, model, data));
     }
 
     @Override
     public void end(long chunks) {
-      events.accept(new DispatcherEvent.EndCame(request, number, chunks));
+      events.accept(new DispatcherEvent.EndReceived(request, number, chunks));
     }
 
     @Override
@@ -487,7 +487,7 @@
 
     @Override
     public void broken(String why) {
-      events.accept(new DispatcherEvent.StreamBroke(request, number, why));
+      events.accept(new DispatcherEvent.StreamFailed(request, number, why));
     }
   }
 }
--- a/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/LeaseService.java
+++ b/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/LeaseService.java
@@ -46,7 +46,7 @@
   }
 
   /** Answers another dispatcher's lease call. */
-  void received(WireConnection connection, long call, LeaseCall message, long nowMillis) {
+  void handleLeaseCall(WireConnection connection, long call, LeaseCall message, long nowMillis) {
     if (message.getRelease()) {
       granter.release(message.getRunner(), message.getHolder());
       return;
@@ -67,7 +67,7 @@
           authority.granted(host, nowMillis, nowMillis);
         }
       } else {
-        ask(runner, host, nowMillis);
+        requestLease(runner, host, nowMillis);
       }
     }
   }
@@ -75,7 +75,7 @@
   /** Gives the leases on a runner back, so that its next owner need not wait for them to expire. */
   void release(String runner) {
     granter.release(runner, holder);
-    LeaseCall release = call(runner).setRelease(true).build();
+    LeaseCall release = newLeaseCall(runner).setRelease(true).build();
     for (Host host : fleet.hosts()) {
       if (!host.id().equals(settings.getHostId())) {
         client(host).tell(Envelope.newBuilder().setLease(release));
@@ -83,18 +83,18 @@
     }
   }
 
-  private void ask(String runner, String hostId, long nowMillis) {
+  private void requestLease(String runner, String hostId, long nowMillis) {
     Optional<Host> host = fleet.host(hostId);
     if (host.isEmpty()) {
       return;
     }
     WireClient client = client(host.get());
     client.call(
-        Envelope.newBuilder().setLease(call(runner)),
+        Envelope.newBuilder().setLease(newLeaseCall(runner)),
         new LeaseListener(client, runner, hostId, nowMillis));
   }
 
-  private LeaseCall.Builder call(String runner) {
+  private LeaseCall.Builder newLeaseCall(String runner) {
     return LeaseCall.newBuilder()
         .setRunner(runner)
         .setHolder(holder)
--- a/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/TurnKey.java
+++ b/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/LoadTurnKey.java
@@ -11,4 +11,4 @@
  * @param runner the runner to load on
  * @param adapter the exact adapter name to load
  */
-record TurnKey(@Nullable WireConnection connection, long call, String runner, String adapter) {}
+record LoadTurnKey(@Nullable WireConnection connection, long call, String runner, String adapter) {}
--- a/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/LoadTurnService.java
+++ b/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/LoadTurnService.java
@@ -34,9 +34,9 @@
   private final WireClients clients;
   private final Consumer<DispatcherEvent> events;
   private final Counter fallbacks;
-  private final LoadTurns<TurnKey> kept;
-  private final Map<TurnKey, AskedTurn> asked = new HashMap<>();
-  private LoadTurns<TurnKey> ownShare;
+  private final LoadTurns<LoadTurnKey> fleetTurns;
+  private final Map<LoadTurnKey, RemoteTurn> remoteTurns = new HashMap<>();
+  private LoadTurns<LoadTurnKey> ownShare;
   private Fleet fleet = Fleet.EMPTY;
 
   LoadTurnService(
@@ -48,8 +48,8 @@
     this.clients = clients;
     this.events = events;
     this.fallbacks = metrics.counter("load_turns.fallbacks");
-    this.kept = new LoadTurns<>(settings.getLoadsPerSecond(), 1, settings.getLoadTimeoutMs());
-    this.ownShare = kept;
+    this.fleetTurns = new LoadTurns<>(settings.getLoadsPerSecond(), 1, settings.getLoadTimeoutMs());
+    this.ownShare = fleetTurns;
   }
 
   void fleet(Fleet next) {
@@ -59,11 +59,11 @@
   }
 
   /** Asks for a turn; the answer comes as an event. */
-  void ask(String runner, RunnerAction.AskTurn ask, long nowMillis) {
-    TurnKey key = key(runner, ask.adapter());
+  void requestTurn(String runner, RunnerAction.AskTurn ask, long nowMillis) {
+    LoadTurnKey key = key(runner, ask.adapter());
     Optional<Host> keeper = Placement.loadTurnKeeper(fleet);
     if (keeper.isEmpty() || keeper.get().id().equals(settings.getHostId())) {
-      kept.ask(key, ask.waiting(), ask.interactive(), nowMillis);
+      fleetTurns.ask(key, ask.waiting(), ask.interactive(), nowMillis);
       return;
     }
     WireClient client =
@@ -78,15 +78,15 @@
     long number =
         client.call(
             Envelope.newBuilder().setLoadTurn(call), new TurnListener(runner, ask.adapter()));
-    asked.put(key, new AskedTurn(client, number));
+    remoteTurns.put(key, new RemoteTurn(client, number));
   }
 
   /** Gives a turn back, or withdraws the ask. */
-  void giveBack(String runner, AdapterVersion adapter) {
-    TurnKey key = key(runner, adapter);
-    kept.done(key);
+  void returnTurn(String runner, AdapterVersion adapter) {
+    LoadTurnKey key = key(runner, adapter);
+    fleetTurns.done(key);
     ownShare.done(key);
-    AskedTurn turn = asked.remove(key);
+    RemoteTurn turn = remoteTurns.remove(key);
     if (turn != null) {
       LoadTurnCall done = LoadTurnCall.newBuilder().setDone(true).build();
       turn.client.send(turn.call, Envelope.newBuilder().setLoadTurn(done));
@@ -95,55 +95,55 @@
   }
 
   /** Takes in another dispatcher's ask or give-back. */
-  void received(WireConnection connection, long call, LoadTurnCall message, long nowMillis) {
+  void handleLoadTurnCall(WireConnection connection, long call, LoadTurnCall message, long nowMillis) {
     if (message.getDone()) {
-      kept.done(new TurnKey(connection, call, "", ""));
+      fleetTurns.done(new LoadTurnKey(connection, call, "", ""));
       return;
     }
-    TurnKey key = new TurnKey(connection, call, "", "");
-    kept.ask(key, message.getWaiting(), message.getInteractive(), nowMillis);
+    LoadTurnKey key = new LoadTurnKey(connection, call, "", "");
+    fleetTurns.ask(key, message.getWaiting(), message.getInteractive(), nowMillis);
   }
 
   /**
    * Withdraws what came over a connection that is gone. A turn granted to a dead asker would hold
    * up every load of the fleet until it expires.
    */
-  void closed(WireConnection connection) {
-    kept.withdrawIf(key -> connection.equals(key.connection()));
+  void connectionClosed(WireConnection connection) {
+    fleetTurns.withdrawIf(key -> connection.equals(key.connection()));
   }
 
   /** The keeper cannot be reached: takes the turn from this host's own share of the rate. */
-  void keeperLost(String runner, AdapterVersion adapter, long nowMillis) {
-    TurnKey key = key(runner, adapter);
-    if (asked.remove(key) != null) {
+  void fallBackToOwnShare(String runner, AdapterVersion adapter, long nowMillis) {
+    LoadTurnKey key = key(runner, adapter);
+    if (remoteTurns.remove(key) != null) {
       fallbacks.inc();
       ownShare.ask(key, 1, true, nowMillis);
     }
   }
 
   void tick(long nowMillis) {
-    kept.grant(nowMillis).forEach(this::granted);
-    if (ownShare != kept) {
-      ownShare.grant(nowMillis).forEach(this::granted);
+    fleetTurns.grant(nowMillis).forEach(this::reportGranted);
+    if (ownShare != fleetTurns) {
+      ownShare.grant(nowMillis).forEach(this::reportGranted);
     }
   }
 
-  private void granted(TurnKey key) {
+  private void reportGranted(LoadTurnKey key) {
     if (key.connection() != null) {
       LoadTurnAnswer answer = LoadTurnAnswer.newBuilder().setGranted(true).build();
       key.connection().send(key.call(), Envelope.newBuilder().setLoadTurnAnswer(answer));
     } else {
       events.accept(
-          new DispatcherEvent.TurnAnswered(
+          new DispatcherEvent.LoadTurnAnswered(
               key.runner(), AdapterVersion.parse(key.adapter()), true));
     }
   }
 
-  private static TurnKey key(String runner, AdapterVersion adapter) {
-    return new TurnKey(null, 0, runner, adapter.exactName());
+  private static LoadTurnKey key(String runner, AdapterVersion adapter) {
+    return new LoadTurnKey(null, 0, runner, adapter.exactName());
   }
 
-  private record AskedTurn(WireClient client, long call) {}
+  private record RemoteTurn(WireClient client, long call) {}
 
   private final class TurnListener implements CallListener {
     private final String runner;
@@ -156,12 +156,12 @@
 
     @Override
     public void message(Envelope message) {
-      events.accept(new DispatcherEvent.TurnAnswered(runner, adapter, true));
+      events.accept(new DispatcherEvent.LoadTurnAnswered(runner, adapter, true));
     }
 
     @Override
     public void lost(boolean handedOn) {
-      events.accept(new DispatcherEvent.TurnAnswered(runner, adapter, false));
+      events.accept(new DispatcherEvent.LoadTurnAnswered(runner, adapter, false));
     }
   }
 }
--- a/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/Outcomes.java
+++ b/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/Outcomes.java
@@ -16,7 +16,7 @@
 
   private Outcomes() {}
 
-  static Outcome.Builder whole(long chunks) {
+  static Outcome.Builder complete(long chunks) {
     return Outcome.newBuilder()
         .setVerdict(RunVerdict.RAN)
         .setComplete(true)
--- a/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/OwnedRunner.java
+++ b/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/OwnedRunner.java
@@ -15,17 +15,17 @@
    * Two terms of claims. Granters that were just started abstain for one term, so after a start of
    * the whole fleet the first claims fail although nothing is wrong.
    */
-  private static final int FAILED_ROUNDS_BEFORE_REFUSAL = 6;
+  private static final int MAX_FAILED_CLAIM_ROUNDS = 6;
 
   private Runner runner;
   private final RunnerController controller;
   private final Authority authority;
-  private boolean reading;
+  private boolean reportPending;
   private long nextReportMillis = Long.MIN_VALUE;
-  private long lastAskedMillis;
-  private long claimWishedUntilMillis = Long.MIN_VALUE;
-  private long noWishBeforeMillis = Long.MIN_VALUE;
-  private int failedRounds;
+  private long lastRequestMillis;
+  private long claimRequestedUntilMillis = Long.MIN_VALUE;
+  private long claimRequestsRefusedUntilMillis = Long.MIN_VALUE;
+  private int failedClaimRounds;
   private boolean wasHeld;
 
   OwnedRunner(Runner runner, PolicySettings policy, long authorityMillis, int tag, long nowMillis) {
@@ -35,7 +35,7 @@
         runner.checksFencing()
             ? new FencedAuthority(authorityMillis, tag)
             : new LeasedAuthority(authorityMillis);
-    this.lastAskedMillis = nowMillis;
+    this.lastRequestMillis = nowMillis;
   }
 
   Runner runner() {
@@ -66,25 +66,25 @@
     return change;
   }
 
-  boolean reportDue(long nowMillis) {
-    return !reading && nowMillis >= nextReportMillis;
+  boolean isReportDue(long nowMillis) {
+    return !reportPending && nowMillis >= nextReportMillis;
   }
 
-  void reportAsked(long nowMillis, long periodMillis) {
-    reading = true;
+  void reportRequested(long nowMillis, long periodMillis) {
+    reportPending = true;
     nextReportMillis = nowMillis + periodMillis;
   }
 
-  void reportAnswered() {
-    reading = false;
+  void reportCompleted() {
+    reportPending = false;
   }
 
-  void asked(long nowMillis) {
-    lastAskedMillis = nowMillis;
+  void requestReceived(long nowMillis) {
+    lastRequestMillis = nowMillis;
   }
 
   boolean isIdleFor(long millis, long nowMillis) {
-    return nowMillis - lastAskedMillis >= millis
+    return nowMillis - lastRequestMillis >= millis
         && controller.queued() == 0
         && controller.running() == 0;
   }
@@ -93,16 +93,16 @@
    * An entry that cannot reach the runner's owner wants this dispatcher to claim it; false if it
    * was pre-empted too lately.
    */
-  boolean wishClaim(long nowMillis, long lastsMillis) {
-    if (nowMillis < noWishBeforeMillis) {
+  boolean requestClaim(long nowMillis, long lastsMillis) {
+    if (nowMillis < claimRequestsRefusedUntilMillis) {
       return false;
     }
-    claimWishedUntilMillis = nowMillis + lastsMillis;
+    claimRequestedUntilMillis = nowMillis + lastsMillis;
     return true;
   }
 
-  boolean isClaimWished(long nowMillis) {
-    return nowMillis < claimWishedUntilMillis;
+  boolean isClaimRequested(long nowMillis) {
+    return nowMillis < claimRequestedUntilMillis;
   }
 
   /**
@@ -111,19 +111,19 @@
    * adapter idle, and nothing could be evicted: requests for other adapters would wait in vain.
    */
   void preempted(long nowMillis, long restMillis) {
-    claimWishedUntilMillis = Long.MIN_VALUE;
-    noWishBeforeMillis = nowMillis + restMillis;
+    claimRequestedUntilMillis = Long.MIN_VALUE;
+    claimRequestsRefusedUntilMillis = nowMillis + restMillis;
   }
 
   void claimRoundStarted() {
-    failedRounds++;
+    failedClaimRounds++;
   }
 
   void claimSucceeded() {
-    failedRounds = 0;
+    failedClaimRounds = 0;
   }
 
   boolean cannotGainAuthority() {
-    return failedRounds > FAILED_ROUNDS_BEFORE_REFUSAL;
+    return failedClaimRounds > MAX_FAILED_CLAIM_ROUNDS;
   }
 }
--- a/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/OwnedRunnerController.java
+++ b/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/OwnedRunnerController.java
@@ -32,8 +32,8 @@
 /** The runners that this dispatcher owns or claims, and the orders to their engines. */
 final class OwnedRunnerController {
 
-  private static final int TERMS_BEFORE_DROP = 3;
-  private static final int TERMS_LEFT_TO_OWNER = 5;
+  private static final int IDLE_TERMS_BEFORE_DROP = 3;
+  private static final int TERMS_RESERVED_FOR_OWNER = 5;
   private static final long UNLOAD_TIMEOUT_MILLIS = 5_000;
   private static final long REPORT_TIMEOUT_MILLIS = 2_000;
 
@@ -41,7 +41,7 @@
   private final int fencingTag;
   private final EngineClient engines;
   private final LeaseService leases;
-  private final LoadTurnService turns;
+  private final LoadTurnService loadTurns;
   private final Consumer<DispatcherEvent> events;
   private final EventLog log;
   private final PolicySettings policy;
@@ -50,7 +50,7 @@
   private final Counter loadsFailed;
   private final Counter unloads;
   private final Counter claimsRefused;
-  private Requests requests = new Requests.None();
+  private RequestHandler requestHandler = new RequestHandler.NoOp();
   private Fleet fleet = Fleet.EMPTY;
   private boolean stopping;
 
@@ -67,7 +67,7 @@
     this.fencingTag = fencingTag;
     this.engines = engines;
     this.leases = leases;
-    this.turns = turns;
+    this.loadTurns = turns;
     this.events = events;
     this.log = log;
     PolicySettings weights =
@@ -82,7 +82,7 @@
   }
 
   /** Does to requests what a runner's decisions ask for. */
-  interface Requests {
+  interface RequestHandler {
     void start(Runner runner, RunnerRequest request, long fencingNumber);
 
     void refuse(RunnerRequest request, NotRun verdict);
@@ -90,7 +90,7 @@
     void cancelRunning(Runner runner, RunnerRequest request);
 
     /** Stands in until the real one is connected. */
-    final class None implements Requests {
+    final class NoOp implements RequestHandler {
       @Override
       public void start(Runner runner, RunnerRequest request, long fencingNumber) {}
 
@@ -102,8 +102,8 @@
     }
   }
 
-  void connectTo(Requests handler) {
-    requests = handler;
+  void setRequestHandler(RequestHandler handler) {
+    requestHandler = handler;
   }
 
   void fleet(Fleet next, long nowMillis) {
@@ -112,7 +112,7 @@
     for (Runner runner : next.runners()) {
       boolean mine = isComputedOwner(runner.id());
       if (mine && runner.state() == State.LIVE && !stopping) {
-        own(runner, nowMillis);
+        getOrCreateOwned(runner, nowMillis);
       }
     }
     for (OwnedRunner runner : List.copyOf(owned.values())) {
@@ -122,7 +122,7 @@
       }
       if (changed == null || changed.state() == State.LEAVING) {
         runner.controller().refuseQueued("runner-leaving", "the runner is leaving", 1);
-        settle(runner, nowMillis);
+        performActions(runner, nowMillis);
       }
     }
   }
@@ -140,19 +140,19 @@
       return refused("runner-leaving", "the runner is leaving");
     }
     boolean mine = isComputedOwner(runnerId);
-    if (!mine && !mayClaim && !holds(runnerId, nowMillis)) {
+    if (!mine && !mayClaim && !holdsAuthority(runnerId, nowMillis)) {
       return refused("not-owner", "another dispatcher owns the runner");
     }
-    OwnedRunner target = own(runner.get(), nowMillis);
-    if (!mine && mayClaim && !target.wishClaim(nowMillis, settings.getAuthorityMs())) {
+    OwnedRunner target = getOrCreateOwned(runner.get(), nowMillis);
+    if (!mine && mayClaim && !target.requestClaim(nowMillis, settings.getAuthorityMs())) {
       return refused("not-owner", "the runner's owner has lately taken it back");
     }
-    target.asked(nowMillis);
+    target.requestReceived(nowMillis);
     if (!target.rights(nowMillis).held() && target.cannotGainAuthority()) {
       return refused("no-authority", "this host cannot gain authority over the runner");
     }
     Admission admission = target.controller().offer(request, nowMillis);
-    settle(target, nowMillis);
+    performActions(target, nowMillis);
     return admission;
   }
 
@@ -162,7 +162,7 @@
   }
 
   /** Does what the runner's decisions ask for, now. */
-  void settle(OwnedRunner runner, long nowMillis) {
+  void performActions(OwnedRunner runner, long nowMillis) {
     Rights rights = runner.rights(nowMillis);
     for (RunnerAction action : runner.controller().decide(rights, nowMillis)) {
       perform(runner, action, nowMillis);
@@ -171,15 +171,15 @@
 
   void tick(long nowMillis) {
     for (OwnedRunner runner : List.copyOf(owned.values())) {
-      noteAuthority(runner, nowMillis);
+      recordAuthorityChange(runner, nowMillis);
       if (mayClaim(runner, nowMillis) && runner.authority().claimDue(nowMillis)) {
         claim(runner, nowMillis);
       }
-      if (runner.reportDue(nowMillis)) {
-        readReport(runner, nowMillis);
+      if (runner.isReportDue(nowMillis)) {
+        requestReport(runner, nowMillis);
       }
-      refuseIfPowerless(runner, nowMillis);
-      settle(runner, nowMillis);
+      refuseQueuedWithoutAuthority(runner, nowMillis);
+      performActions(runner, nowMillis);
       dropIfIdle(runner, nowMillis);
     }
   }
@@ -191,14 +191,14 @@
     }
     switch (event.answer().result()) {
       case DONE -> {
-        authority.claimAccepted(event.number(), event.sentMillis(), nowMillis);
+        authority.claimAccepted(event.fencingNumber(), event.sentMillis(), nowMillis);
         runner.claimSucceeded();
       }
-      case FAILED -> fenced(runner, event.number(), event.answer(), nowMillis);
+      case FAILED -> handleFencingRefusal(runner, event.fencingNumber(), event.answer(), nowMillis);
       default -> log.debug("claim-unanswered", "runner", event.runner());
     }
-    noteAuthority(runner, nowMillis);
-    settle(runner, nowMillis);
+    recordAuthorityChange(runner, nowMillis);
+    performActions(runner, nowMillis);
   }
 
   void leaseAnswered(DispatcherEvent.LeaseAnswered event, long nowMillis) {
@@ -207,20 +207,20 @@
         && event.granted()
         && runner.authority() instanceof LeasedAuthority authority) {
       authority.granted(event.host(), event.sentMillis(), nowMillis);
-      noteAuthority(runner, nowMillis);
-      settle(runner, nowMillis);
+      recordAuthorityChange(runner, nowMillis);
+      performActions(runner, nowMillis);
     }
   }
 
-  void turnAnswered(DispatcherEvent.TurnAnswered event, long nowMillis) {
+  void loadTurnAnswered(DispatcherEvent.LoadTurnAnswered event, long nowMillis) {
     OwnedRunner runner = owned.get(event.runner());
     if (!event.granted()) {
-      turns.keeperLost(event.runner(), event.adapter(), nowMillis);
+      loadTurns.fallBackToOwnShare(event.runner(), event.adapter(), nowMillis);
     } else if (runner == null) {
-      turns.giveBack(event.runner(), event.adapter());
+      loadTurns.returnTurn(event.runner(), event.adapter());
     } else {
       runner.controller().turnGranted(event.adapter());
-      settle(runner, nowMillis);
+      performActions(runner, nowMillis);
     }
   }
 
@@ -240,9 +240,9 @@
     if (event.answer().result() != OrderResult.DONE) {
       loadsFailed.inc();
     }
-    fenced(runner, event.number(), event.answer(), nowMillis);
+    handleFencingRefusal(runner, event.fencingNumber(), event.answer(), nowMillis);
     runner.controller().loadAnswered(event.adapter(), event.answer().result(), nowMillis);
-    settle(runner, nowMillis);
+    performActions(runner, nowMillis);
   }
 
   void unloadAnswered(DispatcherEvent.UnloadAnswered event, long nowMillis) {
@@ -258,25 +258,25 @@
         event.adapter().exactName(),
         "result",
         event.answer().result());
-    fenced(runner, event.number(), event.answer(), nowMillis);
+    handleFencingRefusal(runner, event.fencingNumber(), event.answer(), nowMillis);
     runner.controller().unloadAnswered(event.adapter(), event.answer().result(), nowMillis);
-    settle(runner, nowMillis);
+    performActions(runner, nowMillis);
   }
 
-  void reported(String runnerId, EngineReport report, long nowMillis) {
+  void reportReceived(String runnerId, EngineReport report, long nowMillis) {
     OwnedRunner runner = owned.get(runnerId);
     if (runner == null) {
       return;
     }
-    runner.reportAnswered();
+    runner.reportCompleted();
     runner.controller().reported(report, runner.rights(nowMillis), nowMillis);
-    settle(runner, nowMillis);
+    performActions(runner, nowMillis);
   }
 
   void reportFailed(String runnerId, String why) {
     OwnedRunner runner = owned.get(runnerId);
     if (runner != null) {
-      runner.reportAnswered();
+      runner.reportCompleted();
       log.debug("report-failed", "runner", runnerId, "error", why);
     }
   }
@@ -286,8 +286,8 @@
     stopping = true;
     for (OwnedRunner runner : owned.values()) {
       runner.controller().refuseQueued("stopping", "this host is stopping; use another address", 1);
-      settle(runner, nowMillis);
-      giveUp(runner);
+      performActions(runner, nowMillis);
+      releaseAuthority(runner);
     }
   }
 
@@ -311,15 +311,15 @@
     Runner runner = owner.runner();
     long number = owner.authority().fencingNumber();
     if (action instanceof RunnerAction.Start start) {
-      requests.start(runner, start.request(), number);
+      requestHandler.start(runner, start.request(), number);
     } else if (action instanceof RunnerAction.Refuse refuse) {
-      requests.refuse(refuse.request(), refuse.verdict());
+      requestHandler.refuse(refuse.request(), refuse.verdict());
     } else if (action instanceof RunnerAction.CancelRunning cancel) {
-      requests.cancelRunning(runner, cancel.request());
+      requestHandler.cancelRunning(runner, cancel.request());
     } else if (action instanceof RunnerAction.AskTurn ask) {
-      turns.ask(runner.id(), ask, nowMillis);
+      loadTurns.requestTurn(runner.id(), ask, nowMillis);
     } else if (action instanceof RunnerAction.ReturnTurn back) {
-      turns.giveBack(runner.id(), back.adapter());
+      loadTurns.returnTurn(runner.id(), back.adapter());
     } else if (action instanceof RunnerAction.Load load) {
       orderLoad(runner, load.adapter(), number);
     } else if (action instanceof RunnerAction.Unload unload) {
@@ -369,21 +369,21 @@
     }
   }
 
-  private void fenced(
+  private void handleFencingRefusal(
       OwnedRunner runner, long number, EngineClient.OrderAnswer answer, long nowMillis) {
     if (answer.fenced() && runner.authority() instanceof FencedAuthority authority) {
       claimsRefused.inc();
       authority.refused(number, answer.highestFencing(), nowMillis);
-      boolean wasHeld = noteAuthority(runner, nowMillis) < 0;
+      boolean wasHeld = recordAuthorityChange(runner, nowMillis) < 0;
       if (wasHeld && !isComputedOwner(runner.runner().id())) {
-        runner.preempted(nowMillis, TERMS_LEFT_TO_OWNER * settings.getAuthorityMs());
+        runner.preempted(nowMillis, TERMS_RESERVED_FOR_OWNER * settings.getAuthorityMs());
       }
     }
   }
 
-  private void readReport(OwnedRunner runner, long nowMillis) {
+  private void requestReport(OwnedRunner runner, long nowMillis) {
     String id = runner.runner().id();
-    runner.reportAsked(nowMillis, settings.getReportPeriodMs());
+    runner.reportRequested(nowMillis, settings.getReportPeriodMs());
     engines.report(
         runner.runner().address(),
         REPORT_TIMEOUT_MILLIS,
@@ -391,7 +391,7 @@
         new EngineClient.ReportListener() {
           @Override
           public void report(EngineReport report) {
-            events.accept(new DispatcherEvent.Reported(id, report));
+            events.accept(new DispatcherEvent.ReportReceived(id, report));
           }
 
           @Override
@@ -401,7 +401,7 @@
         });
   }
 
-  private int noteAuthority(OwnedRunner runner, long nowMillis) {
+  private int recordAuthorityChange(OwnedRunner runner, long nowMillis) {
     int change = runner.authorityChange(nowMillis);
     if (change > 0) {
       runner.claimSucceeded();
@@ -421,16 +421,16 @@
    * Returns whether this dispatcher should have the runner, as its owner or in the owner's stead.
    */
   private boolean mayClaim(OwnedRunner runner, long nowMillis) {
-    boolean entitled = isComputedOwner(runner.runner().id()) || runner.isClaimWished(nowMillis);
+    boolean entitled = isComputedOwner(runner.runner().id()) || runner.isClaimRequested(nowMillis);
     return entitled && !stopping;
   }
 
-  private boolean holds(String runnerId, long nowMillis) {
+  private boolean holdsAuthority(String runnerId, long nowMillis) {
     OwnedRunner runner = owned.get(runnerId);
     return runner != null && runner.rights(nowMillis).held();
   }
 
-  private void refuseIfPowerless(OwnedRunner runner, long nowMillis) {
+  private void refuseQueuedWithoutAuthority(OwnedRunner runner, long nowMillis) {
     boolean held = runner.rights(nowMillis).held();
     if (!held && !mayClaim(runner, nowMillis)) {
       runner.controller().refuseQueued("not-owner", "another dispatcher owns the runner", 1);
@@ -451,21 +451,21 @@
     String id = runner.runner().id();
     boolean listed = fleet.runner(id).filter(r -> r.state() == State.LIVE).isPresent();
     boolean wanted = listed && isComputedOwner(id) && !stopping;
-    if (!wanted && runner.isIdleFor(TERMS_BEFORE_DROP * settings.getAuthorityMs(), nowMillis)) {
-      giveUp(runner);
+    if (!wanted && runner.isIdleFor(IDLE_TERMS_BEFORE_DROP * settings.getAuthorityMs(), nowMillis)) {
+      releaseAuthority(runner);
       owned.remove(id);
       log.info("runner-dropped", "runner", id);
     }
   }
 
-  private void giveUp(OwnedRunner runner) {
+  private void releaseAuthority(OwnedRunner runner) {
     runner.authority().giveUp();
     if (runner.authority() instanceof LeasedAuthority) {
       leases.release(runner.runner().id());
     }
   }
 
-  private OwnedRunner own(Runner runner, long nowMillis) {
+  private OwnedRunner getOrCreateOwned(Runner runner, long nowMillis) {
     return owned.computeIfAbsent(
         runner.id(),
         id -> new OwnedRunner(runner, policy, settings.getAuthorityMs(), fencingTag, nowMillis));
--- a/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/ServiceForwarder.java
+++ b/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/ServiceForwarder.java
@@ -36,7 +36,7 @@
 /** Calls of plain services, and the operations that may run at most once. */
 final class ServiceForwarder {
 
-  private static final int MAX_MINTED = 64;
+  private static final int MAX_IDS_PER_CALL = 64;
 
   private final ServiceClient services;
   private final OperationTable<Outcome> operations;
@@ -44,9 +44,9 @@
   private final Tracing tracing;
   private final EventLog log;
   private final Map<Long, ServiceJob> jobs = new HashMap<>();
-  private final Map<OperationId, List<Waiter>> waiters = new HashMap<>();
-  private final Counter repeated;
-  private final Counter unknown;
+  private final Map<OperationId, List<CallerReference>> waiters = new HashMap<>();
+  private final Counter repeatedCalls;
+  private final Counter unknownOutcomes;
   private long lastJob;
   private Fleet fleet = Fleet.EMPTY;
   private boolean stopping;
@@ -69,8 +69,8 @@
     this.events = events;
     this.tracing = tracing;
     this.log = log;
-    this.repeated = metrics.counter("operations.repeated");
-    this.unknown = metrics.counter("operations.unknown");
+    this.repeatedCalls = metrics.counter("operations.repeated");
+    this.unknownOutcomes = metrics.counter("operations.unknown");
   }
 
   void fleet(Fleet next) {
@@ -85,20 +85,20 @@
     return jobs.size();
   }
 
-  void mint(WireConnection connection, long call, MintCall message, long nowMillis) {
-    int count = Math.max(1, Math.min(MAX_MINTED, message.getCount()));
+  void mintOperationIds(WireConnection connection, long call, MintCall message, long nowMillis) {
+    int count = Math.max(1, Math.min(MAX_IDS_PER_CALL, message.getCount()));
     MintAnswer.Builder answer = MintAnswer.newBuilder().setExpiresInMs(operations.lifetimeMillis());
     operations.mint(count, nowMillis).forEach(id -> answer.addOperationIds(id.toString()));
     connection.send(call, Envelope.newBuilder().setMinted(answer));
   }
 
-  void received(WireConnection connection, long call, ServiceCall message, long nowMillis) {
-    Waiter caller = new Waiter(connection, call);
+  void handleServiceCall(WireConnection connection, long call, ServiceCall message, long nowMillis) {
+    CallerReference caller = new CallerReference(connection, call);
     if (message.getIdempotent()) {
       if (stopping) {
         caller.answer(Outcomes.of(notRun("stopping", "this host is stopping")));
       } else {
-        run(message, caller, null);
+        forward(message, caller, null);
       }
       return;
     }
@@ -107,10 +107,10 @@
       caller.answer(Outcomes.of(new NotRun("bad-operation-id", "not an operation id", 0)));
       return;
     }
-    begin(message, caller, id.get(), nowMillis);
+    beginOperation(message, caller, id.get(), nowMillis);
   }
 
-  void answered(DispatcherEvent.ServiceAnswered event) {
+  void upstreamAnswered(DispatcherEvent.ServiceAnswered event) {
     ServiceJob job = jobs.remove(event.job());
     if (job == null) {
       return;
@@ -126,20 +126,20 @@
     if (job.operation != null) {
       operations.answered(job.operation, outcome.build());
     }
-    end(job, outcome);
+    complete(job, outcome);
   }
 
-  void failed(DispatcherEvent.ServiceFailed event) {
+  void upstreamFailed(DispatcherEvent.ServiceFailed event) {
     ServiceJob job = jobs.remove(event.job());
     if (job == null) {
       return;
     }
     Verdict verdict =
         event.sent()
-            ? new MayHaveRun("upstream-lost", event.why())
-            : notRun("upstream-unreachable", event.why());
+            ? new MayHaveRun("upstream-lost", event.reason())
+            : notRun("upstream-unreachable", event.reason());
     if (job.operation != null && event.sent()) {
-      unknown.inc();
+      unknownOutcomes.inc();
       operations.unknown(job.operation);
     } else if (job.operation != null) {
       operations.notRun(job.operation);
@@ -153,17 +153,17 @@
         "sent",
         event.sent(),
         "error",
-        event.why());
-    end(job, Outcomes.of(verdict).setRunner(job.upstream.id()));
+        event.reason());
+    complete(job, Outcomes.of(verdict).setRunner(job.upstream.id()));
   }
 
-  private void begin(ServiceCall message, Waiter caller, OperationId id, long nowMillis) {
+  private void beginOperation(ServiceCall message, CallerReference caller, OperationId id, long nowMillis) {
     Begin<Outcome> begin = operations.begin(id, nowMillis);
     if (begin instanceof Begin.Repeat<Outcome> repeat) {
-      repeated.inc();
+      repeatedCalls.inc();
       caller.answer(repeat.answer().toBuilder());
     } else if (begin instanceof Begin.Wait<Outcome>) {
-      repeated.inc();
+      repeatedCalls.inc();
       waiters.computeIfAbsent(id, i -> new ArrayList<>()).add(caller);
     } else if (begin instanceof Begin.Refuse<Outcome> refuse) {
       caller.answer(Outcomes.of(refuse.verdict()));
@@ -171,12 +171,12 @@
       operations.notRun(id);
       caller.answer(Outcomes.of(notRun("stopping", "this host is stopping")));
     } else {
-      run(message, caller, id);
+      forward(message, caller, id);
     }
   }
 
-  private void run(ServiceCall message, Waiter caller, @Nullable OperationId operation) {
-    Optional<ServiceUpstream> upstream = upstream(message.getService());
+  private void forward(ServiceCall message, CallerReference caller, @Nullable OperationId operation) {
+    Optional<ServiceUpstream> upstream = selectUpstream(message.getService());
     if (upstream.isEmpty()) {
       if (operation != null) {
         operations.notRun(operation);
@@ -200,11 +200,11 @@
         headers,
         message.getBody().toByteArray(),
         Math.max(1, message.getRemainingMs()),
-        new Listener(number));
+        new UpstreamListener(number));
   }
 
   /** Returns the live upstream of a service with the fewest calls in progress from here. */
-  private Optional<ServiceUpstream> upstream(String service) {
+  private Optional<ServiceUpstream> selectUpstream(String service) {
     Map<String, Long> busy = new HashMap<>();
     jobs.values().forEach(job -> busy.merge(job.upstream.id(), 1L, Long::sum));
     List<ServiceUpstream> live =
@@ -222,12 +222,12 @@
     return Optional.ofNullable(best);
   }
 
-  private void end(ServiceJob job, Outcome.Builder outcome) {
+  private void complete(ServiceJob job, Outcome.Builder outcome) {
     job.span.setAttribute("verdict", outcome.getVerdict().name());
     job.span.end();
     job.caller.answer(outcome);
     if (job.operation != null) {
-      List<Waiter> waiting = waiters.remove(job.operation);
+      List<CallerReference> waiting = waiters.remove(job.operation);
       if (waiting != null) {
         waiting.forEach(waiter -> waiter.answer(outcome));
       }
@@ -238,19 +238,19 @@
     return new NotRun(reason, message, 1);
   }
 
-  private record Waiter(WireConnection connection, long call) {
+  private record CallerReference(WireConnection connection, long call) {
     void answer(Outcome.Builder outcome) {
       connection.send(call, Outcomes.envelope(outcome));
     }
   }
 
   private record ServiceJob(
-      ServiceUpstream upstream, Waiter caller, @Nullable OperationId operation, Span span) {}
+      ServiceUpstream upstream, CallerReference caller, @Nullable OperationId operation, Span span) {}
 
-  private final class Listener implements ServiceClient.Listener {
+  private final class UpstreamListener implements ServiceClient.Listener {
     private final long job;
 
-    Listener(long job) {
+    UpstreamListener(long job) {
       this.job = job;
     }
 
--- a/sequoia-dispatcher/src/test/java/org/sequoiahub/dispatcher/OwnedRunnerTest.java
+++ b/sequoia-dispatcher/src/test/java/org/sequoiahub/dispatcher/OwnedRunnerTest.java
@@ -27,16 +27,16 @@
    * alone for long enough to evict.
    */
   @Nested
-  class AfterTheOwnerTookTheRunnerBack {
+  class AfterPreemptionByTheOwner {
 
     @Test
-    void wishesToClaimItAreRefusedForSomeTime() {
-      assertThat(owned.wishClaim(1_000, 4_000)).isTrue();
-      assertThat(owned.isClaimWished(1_001)).isTrue();
+    void claimRequestsAreRefusedUntilThePauseEnds() {
+      assertThat(owned.requestClaim(1_000, 4_000)).isTrue();
+      assertThat(owned.isClaimRequested(1_001)).isTrue();
       owned.preempted(2_000, 20_000);
-      assertThat(owned.isClaimWished(2_001)).isFalse();
-      assertThat(owned.wishClaim(21_999, 4_000)).isFalse();
-      assertThat(owned.wishClaim(22_000, 4_000)).isTrue();
+      assertThat(owned.isClaimRequested(2_001)).isFalse();
+      assertThat(owned.requestClaim(21_999, 4_000)).isFalse();
+      assertThat(owned.requestClaim(22_000, 4_000)).isTrue();
     }
   }
 
@@ -49,7 +49,7 @@
    * <p>Cause: claims were given up after as many rounds as the granters abstain for.
    */
   @Test
-  void claimsAreNotGivenUpWhileNewGrantersAbstain() {
+  void claimsContinueWhileNewGrantersAbstain() {
     for (int round = 0; round < 5; round++) {
       owned.claimRoundStarted();
       assertThat(owned.cannotGainAuthority()).isFalse();
@@ -60,9 +60,9 @@
   }
 
   @Test
-  void wishToClaimLapses() {
-    assertThat(owned.wishClaim(0, 4_000)).isTrue();
-    assertThat(owned.isClaimWished(3_999)).isTrue();
-    assertThat(owned.isClaimWished(4_000)).isFalse();
+  void claimRequestExpires() {
+    assertThat(owned.requestClaim(0, 4_000)).isTrue();
+    assertThat(owned.isClaimRequested(3_999)).isTrue();
+    assertThat(owned.isClaimRequested(4_000)).isFalse();
   }
 }
