--- a/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/Dispatcher.java
+++ b/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/Dispatcher.java
@@ -28,7 +28,7 @@
 import org.sequoiahub.wire.WireServer;
 import org.sequoiahub.wire.WireThreads;
 
-/** A running dispatcher: its thread, ports and clients. */
+/** A running dispatcher, which owns its thread, ports and clients and closes them. */
 public final class Dispatcher implements AutoCloseable {
 
   private static final int EVENT_QUEUE_CAPACITY = 65_536;
@@ -103,7 +103,7 @@
     return dispatcher;
   }
 
-  /** Stops admitting, hands every runner over, finishes what runs, then stops. */
+  /** Stops admitting requests, releases the runners, waits for running requests, then stops. */
   @Override
   public void close() throws Exception {
     CountDownLatch drained = new CountDownLatch(1);
--- a/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/DispatcherDuty.java
+++ b/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/DispatcherDuty.java
@@ -13,7 +13,7 @@
 import org.sequoiahub.wire.LocalView;
 import org.sequoiahub.wire.WireConnection;
 
-/** Hands each event to the service that it is for; all state lives on one thread. */
+/** Routes each event to the component that handles it; one thread accesses all of their state. */
 final class DispatcherDuty {
 
   private static final long STATUS_INTERVAL_MILLIS = 200;
@@ -120,10 +120,10 @@
       nextStatusMillis = nowMillis + STATUS_INTERVAL_MILLIS;
       publishStatus(nowMillis);
     }
-    Runnable waiting = onDrained;
-    if (waiting != null && jobs.size() == 0 && services.size() == 0) {
+    Runnable drainedCallback = onDrained;
+    if (drainedCallback != null && jobs.size() == 0 && services.size() == 0) {
       onDrained = null;
-      waiting.run();
+      drainedCallback.run();
     }
   }
 
@@ -135,7 +135,8 @@
       case SERVICE -> services.handleServiceCall(connection, call, message.getService(), nowMillis);
       case MINT -> services.mintOperationIds(connection, call, message.getMint(), nowMillis);
       case LEASE -> leases.handleLeaseCall(connection, call, message.getLease(), nowMillis);
-      case LOAD_TURN -> turns.handleLoadTurnCall(connection, call, message.getLoadTurn(), nowMillis);
+      case LOAD_TURN ->
+          turns.handleLoadTurnCall(connection, call, message.getLoadTurn(), nowMillis);
       default -> log.warning("unexpected-message", "kind", message.getBodyCase());
     }
   }
--- a/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/DispatcherMain.java
+++ b/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/DispatcherMain.java
@@ -3,7 +3,7 @@
 import org.sequoiahub.runtime.process.ProcessMain;
 import org.sequoiahub.schema.settings.DispatcherSettings;
 
-/** The binary {@code sequoia-dispatcher}. */
+/** Entry point of the {@code sequoia-dispatcher} process. */
 public final class DispatcherMain {
 
   private DispatcherMain() {}
--- a/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/Job.java
+++ b/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/Job.java
@@ -10,10 +10,11 @@
 import org.sequoiahub.schema.wire.InferenceCall;
 import org.sequoiahub.wire.WireConnection;
 
-/** One inference request at this dispatcher, from its admission to its outcome. */
+/** An inference request at this dispatcher, from its arrival to its outcome. */
 final class Job {
 
-  private static final int CHUNKS_AHEAD = 1_024;
+  /** Chunks kept while an earlier one is missing. */
+  private static final int MAX_BUFFERED_CHUNKS = 1_024;
 
   private final InferenceCall request;
   private final RunnerRequest runnerRequest;
@@ -32,19 +33,19 @@
 
   Job(
       InferenceCall request,
-      RunnerRequest asked,
+      RunnerRequest runnerRequest,
       Span span,
       boolean resident,
       WireConnection connection,
       long call,
       long nowMillis) {
     this.request = request;
-    this.runnerRequest = asked;
+    this.runnerRequest = runnerRequest;
     this.span = span;
     this.resident = resident;
     this.connection = connection;
     this.call = call;
-    this.sequencer = new ChunkSequencer(request.getResumeAfter(), CHUNKS_AHEAD);
+    this.sequencer = new ChunkSequencer(request.getResumeAfter(), MAX_BUFFERED_CHUNKS);
     this.lastReceivedMillis = nowMillis;
   }
 
@@ -88,16 +89,17 @@
     return connection.equals(other) && call == number;
   }
 
-  /** Sends the rest of the answer to another call, from after chunk {@code after}. */
+  /** Redirects the rest of the response, after chunk {@code after}, to another call. */
   void redirectTo(WireConnection other, long number, long after) {
     connection = other;
     call = number;
-    sequencer = new ChunkSequencer(after, CHUNKS_AHEAD);
+    sequencer = new ChunkSequencer(after, MAX_BUFFERED_CHUNKS);
     orphanedMillis = Long.MAX_VALUE;
   }
 
   /**
-   * Returns the number of the stream that is about to be opened; older streams' events are void.
+   * Abandons the current stream and returns the number of the next one. Events of streams with
+   * another number are to be ignored.
    */
   int nextStreamNumber(long nowMillis) {
     abandonStream();
@@ -120,6 +122,7 @@
     }
   }
 
+  /** Counts a resume and returns how many were made since the last chunk. */
   int incrementResumes() {
     return ++consecutiveResumes;
   }
--- a/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/JobScheduler.java
+++ b/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/JobScheduler.java
@@ -34,7 +34,7 @@
 import org.sequoiahub.schema.wire.Started;
 import org.sequoiahub.wire.WireConnection;
 
-/** The inference requests at this dispatcher and the streams of their answers. */
+/** Runs the inference requests at this dispatcher and relays their response streams. */
 final class JobScheduler implements OwnedRunnerController.RequestHandler {
 
   private static final int MAX_RESUMES = 5;
@@ -86,7 +86,7 @@
     fleet = next;
   }
 
-  /** Sets the time that the event at hand is handled at. */
+  /** Sets the time at which the current event is handled. */
   void setNowMillis(long millis) {
     nowMillis = millis;
   }
@@ -101,7 +101,7 @@
       return;
     }
     AdapterVersion adapter = new AdapterVersion(message.getAdapter(), message.getVersion());
-    RunnerRequest asked = toRunnerRequest(message, adapter);
+    RunnerRequest runnerRequest = toRunnerRequest(message, adapter);
     Optional<NotRun> limit = checkAdapterLimit(adapter, message.getMaxInFlight());
     if (limit.isPresent()) {
       refuseCall(connection, call, limit.get(), message.getRunner());
@@ -109,22 +109,23 @@
     }
     Span span = tracing.start("dispatcher.request", SpanKind.SERVER, message.getTraceparent());
     span.setAttribute("adapter", adapter.exactName()).setAttribute("runner", message.getRunner());
-    OwnedRunner known = runners.owned(message.getRunner());
-    boolean resident = known != null && known.controller().isReady(adapter);
-    // The job must be known before it is offered: the offer may start it at once.
-    Job job = new Job(message, asked, span, resident, connection, call, nowMillis);
-    if (jobs.putIfAbsent(asked.id(), job) != null) {
+    OwnedRunner owner = runners.owned(message.getRunner());
+    boolean resident = owner != null && owner.controller().isReady(adapter);
+    // Registered before the offer, which may start the request immediately.
+    Job job = new Job(message, runnerRequest, span, resident, connection, call, nowMillis);
+    if (jobs.putIfAbsent(runnerRequest.id(), job) != null) {
       span.end();
       refuseCall(
           connection,
           call,
-          new NotRun("duplicate-request", "this id is here already", 0),
+          new NotRun(
+              "duplicate-request", "a request with this id is already in progress on this host", 0),
           message.getRunner());
       return;
     }
     inFlightByAdapter.merge(adapter.adapter(), 1, Integer::sum);
     Admission admission =
-        runners.offer(message.getRunner(), asked, message.getFallback(), nowMillis);
+        runners.offer(message.getRunner(), runnerRequest, message.getFallback(), nowMillis);
     if (admission instanceof Admission.Refused refused) {
       finish(job, Outcomes.of(refused.verdict()));
     } else if (admission instanceof Admission.Admitted admitted && jobs.containsKey(job.id())) {
@@ -138,12 +139,15 @@
     }
   }
 
-  /** The caller went away or its deadline passed. */
+  /** Cancels the request of a call, whose caller disconnected or whose deadline passed. */
   void handleCancel(WireConnection connection, long call) {
     findJob(connection, call).ifPresent(this::cancel);
   }
 
-  /** An entry's connection is gone: its jobs wait a while to be resumed on another one. */
+  /**
+   * Marks the jobs of a closed connection as orphaned. They are cancelled unless they are resumed
+   * on another connection within {@link #ORPHAN_TIMEOUT_MILLIS}.
+   */
   void connectionClosed(WireConnection connection) {
     for (Job job : jobs.values()) {
       if (job.usesConnection(connection)) {
@@ -164,7 +168,7 @@
     }
     job.markStarted();
     job.send(Envelope.newBuilder().setStarted(Started.newBuilder().setRunner(runner.id())));
-    int number = job.nextStreamNumber(nowMillis);
+    int streamNumber = job.nextStreamNumber(nowMillis);
     job.streamOpened(
         engines.start(
             runner.address(),
@@ -174,7 +178,7 @@
             job.request().getInteractive(),
             fencingNumber,
             tracing.traceparent(job.span()),
-            new StreamListener(job.id(), number)));
+            new StreamListener(job.id(), streamNumber)));
   }
 
   @Override
@@ -212,7 +216,8 @@
       abandonRunning(job);
       finish(
           job,
-          Outcomes.ranButFailed("wrong-adapter", "the engine answered as '" + event.model() + "'"));
+          Outcomes.ranButFailed(
+              "wrong-adapter", "the engine answered with model '" + event.model() + "'"));
       return;
     }
     job.chunkReceived(nowMillis);
@@ -244,8 +249,10 @@
       return;
     }
     withRunner(job, owner -> owner.controller().ended(job.id(), nowMillis));
-    if (job.incrementResumes() > 1 || job.request().getResume() || job.sequencer().delivered() > 0) {
-      // A refused resume: the engine no longer knows the request, for example after a restart.
+    if (job.incrementResumes() > 1
+        || job.request().getResume()
+        || job.sequencer().delivered() > 0) {
+      // A refused resume: the engine has lost the request, for example after a restart.
       finish(job, Outcomes.of(new MayHaveRun("engine-lost-request", event.message())));
     } else {
       String reason = event.status() == NOT_FOUND ? "adapter-not-loaded" : "engine-refused";
@@ -270,7 +277,10 @@
       finish(job, Outcomes.ranButFailed("cancelled", "the request was cancelled"));
     } else {
       abandonRunning(job);
-      finish(job, Outcomes.of(new MayHaveRun("cancel-unconfirmed", "the engine did not answer")));
+      finish(
+          job,
+          Outcomes.of(
+              new MayHaveRun("cancel-unconfirmed", "the engine did not confirm the cancellation")));
     }
   }
 
@@ -279,7 +289,7 @@
       boolean silent =
           job.isStarted() && job.silentMillis(nowMillis) >= settings.getStreamSilenceMs();
       if (silent) {
-        resumeStream(job, "the stream is silent");
+        resumeStream(job, "the engine sent nothing for stream_silence_ms");
       } else if (job.isOrphanedFor(ORPHAN_TIMEOUT_MILLIS, nowMillis)) {
         cancel(job);
       } else if (job.isStarted() && nowMillis >= job.runnerRequest().deadlineMillis()) {
@@ -298,8 +308,9 @@
   }
 
   /**
-   * Says whether the adapter's limit is reached. Entries send every request for a limited adapter
-   * to its first candidate runner, so the count here is the fleet's.
+   * Returns a refusal if the adapter's limit on requests in flight is reached. Entries send every
+   * request for a limited adapter to its first candidate runner, so the count of this dispatcher
+   * covers the whole fleet.
    */
   private Optional<NotRun> checkAdapterLimit(AdapterVersion adapter, int limit) {
     int inFlight = inFlightByAdapter.getOrDefault(adapter.adapter(), 0);
@@ -307,7 +318,7 @@
         ? Optional.of(
             new NotRun(
                 "adapter-limit",
-                "max_in_flight of the adapter is reached",
+                "the adapter's max_in_flight limit is reached",
                 LIMIT_RETRY_AFTER_MILLIS))
         : Optional.empty();
   }
@@ -324,10 +335,13 @@
     }
   }
 
+  /** Resumes a request that a former owner of the runner started. */
   private void resumeUnknownJob(WireConnection connection, long call, InferenceCall message) {
     AdapterVersion adapter = new AdapterVersion(message.getAdapter(), message.getVersion());
     Span span = tracing.start("dispatcher.resume", SpanKind.SERVER, message.getTraceparent());
-    Job job = new Job(message, toRunnerRequest(message, adapter), span, true, connection, call, nowMillis);
+    Job job =
+        new Job(
+            message, toRunnerRequest(message, adapter), span, true, connection, call, nowMillis);
     jobs.put(job.id(), job);
     inFlightByAdapter.merge(adapter.adapter(), 1, Integer::sum);
     job.markStarted();
@@ -335,31 +349,41 @@
     openResume(job);
   }
 
-  private void resumeStream(Job job, String why) {
+  private void resumeStream(Job job, String reason) {
     if (job.incrementResumes() > MAX_RESUMES) {
       abandonRunning(job);
-      finish(job, Outcomes.of(new MayHaveRun("stream-lost", why)));
+      finish(job, Outcomes.of(new MayHaveRun("stream-lost", reason)));
       return;
     }
     log.info(
-        "stream-resumed", "request", job.id(), "after", job.sequencer().delivered(), "reason", why);
+        "stream-resumed",
+        "request",
+        job.id(),
+        "after",
+        job.sequencer().delivered(),
+        "reason",
+        reason);
     openResume(job);
   }
 
   private void openResume(Job job) {
     Optional<Runner> runner = fleet.runner(job.request().getRunner());
     if (runner.isEmpty()) {
-      finish(job, Outcomes.of(new MayHaveRun("runner-gone", "the runner is no longer listed")));
+      finish(
+          job,
+          Outcomes.of(
+              new MayHaveRun(
+                  "runner-gone", "the runner is no longer in the fleet known to this host")));
       return;
     }
     resumes.inc();
-    int number = job.nextStreamNumber(nowMillis);
+    int streamNumber = job.nextStreamNumber(nowMillis);
     job.streamOpened(
         engines.resume(
             runner.get().address(),
             job.id(),
             job.sequencer().delivered(),
-            new StreamListener(job.id(), number)));
+            new StreamListener(job.id(), streamNumber)));
   }
 
   private void cancel(Job job) {
@@ -381,12 +405,13 @@
 
   private NotRun notStartedVerdict(Job job) {
     return nowMillis >= job.runnerRequest().deadlineMillis()
-        ? new NotRun("deadline-passed", "the deadline passed while the request waited", 1)
-        : new NotRun("cancelled", "cancelled before it started", 0);
+        ? new NotRun("deadline-passed", "the deadline passed before the request started", 1)
+        : new NotRun("cancelled", "the request was cancelled before it started", 0);
   }
 
   /**
-   * Gives a running request up without knowing that it stopped: its pin stays until that is known.
+   * Abandons a running request that may not have stopped. It pins its adapter until the engine is
+   * known to have stopped it.
    */
   private void abandonRunning(Job job) {
     withRunner(
@@ -463,31 +488,32 @@
 
   private final class StreamListener implements EngineStream.Listener {
     private final String request;
-    private final int number;
+    private final int streamNumber;
 
-    StreamListener(String request, int number) {
+    StreamListener(String request, int streamNumber) {
       this.request = request;
-      this.number = number;
+      this.streamNumber = streamNumber;
     }
 
     @Override
     public void chunk(long sequence, String model, byte[] data) {
-      events.accept(new DispatcherEvent.ChunkReceived(request, number, sequence, model, data));
+      events.accept(
+          new DispatcherEvent.ChunkReceived(request, streamNumber, sequence, model, data));
     }
 
     @Override
     public void end(long chunks) {
-      events.accept(new DispatcherEvent.EndReceived(request, number, chunks));
+      events.accept(new DispatcherEvent.EndReceived(request, streamNumber, chunks));
     }
 
     @Override
     public void refused(int status, String message) {
-      events.accept(new DispatcherEvent.StartRefused(request, number, status, message));
+      events.accept(new DispatcherEvent.StartRefused(request, streamNumber, status, message));
     }
 
     @Override
-    public void broken(String why) {
-      events.accept(new DispatcherEvent.StreamFailed(request, number, why));
+    public void broken(String reason) {
+      events.accept(new DispatcherEvent.StreamFailed(request, streamNumber, reason));
     }
   }
 }
--- a/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/LeaseService.java
+++ b/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/LeaseService.java
@@ -18,7 +18,7 @@
 import org.sequoiahub.wire.WireClients;
 import org.sequoiahub.wire.WireConnection;
 
-/** Grants leases to other dispatchers and collects them for the runners of this one. */
+/** Grants runner leases to other dispatchers and requests them for the runners of this one. */
 final class LeaseService {
 
   private final DispatcherSettings settings;
@@ -45,7 +45,7 @@
     fleet = next;
   }
 
-  /** Answers another dispatcher's lease call. */
+  /** Grants or releases a lease as another dispatcher requests. */
   void handleLeaseCall(WireConnection connection, long call, LeaseCall message, long nowMillis) {
     if (message.getRelease()) {
       granter.release(message.getRunner(), message.getHolder());
@@ -57,7 +57,7 @@
     connection.send(call, Envelope.newBuilder().setLeaseAnswer(answer));
   }
 
-  /** Sends one round of claims for a runner. */
+  /** Starts one claim round: requests leases on a runner from the hosts that are to be asked. */
   void claim(String runner, LeasedAuthority authority, long nowMillis) {
     authority.granters(hostIds(), nowMillis);
     authority.roundSent(nowMillis);
@@ -72,7 +72,7 @@
     }
   }
 
-  /** Gives the leases on a runner back, so that its next owner need not wait for them to expire. */
+  /** Releases the leases on a runner, so that its next owner need not wait for them to expire. */
   void release(String runner) {
     granter.release(runner, holder);
     LeaseCall release = newLeaseCall(runner).setRelease(true).build();
--- a/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/LoadTurnKey.java
+++ b/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/LoadTurnKey.java
@@ -4,11 +4,11 @@
 import org.sequoiahub.wire.WireConnection;
 
 /**
- * Who asked for a load turn.
+ * Identifies a request for a load turn.
  *
- * @param connection the asking dispatcher's connection; null if this process asks itself
- * @param call the asking call
- * @param runner the runner to load on
- * @param adapter the exact adapter name to load
+ * @param connection the requesting dispatcher's connection; null for a request of this process
+ * @param call the call number on that connection; 0 for a request of this process
+ * @param runner the runner to load on; empty for a request of another dispatcher
+ * @param adapter the exact name of the adapter to load; empty for a request of another dispatcher
  */
 record LoadTurnKey(@Nullable WireConnection connection, long call, String runner, String adapter) {}
--- a/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/LoadTurnService.java
+++ b/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/LoadTurnService.java
@@ -23,10 +23,10 @@
 import org.sequoiahub.wire.WireConnection;
 
 /**
- * Asks for, and keeps, the turns at the weight store.
+ * Requests turns to load from the weight store, and grants them if this dispatcher is the keeper.
  *
- * <p>One dispatcher, computed from the host list, keeps the turns of the fleet. When it cannot be
- * reached, an asker falls back to its own share of the store's rate.
+ * <p>One dispatcher, computed from the host list, grants the turns of the fleet. A dispatcher that
+ * cannot reach the keeper falls back to its own share of the store's load rate.
  */
 final class LoadTurnService {
 
@@ -58,12 +58,12 @@
     ownShare = new LoadTurns<>(share, 1, settings.getLoadTimeoutMs());
   }
 
-  /** Asks for a turn; the answer comes as an event. */
-  void requestTurn(String runner, RunnerAction.AskTurn ask, long nowMillis) {
-    LoadTurnKey key = key(runner, ask.adapter());
+  /** Requests a turn; a {@link DispatcherEvent.LoadTurnAnswered} reports the result. */
+  void requestTurn(String runner, RunnerAction.AskTurn request, long nowMillis) {
+    LoadTurnKey key = key(runner, request.adapter());
     Optional<Host> keeper = Placement.loadTurnKeeper(fleet);
     if (keeper.isEmpty() || keeper.get().id().equals(settings.getHostId())) {
-      fleetTurns.ask(key, ask.waiting(), ask.interactive(), nowMillis);
+      fleetTurns.ask(key, request.waiting(), request.interactive(), nowMillis);
       return;
     }
     WireClient client =
@@ -71,17 +71,17 @@
     LoadTurnCall call =
         LoadTurnCall.newBuilder()
             .setRunner(runner)
-            .setAdapter(ask.adapter().exactName())
-            .setWaiting(ask.waiting())
-            .setInteractive(ask.interactive())
+            .setAdapter(request.adapter().exactName())
+            .setWaiting(request.waiting())
+            .setInteractive(request.interactive())
             .build();
     long number =
         client.call(
-            Envelope.newBuilder().setLoadTurn(call), new TurnListener(runner, ask.adapter()));
+            Envelope.newBuilder().setLoadTurn(call), new TurnListener(runner, request.adapter()));
     remoteTurns.put(key, new RemoteTurn(client, number));
   }
 
-  /** Gives a turn back, or withdraws the ask. */
+  /** Returns a granted turn, or withdraws the request for it. */
   void returnTurn(String runner, AdapterVersion adapter) {
     LoadTurnKey key = key(runner, adapter);
     fleetTurns.done(key);
@@ -94,8 +94,9 @@
     }
   }
 
-  /** Takes in another dispatcher's ask or give-back. */
-  void handleLoadTurnCall(WireConnection connection, long call, LoadTurnCall message, long nowMillis) {
+  /** Handles another dispatcher's request for a turn, or its return. */
+  void handleLoadTurnCall(
+      WireConnection connection, long call, LoadTurnCall message, long nowMillis) {
     if (message.getDone()) {
       fleetTurns.done(new LoadTurnKey(connection, call, "", ""));
       return;
@@ -105,14 +106,14 @@
   }
 
   /**
-   * Withdraws what came over a connection that is gone. A turn granted to a dead asker would hold
-   * up every load of the fleet until it expires.
+   * Withdraws the turns and requests of a closed connection. A turn held by a dispatcher that is
+   * gone would block every load of the fleet until it expires.
    */
   void connectionClosed(WireConnection connection) {
     fleetTurns.withdrawIf(key -> connection.equals(key.connection()));
   }
 
-  /** The keeper cannot be reached: takes the turn from this host's own share of the rate. */
+  /** Requests a turn from this host's own share of the rate, as the keeper cannot be reached. */
   void fallBackToOwnShare(String runner, AdapterVersion adapter, long nowMillis) {
     LoadTurnKey key = key(runner, adapter);
     if (remoteTurns.remove(key) != null) {
--- a/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/Outcomes.java
+++ b/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/Outcomes.java
@@ -6,7 +6,7 @@
 import org.sequoiahub.schema.wire.Outcome;
 import org.sequoiahub.schema.wire.RunVerdict;
 
-/** Builds the last message of a call. */
+/** Builds the outcome that ends a call. */
 final class Outcomes {
 
   private static final int OK = 200;
@@ -27,8 +27,8 @@
   static Outcome.Builder of(Verdict verdict) {
     return verdict.fold(
         Outcomes::notRun,
-        ran -> failed(RunVerdict.RAN, "not-whole", "the answer is not whole"),
-        doubt -> failed(RunVerdict.MAY_HAVE_RUN, doubt.reason(), doubt.message()));
+        ran -> failed(RunVerdict.RAN, "not-whole", "the response is incomplete"),
+        mayHaveRun -> failed(RunVerdict.MAY_HAVE_RUN, mayHaveRun.reason(), mayHaveRun.message()));
   }
 
   static Outcome.Builder ranButFailed(String reason, String message) {
@@ -40,10 +40,10 @@
   }
 
   private static Outcome.Builder notRun(NotRun refusal) {
-    boolean late = refusal.reason().equals("deadline-passed");
+    boolean deadlinePassed = refusal.reason().equals("deadline-passed");
     return Outcome.newBuilder()
         .setVerdict(RunVerdict.NOT_RUN)
-        .setStatus(late ? GATEWAY_TIMEOUT : UNAVAILABLE)
+        .setStatus(deadlinePassed ? GATEWAY_TIMEOUT : UNAVAILABLE)
         .setReason(refusal.reason())
         .setMessage(refusal.message())
         .setRetryAfterMs(refusal.retryAfterMillis());
--- a/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/OwnedRunner.java
+++ b/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/OwnedRunner.java
@@ -8,12 +8,12 @@
 import org.sequoiahub.core.runner.PolicySettings;
 import org.sequoiahub.core.runner.RunnerController;
 
-/** One runner that this dispatcher owns or claims: its decisions, its authority, its report. */
+/** A runner that this dispatcher owns or claims: its controller, authority and report schedule. */
 final class OwnedRunner {
 
   /**
-   * Two terms of claims. Granters that were just started abstain for one term, so after a start of
-   * the whole fleet the first claims fail although nothing is wrong.
+   * The claim rounds of two authority terms. Granters abstain for one term after their start, so
+   * when the whole fleet has just started, the first claims fail although there is no fault.
    */
   private static final int MAX_FAILED_CLAIM_ROUNDS = 6;
 
@@ -28,12 +28,13 @@
   private int failedClaimRounds;
   private boolean wasHeld;
 
-  OwnedRunner(Runner runner, PolicySettings policy, long authorityMillis, int tag, long nowMillis) {
+  OwnedRunner(
+      Runner runner, PolicySettings policy, long authorityMillis, int fencingTag, long nowMillis) {
     this.runner = runner;
     this.controller = new RunnerController(runner.slots(), runner.batch(), policy);
     this.authority =
         runner.checksFencing()
-            ? new FencedAuthority(authorityMillis, tag)
+            ? new FencedAuthority(authorityMillis, fencingTag)
             : new LeasedAuthority(authorityMillis);
     this.lastRequestMillis = nowMillis;
   }
@@ -58,7 +59,7 @@
     return authority.rights(nowMillis);
   }
 
-  /** Returns 1 if authority was gained since the last call, -1 if it was lost, else 0. */
+  /** Returns 1 if authority was gained since the previous call, -1 if it was lost, otherwise 0. */
   int authorityChange(long nowMillis) {
     boolean held = rights(nowMillis).held();
     int change = held == wasHeld ? 0 : held ? 1 : -1;
@@ -90,14 +91,15 @@
   }
 
   /**
-   * An entry that cannot reach the runner's owner wants this dispatcher to claim it; false if it
-   * was pre-empted too lately.
+   * Requests that this dispatcher claims the runner, for an entry that cannot reach its owner.
+   *
+   * @return false if the owner preempted this dispatcher too recently
    */
-  boolean requestClaim(long nowMillis, long lastsMillis) {
+  boolean requestClaim(long nowMillis, long durationMillis) {
     if (nowMillis < claimRequestsRefusedUntilMillis) {
       return false;
     }
-    claimRequestedUntilMillis = nowMillis + lastsMillis;
+    claimRequestedUntilMillis = nowMillis + durationMillis;
     return true;
   }
 
@@ -106,13 +108,15 @@
   }
 
   /**
-   * The owner took the runner back: leaves it alone for a while. Were it claimed again at the next
-   * wish, owner and stand-in would take turns, neither would be alone for long enough to prove an
-   * adapter idle, and nothing could be evicted: requests for other adapters would wait in vain.
+   * Refuses claim requests for a while, because the owner has reclaimed the runner.
+   *
+   * <p>If the next request claimed it again, the owner and this dispatcher would alternate. Neither
+   * would hold the runner for long enough to establish that an adapter is idle, so nothing could be
+   * evicted and requests for other adapters would wait until their deadline.
    */
-  void preempted(long nowMillis, long restMillis) {
+  void preempted(long nowMillis, long pauseMillis) {
     claimRequestedUntilMillis = Long.MIN_VALUE;
-    claimRequestsRefusedUntilMillis = nowMillis + restMillis;
+    claimRequestsRefusedUntilMillis = nowMillis + pauseMillis;
   }
 
   void claimRoundStarted() {
--- a/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/OwnedRunnerController.java
+++ b/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/OwnedRunnerController.java
@@ -29,11 +29,18 @@
 import org.sequoiahub.runtime.log.EventLog;
 import org.sequoiahub.schema.settings.DispatcherSettings;
 
-/** The runners that this dispatcher owns or claims, and the orders to their engines. */
+/**
+ * Manages the runners that this dispatcher owns or claims: gains authority over them and carries
+ * out the decisions of their controllers.
+ */
 final class OwnedRunnerController {
 
+  /** Authority terms without requests after which a runner of another owner is dropped. */
   private static final int IDLE_TERMS_BEFORE_DROP = 3;
+
+  /** Authority terms after a preemption by the owner in which claim requests are refused. */
   private static final int TERMS_RESERVED_FOR_OWNER = 5;
+
   private static final long UNLOAD_TIMEOUT_MILLIS = 5_000;
   private static final long REPORT_TIMEOUT_MILLIS = 2_000;
 
@@ -59,7 +66,7 @@
       int fencingTag,
       EngineClient engines,
       LeaseService leases,
-      LoadTurnService turns,
+      LoadTurnService loadTurns,
       Consumer<DispatcherEvent> events,
       MetricRegistry metrics,
       EventLog log) {
@@ -67,21 +74,22 @@
     this.fencingTag = fencingTag;
     this.engines = engines;
     this.leases = leases;
-    this.loadTurns = turns;
+    this.loadTurns = loadTurns;
     this.events = events;
     this.log = log;
-    PolicySettings weights =
+    PolicySettings deploymentPolicy =
         settings.getDeployment().equals("dhuwaan")
             ? PolicySettings.dhuwaan()
             : PolicySettings.ashcombe();
-    this.policy = weights.withLimits(settings.getQueueLimit(), settings.getRequestLimitMs());
+    this.policy =
+        deploymentPolicy.withLimits(settings.getQueueLimit(), settings.getRequestLimitMs());
     this.loads = metrics.counter("loads.ordered");
     this.loadsFailed = metrics.counter("loads.failed");
     this.unloads = metrics.counter("evictions.ordered");
     this.claimsRefused = metrics.counter("claims.refused");
   }
 
-  /** Does to requests what a runner's decisions ask for. */
+  /** Starts, refuses and cancels requests as a runner's controller decides. */
   interface RequestHandler {
     void start(Runner runner, RunnerRequest request, long fencingNumber);
 
@@ -89,7 +97,7 @@
 
     void cancelRunning(Runner runner, RunnerRequest request);
 
-    /** Stands in until the real one is connected. */
+    /** Does nothing; used until the actual handler is set. */
     final class NoOp implements RequestHandler {
       @Override
       public void start(Runner runner, RunnerRequest request, long fencingNumber) {}
@@ -110,42 +118,47 @@
     fleet = next;
     Map<String, Runner> runners = next.runnersById();
     for (Runner runner : next.runners()) {
-      boolean mine = isComputedOwner(runner.id());
-      if (mine && runner.state() == State.LIVE && !stopping) {
+      boolean computedOwner = isComputedOwner(runner.id());
+      if (computedOwner && runner.state() == State.LIVE && !stopping) {
         getOrCreateOwned(runner, nowMillis);
       }
     }
     for (OwnedRunner runner : List.copyOf(owned.values())) {
-      Runner changed = runners.get(runner.runner().id());
-      if (changed != null) {
-        runner.runner(changed);
+      Runner updated = runners.get(runner.runner().id());
+      if (updated != null) {
+        runner.runner(updated);
       }
-      if (changed == null || changed.state() == State.LEAVING) {
+      if (updated == null || updated.state() == State.LEAVING) {
         runner.controller().refuseQueued("runner-leaving", "the runner is leaving", 1);
         performActions(runner, nowMillis);
       }
     }
   }
 
-  /** Offers a request to a runner that this dispatcher owns, or may claim. */
+  /**
+   * Offers a request to a runner that this dispatcher owns or may claim.
+   *
+   * @param mayClaim whether to claim the runner if another dispatcher owns it
+   */
   Admission offer(String runnerId, RunnerRequest request, boolean mayClaim, long nowMillis) {
     if (stopping) {
       return refused("stopping", "this host is stopping; use another address");
     }
     Optional<Runner> runner = fleet.runner(runnerId);
     if (runner.isEmpty()) {
-      return refused("unknown-runner", "no runner '" + runnerId + "' is listed here");
+      return refused(
+          "unknown-runner", "runner '" + runnerId + "' is not in the fleet known to this host");
     }
     if (runner.get().state() == State.LEAVING) {
       return refused("runner-leaving", "the runner is leaving");
     }
-    boolean mine = isComputedOwner(runnerId);
-    if (!mine && !mayClaim && !holdsAuthority(runnerId, nowMillis)) {
+    boolean computedOwner = isComputedOwner(runnerId);
+    if (!computedOwner && !mayClaim && !holdsAuthority(runnerId, nowMillis)) {
       return refused("not-owner", "another dispatcher owns the runner");
     }
     OwnedRunner target = getOrCreateOwned(runner.get(), nowMillis);
-    if (!mine && mayClaim && !target.requestClaim(nowMillis, settings.getAuthorityMs())) {
-      return refused("not-owner", "the runner's owner has lately taken it back");
+    if (!computedOwner && mayClaim && !target.requestClaim(nowMillis, settings.getAuthorityMs())) {
+      return refused("not-owner", "the runner's owner has recently reclaimed it");
     }
     target.requestReceived(nowMillis);
     if (!target.rights(nowMillis).held() && target.cannotGainAuthority()) {
@@ -156,12 +169,12 @@
     return admission;
   }
 
-  /** Returns the runner if this dispatcher owns or claims it. */
+  /** Returns the runner if this dispatcher owns or claims it, otherwise null. */
   @Nullable OwnedRunner owned(String runnerId) {
     return owned.get(runnerId);
   }
 
-  /** Does what the runner's decisions ask for, now. */
+  /** Performs the actions that the runner's controller decides on at this time. */
   void performActions(OwnedRunner runner, long nowMillis) {
     Rights rights = runner.rights(nowMillis);
     for (RunnerAction action : runner.controller().decide(rights, nowMillis)) {
@@ -273,15 +286,17 @@
     performActions(runner, nowMillis);
   }
 
-  void reportFailed(String runnerId, String why) {
+  void reportFailed(String runnerId, String reason) {
     OwnedRunner runner = owned.get(runnerId);
     if (runner != null) {
       runner.reportCompleted();
-      log.debug("report-failed", "runner", runnerId, "error", why);
+      log.debug("report-failed", "runner", runnerId, "error", reason);
     }
   }
 
-  /** Refuses what waits and gives all authority up, so that other dispatchers may take over. */
+  /**
+   * Refuses queued requests and releases all authority, so that other dispatchers can take over.
+   */
   void stop(long nowMillis) {
     stopping = true;
     for (OwnedRunner runner : owned.values()) {
@@ -292,88 +307,90 @@
   }
 
   List<Map<String, Object>> status(long nowMillis) {
-    List<Map<String, Object>> all = new ArrayList<>();
+    List<Map<String, Object>> statuses = new ArrayList<>();
     for (OwnedRunner runner : owned.values()) {
-      Map<String, Object> one = new LinkedHashMap<>();
-      one.put("runner", runner.runner().id());
-      one.put("state", runner.runner().state().name());
-      one.put("authority", runner.rights(nowMillis).held());
-      one.put("fencing", runner.authority().fencingNumber());
-      one.put("queued", runner.controller().queued());
-      one.put("running", runner.controller().running());
-      one.put("slots", runner.controller().slotStates());
-      all.add(one);
+      Map<String, Object> status = new LinkedHashMap<>();
+      status.put("runner", runner.runner().id());
+      status.put("state", runner.runner().state().name());
+      status.put("authority", runner.rights(nowMillis).held());
+      status.put("fencing", runner.authority().fencingNumber());
+      status.put("queued", runner.controller().queued());
+      status.put("running", runner.controller().running());
+      status.put("slots", runner.controller().slotStates());
+      statuses.add(status);
     }
-    return all;
+    return statuses;
   }
 
   private void perform(OwnedRunner owner, RunnerAction action, long nowMillis) {
     Runner runner = owner.runner();
-    long number = owner.authority().fencingNumber();
+    long fencingNumber = owner.authority().fencingNumber();
     if (action instanceof RunnerAction.Start start) {
-      requestHandler.start(runner, start.request(), number);
+      requestHandler.start(runner, start.request(), fencingNumber);
     } else if (action instanceof RunnerAction.Refuse refuse) {
       requestHandler.refuse(refuse.request(), refuse.verdict());
     } else if (action instanceof RunnerAction.CancelRunning cancel) {
       requestHandler.cancelRunning(runner, cancel.request());
     } else if (action instanceof RunnerAction.AskTurn ask) {
       loadTurns.requestTurn(runner.id(), ask, nowMillis);
-    } else if (action instanceof RunnerAction.ReturnTurn back) {
-      loadTurns.returnTurn(runner.id(), back.adapter());
+    } else if (action instanceof RunnerAction.ReturnTurn turn) {
+      loadTurns.returnTurn(runner.id(), turn.adapter());
     } else if (action instanceof RunnerAction.Load load) {
-      orderLoad(runner, load.adapter(), number);
+      orderLoad(runner, load.adapter(), fencingNumber);
     } else if (action instanceof RunnerAction.Unload unload) {
-      orderUnload(runner, unload.adapter(), number);
+      orderUnload(runner, unload.adapter(), fencingNumber);
     }
   }
 
-  private void orderLoad(Runner runner, AdapterVersion adapter, long number) {
+  private void orderLoad(Runner runner, AdapterVersion adapter, long fencingNumber) {
     loads.inc();
     log.info("load-ordered", "runner", runner.id(), "adapter", adapter.exactName());
     engines.load(
         runner.address(),
         adapter,
-        number,
+        fencingNumber,
         settings.getLoadTimeoutMs(),
         answer ->
-            events.accept(new DispatcherEvent.LoadAnswered(runner.id(), adapter, number, answer)));
+            events.accept(
+                new DispatcherEvent.LoadAnswered(runner.id(), adapter, fencingNumber, answer)));
   }
 
-  private void orderUnload(Runner runner, AdapterVersion adapter, long number) {
+  private void orderUnload(Runner runner, AdapterVersion adapter, long fencingNumber) {
     unloads.inc();
     log.info("eviction-ordered", "runner", runner.id(), "adapter", adapter.exactName());
     engines.unload(
         runner.address(),
         adapter,
-        number,
+        fencingNumber,
         UNLOAD_TIMEOUT_MILLIS,
         answer ->
             events.accept(
-                new DispatcherEvent.UnloadAnswered(runner.id(), adapter, number, answer)));
+                new DispatcherEvent.UnloadAnswered(runner.id(), adapter, fencingNumber, answer)));
   }
 
   private void claim(OwnedRunner runner, long nowMillis) {
     String id = runner.runner().id();
     runner.claimRoundStarted();
     if (runner.authority() instanceof FencedAuthority authority) {
-      long number = authority.fencingNumber();
+      long fencingNumber = authority.fencingNumber();
       authority.claimSent(nowMillis);
       engines.claim(
           runner.runner().address(),
-          number,
+          fencingNumber,
           settings.getAuthorityMs(),
           answer ->
-              events.accept(new DispatcherEvent.ClaimAnswered(id, number, nowMillis, answer)));
+              events.accept(
+                  new DispatcherEvent.ClaimAnswered(id, fencingNumber, nowMillis, answer)));
     } else if (runner.authority() instanceof LeasedAuthority authority) {
       leases.claim(id, authority, nowMillis);
     }
   }
 
   private void handleFencingRefusal(
-      OwnedRunner runner, long number, EngineClient.OrderAnswer answer, long nowMillis) {
+      OwnedRunner runner, long fencingNumber, EngineClient.OrderAnswer answer, long nowMillis) {
     if (answer.fenced() && runner.authority() instanceof FencedAuthority authority) {
       claimsRefused.inc();
-      authority.refused(number, answer.highestFencing(), nowMillis);
+      authority.refused(fencingNumber, answer.highestFencing(), nowMillis);
       boolean wasHeld = recordAuthorityChange(runner, nowMillis) < 0;
       if (wasHeld && !isComputedOwner(runner.runner().id())) {
         runner.preempted(nowMillis, TERMS_RESERVED_FOR_OWNER * settings.getAuthorityMs());
@@ -395,8 +412,8 @@
           }
 
           @Override
-          public void failed(String why) {
-            events.accept(new DispatcherEvent.ReportFailed(id, why));
+          public void failed(String reason) {
+            events.accept(new DispatcherEvent.ReportFailed(id, reason));
           }
         });
   }
@@ -418,7 +435,8 @@
   }
 
   /**
-   * Returns whether this dispatcher should have the runner, as its owner or in the owner's stead.
+   * Returns whether this dispatcher is to claim the runner, as its computed owner or because an
+   * entry requested it.
    */
   private boolean mayClaim(OwnedRunner runner, long nowMillis) {
     boolean entitled = isComputedOwner(runner.runner().id()) || runner.isClaimRequested(nowMillis);
@@ -436,8 +454,8 @@
       runner.controller().refuseQueued("not-owner", "another dispatcher owns the runner", 1);
       return;
     }
-    boolean powerless = !held && runner.cannotGainAuthority();
-    if (powerless && runner.controller().queued() > 0) {
+    boolean authorityUnavailable = !held && runner.cannotGainAuthority();
+    if (authorityUnavailable && runner.controller().queued() > 0) {
       runner
           .controller()
           .refuseQueued(
@@ -450,8 +468,9 @@
   private void dropIfIdle(OwnedRunner runner, long nowMillis) {
     String id = runner.runner().id();
     boolean listed = fleet.runner(id).filter(r -> r.state() == State.LIVE).isPresent();
-    boolean wanted = listed && isComputedOwner(id) && !stopping;
-    if (!wanted && runner.isIdleFor(IDLE_TERMS_BEFORE_DROP * settings.getAuthorityMs(), nowMillis)) {
+    boolean ownedHere = listed && isComputedOwner(id) && !stopping;
+    if (!ownedHere
+        && runner.isIdleFor(IDLE_TERMS_BEFORE_DROP * settings.getAuthorityMs(), nowMillis)) {
       releaseAuthority(runner);
       owned.remove(id);
       log.info("runner-dropped", "runner", id);
--- a/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/ServiceForwarder.java
+++ b/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/ServiceForwarder.java
@@ -33,7 +33,7 @@
 import org.sequoiahub.schema.wire.ServiceCall;
 import org.sequoiahub.wire.WireConnection;
 
-/** Calls of plain services, and the operations that may run at most once. */
+/** Forwards service calls to upstreams, and runs each operation with an id at most once. */
 final class ServiceForwarder {
 
   private static final int MAX_IDS_PER_CALL = 64;
@@ -44,7 +44,7 @@
   private final Tracing tracing;
   private final EventLog log;
   private final Map<Long, ServiceJob> jobs = new HashMap<>();
-  private final Map<OperationId, List<CallerReference>> waiters = new HashMap<>();
+  private final Map<OperationId, List<CallerReference>> waitingCallers = new HashMap<>();
   private final Counter repeatedCalls;
   private final Counter unknownOutcomes;
   private long lastJob;
@@ -92,7 +92,8 @@
     connection.send(call, Envelope.newBuilder().setMinted(answer));
   }
 
-  void handleServiceCall(WireConnection connection, long call, ServiceCall message, long nowMillis) {
+  void handleServiceCall(
+      WireConnection connection, long call, ServiceCall message, long nowMillis) {
     CallerReference caller = new CallerReference(connection, call);
     if (message.getIdempotent()) {
       if (stopping) {
@@ -104,7 +105,8 @@
     }
     Optional<OperationId> id = OperationId.parse(message.getOperationId());
     if (id.isEmpty()) {
-      caller.answer(Outcomes.of(new NotRun("bad-operation-id", "not an operation id", 0)));
+      caller.answer(
+          Outcomes.of(new NotRun("bad-operation-id", "the operation id is malformed", 0)));
       return;
     }
     beginOperation(message, caller, id.get(), nowMillis);
@@ -157,14 +159,15 @@
     complete(job, Outcomes.of(verdict).setRunner(job.upstream.id()));
   }
 
-  private void beginOperation(ServiceCall message, CallerReference caller, OperationId id, long nowMillis) {
+  private void beginOperation(
+      ServiceCall message, CallerReference caller, OperationId id, long nowMillis) {
     Begin<Outcome> begin = operations.begin(id, nowMillis);
     if (begin instanceof Begin.Repeat<Outcome> repeat) {
       repeatedCalls.inc();
       caller.answer(repeat.answer().toBuilder());
     } else if (begin instanceof Begin.Wait<Outcome>) {
       repeatedCalls.inc();
-      waiters.computeIfAbsent(id, i -> new ArrayList<>()).add(caller);
+      waitingCallers.computeIfAbsent(id, i -> new ArrayList<>()).add(caller);
     } else if (begin instanceof Begin.Refuse<Outcome> refuse) {
       caller.answer(Outcomes.of(refuse.verdict()));
     } else if (stopping) {
@@ -175,7 +178,8 @@
     }
   }
 
-  private void forward(ServiceCall message, CallerReference caller, @Nullable OperationId operation) {
+  private void forward(
+      ServiceCall message, CallerReference caller, @Nullable OperationId operation) {
     Optional<ServiceUpstream> upstream = selectUpstream(message.getService());
     if (upstream.isEmpty()) {
       if (operation != null) {
@@ -203,10 +207,10 @@
         new UpstreamListener(number));
   }
 
-  /** Returns the live upstream of a service with the fewest calls in progress from here. */
+  /** Returns the live upstream of a service with the fewest calls in flight from this host. */
   private Optional<ServiceUpstream> selectUpstream(String service) {
-    Map<String, Long> busy = new HashMap<>();
-    jobs.values().forEach(job -> busy.merge(job.upstream.id(), 1L, Long::sum));
+    Map<String, Long> inFlight = new HashMap<>();
+    jobs.values().forEach(job -> inFlight.merge(job.upstream.id(), 1L, Long::sum));
     List<ServiceUpstream> live =
         fleet.upstreams().stream()
             .filter(u -> u.service().equals(service) && u.state() == State.LIVE)
@@ -215,7 +219,7 @@
     for (int i = 0; i < live.size(); i++) {
       ServiceUpstream candidate = live.get((int) ((lastJob + i) % live.size()));
       if (best == null
-          || busy.getOrDefault(candidate.id(), 0L) < busy.getOrDefault(best.id(), 0L)) {
+          || inFlight.getOrDefault(candidate.id(), 0L) < inFlight.getOrDefault(best.id(), 0L)) {
         best = candidate;
       }
     }
@@ -227,9 +231,9 @@
     job.span.end();
     job.caller.answer(outcome);
     if (job.operation != null) {
-      List<CallerReference> waiting = waiters.remove(job.operation);
+      List<CallerReference> waiting = waitingCallers.remove(job.operation);
       if (waiting != null) {
-        waiting.forEach(waiter -> waiter.answer(outcome));
+        waiting.forEach(waitingCaller -> waitingCaller.answer(outcome));
       }
     }
   }
@@ -245,7 +249,10 @@
   }
 
   private record ServiceJob(
-      ServiceUpstream upstream, CallerReference caller, @Nullable OperationId operation, Span span) {}
+      ServiceUpstream upstream,
+      CallerReference caller,
+      @Nullable OperationId operation,
+      Span span) {}
 
   private final class UpstreamListener implements ServiceClient.Listener {
     private final long job;
@@ -260,8 +267,8 @@
     }
 
     @Override
-    public void failed(boolean sent, String why) {
-      events.accept(new DispatcherEvent.ServiceFailed(job, sent, why));
+    public void failed(boolean sent, String reason) {
+      events.accept(new DispatcherEvent.ServiceFailed(job, sent, reason));
     }
   }
 }
--- a/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/package-info.java
+++ b/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/package-info.java
@@ -1,4 +1,7 @@
-/** The owner of runners: admits, queues, loads, evicts, streams, cancels and resumes. */
+/**
+ * The dispatcher, which owns runners: it admits and queues inference requests, loads and evicts
+ * adapters, and relays, resumes and cancels response streams.
+ */
 @NullMarked
 package org.sequoiahub.dispatcher;
 
--- a/sequoia-dispatcher/src/test/java/org/sequoiahub/dispatcher/OwnedRunnerTest.java
+++ b/sequoia-dispatcher/src/test/java/org/sequoiahub/dispatcher/OwnedRunnerTest.java
@@ -16,15 +16,13 @@
   private final OwnedRunner owned = new OwnedRunner(RUNNER, PolicySettings.ashcombe(), 4_000, 7, 0);
 
   /**
-   * Symptom: after a dispatcher was paused for seven seconds, requests for adapters that were not
-   * loaded waited until their deadline, for as long as the load went on.
+   * Guards against two dispatchers that claim a runner from each other in alternation, so that
+   * neither holds it for long enough to evict and requests for adapters that are not loaded wait
+   * until their deadline.
    *
-   * <p>Events: entries took the paused dispatcher's runner to another dispatcher; the owner woke
-   * and claimed it back; the next entry that still avoided the owner had it claimed again, and so
-   * on.
-   *
-   * <p>Cause: a dispatcher that was pre-empted claimed again at the next wish, so neither was ever
-   * alone for long enough to evict.
+   * <p>This happened after the owner had been paused for seven seconds: entries had the runner
+   * claimed by another dispatcher, the owner reclaimed it, and the next entry that still avoided
+   * the owner had it claimed again. It went on for as long as requests arrived.
    */
   @Nested
   class AfterPreemptionByTheOwner {
@@ -41,12 +39,12 @@
   }
 
   /**
-   * Symptom: right after the whole fleet was started, a request is refused with no-authority.
-   *
-   * <p>Events: every lease granter has just started and abstains for one term, which is three
-   * rounds of claims; all three hosts that may have the runner refuse in turn.
+   * Guards against requests that are refused with no-authority right after a start of the whole
+   * fleet.
    *
-   * <p>Cause: claims were given up after as many rounds as the granters abstain for.
+   * <p>Each lease granter abstains for one term after its start, which is three rounds of claims. A
+   * dispatcher that stops claiming after as many rounds refuses the request, and so does each of
+   * the three hosts that may claim the runner.
    */
   @Test
   void claimsContinueWhileNewGrantersAbstain() {
