--- a/sequoia-entry/src/main/java/org/sequoiahub/entry/AnswerAssembler.java
+++ b/sequoia-entry/src/main/java/org/sequoiahub/entry/AnswerAssembler.java
@@ -17,7 +17,7 @@
 
   private final boolean chat;
   private final Map<Integer, Choice> choices = new TreeMap<>();
-  private @Nullable JsonNode last;
+  private @Nullable JsonNode lastEvent;
   private @Nullable JsonNode usage;
 
   AnswerAssembler(boolean chat) {
@@ -36,7 +36,7 @@
     } catch (IOException e) {
       throw new IllegalArgumentException("event must be JSON", e);
     }
-    last = node;
+    lastEvent = node;
     if (node.has("usage")) {
       usage = node.get("usage");
     }
@@ -53,13 +53,13 @@
   /** Returns the whole answer as JSON. */
   byte[] answer() {
     ObjectNode answer = MAPPER.createObjectNode();
-    if (last != null) {
-      answer.put("id", last.path("id").asText());
-      answer.put("model", last.path("model").asText());
+    if (lastEvent != null) {
+      answer.put("id", lastEvent.path("id").asText());
+      answer.put("model", lastEvent.path("model").asText());
     }
     answer.put("object", chat ? "chat.completion" : "text_completion");
     ArrayNode list = answer.putArray("choices");
-    choices.forEach((index, choice) -> list.add(choice.json(index, chat)));
+    choices.forEach((index, choice) -> list.add(choice.toJson(index, chat)));
     if (usage != null) {
       answer.set("usage", usage);
     }
@@ -74,7 +74,7 @@
     private final StringBuilder text = new StringBuilder();
     private @Nullable String finishReason;
 
-    ObjectNode json(int index, boolean chat) {
+    ObjectNode toJson(int index, boolean chat) {
       ObjectNode node = MAPPER.createObjectNode();
       node.put("index", index);
       if (chat) {
--- a/sequoia-entry/src/main/java/org/sequoiahub/entry/DispatcherDirectory.java
+++ b/sequoia-entry/src/main/java/org/sequoiahub/entry/DispatcherDirectory.java
@@ -23,28 +23,28 @@
   private static final long AVOID_MILLIS = 1_000;
 
   private final WireClients clients;
-  private final Map<String, Long> avoidUntil = new HashMap<>();
+  private final Map<String, Long> avoidUntilMillis = new HashMap<>();
 
   DispatcherDirectory(WireClients clients) {
     this.clients = clients;
   }
 
-  void fleet(Fleet fleet, Endpoint watcher) {
+  void updateFleet(Fleet fleet, Endpoint watcher) {
     Set<Endpoint> endpoints =
         fleet.hosts().stream().map(DispatcherDirectory::endpoint).collect(Collectors.toSet());
     endpoints.add(watcher);
     clients.retain(endpoints);
-    avoidUntil.keySet().removeIf(id -> fleet.host(id).isEmpty());
+    avoidUntilMillis.keySet().removeIf(id -> fleet.host(id).isEmpty());
   }
 
-  void failed(String host, long nowMillis) {
-    avoidUntil.put(host, nowMillis + AVOID_MILLIS);
+  void markUnreachable(String host, long nowMillis) {
+    avoidUntilMillis.put(host, nowMillis + AVOID_MILLIS);
   }
 
   /** Returns the first host that was not found unreachable lately, else the first. */
-  Optional<Host> bestOf(List<Host> hosts, long nowMillis) {
+  Optional<Host> preferReachable(List<Host> hosts, long nowMillis) {
     return hosts.stream()
-        .filter(host -> avoidUntil.getOrDefault(host.id(), Long.MIN_VALUE) <= nowMillis)
+        .filter(host -> avoidUntilMillis.getOrDefault(host.id(), Long.MIN_VALUE) <= nowMillis)
         .findFirst()
         .or(() -> hosts.stream().findFirst());
   }
--- a/sequoia-entry/src/main/java/org/sequoiahub/entry/Entry.java
+++ b/sequoia-entry/src/main/java/org/sequoiahub/entry/Entry.java
@@ -34,10 +34,10 @@
 /** A running entry: its thread, ports and clients. */
 public final class Entry implements AutoCloseable {
 
-  private static final int RING = 65_536;
-  private static final long TICK_MILLIS = 25;
-  private static final int MAX_THREADS = 16;
-  private static final int MIN_THREADS = 4;
+  private static final int EVENT_QUEUE_CAPACITY = 65_536;
+  private static final long TICK_INTERVAL_MILLIS = 25;
+  private static final int MAX_HTTP_THREADS = 16;
+  private static final int MIN_HTTP_THREADS = 4;
   private static final int MAX_HEADER_BYTES = 16 << 10;
   private static final int CONNECTIONS_PER_REQUEST = 2;
   private static final long IDLE_GRACE_MILLIS = 30_000;
@@ -60,23 +60,23 @@
     this.clients = new WireClients(network, settings.getSilenceMs());
     this.tracing = Tracing.create(settings.getTraces(), settings.getOtlpEndpoint(), "entry", log);
     Inbox<EntryEvent> events = new Inbox<>();
-    EntryDuty state = state(metrics, events);
+    EntryDuty state = createDuty(metrics, events);
     ViewFeed feed =
         new ViewFeed(
             clients.to(Endpoint.of(settings.getWatcher())),
             false,
-            update -> events.accept(new EntryEvent.Viewed(update)));
+            update -> events.accept(new EntryEvent.ViewUpdated(update)));
     this.duty =
         new Duty<>(
             "entry",
-            RING,
-            () -> TICK_MILLIS,
+            EVENT_QUEUE_CAPACITY,
+            () -> TICK_INTERVAL_MILLIS,
             state::handle,
             now -> {
               feed.tick(now);
               state.tick(now);
             },
-            state::failed,
+            state::logFailure,
             MonotonicClock.SYSTEM);
     events.connectTo(duty);
     this.admin =
@@ -86,7 +86,7 @@
             metrics,
             state::isReady,
             state::status);
-    QueuedThreadPool threads = new QueuedThreadPool(MAX_THREADS, MIN_THREADS);
+    QueuedThreadPool threads = new QueuedThreadPool(MAX_HTTP_THREADS, MIN_HTTP_THREADS);
     threads.setName("http");
     threads.setDaemon(true);
     this.server = new Server(threads);
@@ -97,7 +97,7 @@
     server.addBean(
         new NetworkConnectionLimit(CONNECTIONS_PER_REQUEST * settings.getMaxInFlight(), connector));
     server.setErrorHandler(new EntryErrorHandler());
-    server.setHandler(new EntryHandler(settings, duty, tracing, requestIds()));
+    server.setHandler(new EntryHandler(settings, duty, tracing, createRequestIdSource()));
   }
 
   /**
@@ -145,7 +145,7 @@
     return open;
   }
 
-  private EntryDuty state(MetricRegistry metrics, Consumer<EntryEvent> events) {
+  private EntryDuty createDuty(MetricRegistry metrics, Consumer<EntryEvent> events) {
     LocalView view = new LocalView(new DefaultRecordParser());
     DispatcherDirectory dispatchers = new DispatcherDirectory(clients);
     SplittableRandom random = new SplittableRandom(new SecureRandom().nextLong());
@@ -158,7 +158,7 @@
             settings,
             view,
             dispatchers,
-            new FlightEvents(events),
+            new AttemptListenerFactory(events),
             routing,
             random.split(),
             tracing,
@@ -171,7 +171,7 @@
   }
 
   /** Returns a source of ids that are unique in the fleet. */
-  private Supplier<String> requestIds() {
+  private Supplier<String> createRequestIdSource() {
     String incarnation = Long.toHexString(new SecureRandom().nextLong());
     AtomicLong last = new AtomicLong();
     return () -> settings.getHostId() + "-" + incarnation + "-" + last.incrementAndGet();
--- a/sequoia-entry/src/main/java/org/sequoiahub/entry/EntryDuty.java
+++ b/sequoia-entry/src/main/java/org/sequoiahub/entry/EntryDuty.java
@@ -16,17 +16,17 @@
 /** Hands each event to the part that it is for; all state lives on one thread. */
 final class EntryDuty {
 
-  private static final long STATUS_MILLIS = 200;
+  private static final long STATUS_INTERVAL_MILLIS = 200;
   private static final long RETRY_AFTER_MILLIS = 500;
 
   private final EntrySettings settings;
   private final LocalView view;
-  private final InFlightRequests flights;
+  private final InFlightRequests requests;
   private final ServiceFrontEnd services;
   private final DispatcherDirectory dispatchers;
   private final MonotonicClock clock;
   private final EventLog log;
-  private @Nullable Runnable drained;
+  private @Nullable Runnable onDrained;
   private boolean stopping;
   private long nextStatusMillis = Long.MIN_VALUE;
   private volatile boolean ready;
@@ -43,7 +43,7 @@
       EventLog log) {
     this.settings = settings;
     this.view = view;
-    this.flights = flights;
+    this.requests = flights;
     this.services = services;
     this.dispatchers = dispatchers;
     this.clock = clock;
@@ -59,56 +59,56 @@
     return status;
   }
 
-  void failed(Throwable failure) {
+  void logFailure(Throwable failure) {
     log.warning("defect", "error", failure, "at", failure.getStackTrace()[0]);
   }
 
   void handle(EntryEvent event) {
     long now = clock.nowMillis();
-    flights.now(now);
-    if (event instanceof EntryEvent.FlightMessage e) {
-      flights.message(e);
+    requests.setNowMillis(now);
+    if (event instanceof EntryEvent.MessageReceived e) {
+      requests.handleMessage(e);
     } else if (event instanceof EntryEvent.Inference e) {
       if (admits(e.caller())) {
-        flights.begin(e);
+        requests.begin(e);
       }
     } else if (event instanceof EntryEvent.Service e) {
       if (admits(e.caller())) {
-        services.call(e, now);
+        services.handleCall(e, now);
       }
     } else if (event instanceof EntryEvent.Address e) {
-      services.address(e, now);
-    } else if (event instanceof EntryEvent.FlightLost e) {
-      flights.lost(e);
-    } else if (event instanceof EntryEvent.Then e) {
-      e.work().run();
-    } else if (event instanceof EntryEvent.Viewed e) {
-      viewed(e);
+      services.handleAddress(e, now);
+    } else if (event instanceof EntryEvent.ConnectionLost e) {
+      requests.connectionLost(e);
+    } else if (event instanceof EntryEvent.CallCompleted e) {
+      e.handler().run();
+    } else if (event instanceof EntryEvent.ViewUpdated e) {
+      applyViewUpdate(e);
     } else if (event instanceof EntryEvent.Stop e) {
       ready = false;
       stopping = true;
       services.stop();
-      drained = e.drained();
+      onDrained = e.onDrained();
     }
   }
 
   void tick(long nowMillis) {
-    flights.now(nowMillis);
-    flights.tick();
+    requests.setNowMillis(nowMillis);
+    requests.tick();
     if (nowMillis >= nextStatusMillis) {
-      nextStatusMillis = nowMillis + STATUS_MILLIS;
+      nextStatusMillis = nowMillis + STATUS_INTERVAL_MILLIS;
       publishStatus();
     }
-    Runnable waiting = drained;
-    if (waiting != null && flights.size() == 0 && services.size() == 0) {
-      drained = null;
+    Runnable waiting = onDrained;
+    if (waiting != null && requests.size() == 0 && services.size() == 0) {
+      onDrained = null;
       waiting.run();
     }
   }
 
-  private void viewed(EntryEvent.Viewed event) {
+  private void applyViewUpdate(EntryEvent.ViewUpdated event) {
     if (view.apply(event.update())) {
-      dispatchers.fleet(view.fleet(), Endpoint.of(settings.getWatcher()));
+      dispatchers.updateFleet(view.fleet(), Endpoint.of(settings.getWatcher()));
     }
     ready = view.isCaughtUp() && !stopping;
   }
@@ -118,13 +118,13 @@
     String message = "";
     if (stopping) {
       reason = "stopping";
-      message = "this host is stopping; use another address" + otherAddress();
+      message = "this host is stopping; use another address" + alternativeAddressHint();
     } else if (!view.isCaughtUp()) {
       reason = "not-ready";
       message = "this host has not caught up with its peers; use another address";
-    } else if (flights.size() >= settings.getMaxInFlight()) {
+    } else if (requests.size() >= settings.getMaxInFlight()) {
       reason = "overloaded";
-      message = "this host holds max_in_flight requests; use another address" + otherAddress();
+      message = "this host holds max_in_flight requests; use another address" + alternativeAddressHint();
     }
     if (reason == null) {
       return true;
@@ -132,12 +132,12 @@
     caller.span().end();
     caller
         .reply()
-        .notRun(
+        .sendNotRun(
             HttpStatus.SERVICE_UNAVAILABLE_503, new NotRun(reason, message, RETRY_AFTER_MILLIS));
     return false;
   }
 
-  private String otherAddress() {
+  private String alternativeAddressHint() {
     return view.fleet().liveHosts().stream()
         .filter(host -> !host.id().equals(settings.getHostId()))
         .findAny()
@@ -149,7 +149,7 @@
     Map<String, Object> next = new LinkedHashMap<>();
     next.put("host", settings.getHostId());
     next.put("ready", ready);
-    next.put("requests", flights.size());
+    next.put("requests", requests.size());
     next.put("service_calls", services.size());
     next.put("revision", view.records().highestRevision());
     next.put("records", view.records().size());
--- a/sequoia-entry/src/main/java/org/sequoiahub/entry/EntryErrorHandler.java
+++ b/sequoia-entry/src/main/java/org/sequoiahub/entry/EntryErrorHandler.java
@@ -20,9 +20,9 @@
     Reply reply = new Reply(response, callback);
     if (HttpStatus.isClientError(status)) {
       // Refused while the request was still being read: no part of the system has seen it.
-      reply.notRun(status, new NotRun("bad-request", HttpStatus.getMessage(status), 0));
+      reply.sendNotRun(status, new NotRun("bad-request", HttpStatus.getMessage(status), 0));
     } else {
-      reply.failed(
+      reply.sendFailure(
           Outcome.newBuilder()
               .setVerdict(RunVerdict.MAY_HAVE_RUN)
               .setStatus(status)
--- a/sequoia-entry/src/main/java/org/sequoiahub/entry/EntryEvent.java
+++ b/sequoia-entry/src/main/java/org/sequoiahub/entry/EntryEvent.java
@@ -27,20 +27,20 @@
       implements EntryEvent {}
 
   /** A caller asks which address to use. */
-  record Address(int operations, CallerContext caller) implements EntryEvent {}
+  record Address(int operationIdCount, CallerContext caller) implements EntryEvent {}
 
   /** The watcher sent news. */
-  record Viewed(Update update) implements EntryEvent {}
+  record ViewUpdated(Update update) implements EntryEvent {}
 
   /** A dispatcher sent a message of attempt {@code attempt} of a flight. */
-  record FlightMessage(long flight, int attempt, Envelope message) implements EntryEvent {}
+  record MessageReceived(long requestNumber, int attempt, Envelope message) implements EntryEvent {}
 
   /** The connection of an attempt is gone. */
-  record FlightLost(long flight, int attempt, boolean handedOn) implements EntryEvent {}
+  record ConnectionLost(long requestNumber, int attempt, boolean handedOn) implements EntryEvent {}
 
   /** Work that a single-answer call left for the duty. */
-  record Then(Runnable work) implements EntryEvent {}
+  record CallCompleted(Runnable handler) implements EntryEvent {}
 
   /** The process is asked to stop. */
-  record Stop(Runnable drained) implements EntryEvent {}
+  record Stop(Runnable onDrained) implements EntryEvent {}
 }
--- a/sequoia-entry/src/main/java/org/sequoiahub/entry/EntryHandler.java
+++ b/sequoia-entry/src/main/java/org/sequoiahub/entry/EntryHandler.java
@@ -29,7 +29,7 @@
 
   private static final Set<String> INFERENCE_PATHS =
       Set.of("/v1/completions", "/v1/chat/completions");
-  private static final Set<String> PASSED_ON =
+  private static final Set<String> FORWARDED_HEADERS =
       Set.of(
           "content-type",
           "accept",
@@ -37,8 +37,8 @@
           "if-none-match",
           "if-match",
           "authorization");
-  private static final String SERVICES = "/services/";
-  private static final int MAX_OPERATIONS = 64;
+  private static final String SERVICES_PREFIX = "/services/";
+  private static final int MAX_OPERATION_IDS = 64;
   private static final long OVERLOAD_RETRY_MILLIS = 500;
 
   private final EntrySettings settings;
@@ -60,12 +60,12 @@
     String path = Request.getPathInContext(request);
     if (INFERENCE_PATHS.contains(path)) {
       handleInference(request, reply, path);
-    } else if (path.startsWith(SERVICES)) {
-      handleService(request, reply, path.substring(SERVICES.length()));
+    } else if (path.startsWith(SERVICES_PREFIX)) {
+      handleService(request, reply, path.substring(SERVICES_PREFIX.length()));
     } else if (path.equals("/v1/address")) {
       handleAddress(request, reply);
     } else {
-      reply.notRun(
+      reply.sendNotRun(
           HttpStatus.NOT_FOUND_404,
           new NotRun(
               "unknown-path",
@@ -77,11 +77,11 @@
 
   private void handleInference(Request request, Reply reply, String path) {
     if (!HttpMethod.POST.is(request.getMethod())) {
-      reply.header(HttpHeader.ALLOW.asString(), "POST");
-      reply.notRun(HttpStatus.METHOD_NOT_ALLOWED_405, new NotRun("bad-method", "use POST", 0));
+      reply.setHeader(HttpHeader.ALLOW.asString(), "POST");
+      reply.sendNotRun(HttpStatus.METHOD_NOT_ALLOWED_405, new NotRun("bad-method", "use POST", 0));
       return;
     }
-    withContext(
+    readRequest(
         request,
         reply,
         "entry.inference",
@@ -93,7 +93,7 @@
             refuse(caller, HttpStatus.BAD_REQUEST_400, "bad-body", String.valueOf(e.getMessage()));
             return;
           }
-          offer(new EntryEvent.Inference(path, body, caller), caller);
+          submit(new EntryEvent.Inference(path, body, caller), caller);
         });
   }
 
@@ -101,18 +101,18 @@
     int slash = rest.indexOf('/');
     String name = slash < 0 ? rest : rest.substring(0, slash);
     if (!Names.isName(name)) {
-      reply.notRun(
+      reply.sendNotRun(
           HttpStatus.NOT_FOUND_404,
           new NotRun("bad-service", "the path must be /services/NAME/...", 0));
       return;
     }
-    String operation = header(request, Headers.OPERATION);
+    String operation = header(request, Headers.OPERATION_ID);
     if (!operation.isEmpty() && OperationId.parse(operation).isEmpty()) {
-      reply.notRun(
+      reply.sendNotRun(
           HttpStatus.BAD_REQUEST_400,
           new NotRun(
               "bad-operation-id",
-              Headers.OPERATION + ": must be an id that this system handed out",
+              Headers.OPERATION_ID + ": must be an id that this system handed out",
               0));
       return;
     }
@@ -123,17 +123,17 @@
         .getHeaders()
         .forEach(
             field -> {
-              if (PASSED_ON.contains(field.getLowerCaseName())) {
+              if (FORWARDED_HEADERS.contains(field.getLowerCaseName())) {
                 headers.put(field.getLowerCaseName(), field.getValue());
               }
             });
     String method = request.getMethod().toUpperCase(Locale.ROOT);
-    withContext(
+    readRequest(
         request,
         reply,
         "entry.service",
         (caller, bytes) ->
-            offer(
+            submit(
                 new EntryEvent.Service(name, method, target, headers, bytes, operation, caller),
                 caller));
   }
@@ -146,35 +146,35 @@
     } catch (NumberFormatException e) {
       operations = -1;
     }
-    if (operations < 0 || operations > MAX_OPERATIONS) {
-      reply.notRun(
+    if (operations < 0 || operations > MAX_OPERATION_IDS) {
+      reply.sendNotRun(
           HttpStatus.BAD_REQUEST_400,
-          new NotRun("bad-operations", "operations: must be from 0 to " + MAX_OPERATIONS, 0));
+          new NotRun("bad-operations", "operations: must be from 0 to " + MAX_OPERATION_IDS, 0));
       return;
     }
     int count = operations;
-    withContext(
+    readRequest(
         request,
         reply,
         "entry.address",
-        (caller, bytes) -> offer(new EntryEvent.Address(count, caller), caller));
+        (caller, bytes) -> submit(new EntryEvent.Address(count, caller), caller));
   }
 
   /** Checks what every request carries, reads its body, and goes on with both. */
-  private void withContext(
+  private void readRequest(
       Request request, Reply reply, String hop, BiConsumer<CallerContext, byte[]> next) {
     String requestId = requestIds.get();
-    reply.header(Headers.REQUEST_ID, requestId);
+    reply.setHeader(Headers.REQUEST_ID, requestId);
     long timeout = timeoutMillis(request);
     if (timeout < 1) {
-      reply.notRun(
+      reply.sendNotRun(
           HttpStatus.BAD_REQUEST_400,
           new NotRun(
-              "bad-timeout", Headers.TIMEOUT + ": must be a whole number of milliseconds", 0));
+              "bad-timeout", Headers.TIMEOUT_MILLIS + ": must be a whole number of milliseconds", 0));
       return;
     }
     if (request.getLength() > settings.getMaxBodyBytes()) {
-      tooLong(reply);
+      refuseTooLongBody(reply);
       return;
     }
     Span span = tracing.start(hop, SpanKind.SERVER, header(request, Headers.TRACEPARENT));
@@ -184,26 +184,26 @@
             (bytes, failure) -> {
               if (failure != null) {
                 span.end();
-                tooLong(reply);
+                refuseTooLongBody(reply);
               } else {
                 next.accept(caller, bytes);
               }
             });
   }
 
-  private void offer(EntryEvent event, CallerContext caller) {
+  private void submit(EntryEvent event, CallerContext caller) {
     if (!duty.offer(event)) {
       caller.span().end();
       caller
           .reply()
-          .notRun(
+          .sendNotRun(
               HttpStatus.SERVICE_UNAVAILABLE_503,
               new NotRun("overloaded", "this host has too much to do", OVERLOAD_RETRY_MILLIS));
     }
   }
 
-  private void tooLong(Reply reply) {
-    reply.notRun(
+  private void refuseTooLongBody(Reply reply) {
+    reply.sendNotRun(
         HttpStatus.PAYLOAD_TOO_LARGE_413,
         new NotRun(
             "body-too-long",
@@ -212,7 +212,7 @@
   }
 
   private long timeoutMillis(Request request) {
-    String text = header(request, Headers.TIMEOUT);
+    String text = header(request, Headers.TIMEOUT_MILLIS);
     if (text.isEmpty()) {
       return settings.getRequestTimeoutMs();
     }
@@ -225,7 +225,7 @@
 
   private static void refuse(CallerContext caller, int status, String reason, String message) {
     caller.span().end();
-    caller.reply().notRun(status, new NotRun(reason, message, 0));
+    caller.reply().sendNotRun(status, new NotRun(reason, message, 0));
   }
 
   private static String header(Request request, String name) {
--- a/sequoia-entry/src/main/java/org/sequoiahub/entry/Headers.java
+++ b/sequoia-entry/src/main/java/org/sequoiahub/entry/Headers.java
@@ -13,10 +13,10 @@
   static final String RUNNER = "Sequoia-Runner";
 
   /** Request and answer: the id of a non-idempotent operation. */
-  static final String OPERATION = "Sequoia-Operation";
+  static final String OPERATION_ID = "Sequoia-Operation";
 
   /** Request: how long the caller waits, in milliseconds. */
-  static final String TIMEOUT = "Sequoia-Timeout-Ms";
+  static final String TIMEOUT_MILLIS = "Sequoia-Timeout-Ms";
 
   /** Answer: when to come back, in milliseconds; more exact than Retry-After. */
   static final String RETRY_AFTER_MILLIS = "Sequoia-Retry-After-Ms";
--- a/sequoia-entry/src/main/java/org/sequoiahub/entry/InFlightRequests.java
+++ b/sequoia-entry/src/main/java/org/sequoiahub/entry/InFlightRequests.java
@@ -45,18 +45,18 @@
 /** The inference requests in progress at this entry. */
 final class InFlightRequests {
 
-  private static final int OWNERS_TRIED = 3;
+  private static final int MAX_OWNERS_TRIED = 3;
   private static final int MAX_RESUMES = 4;
   private static final long RETRY_AFTER_MILLIS = 1_000;
-  private static final long CONFIRM_MILLIS = 500;
-  private static final Set<String> RUNNER_REFUSALS =
+  private static final long CANCEL_CONFIRM_MILLIS = 500;
+  private static final Set<String> RUNNER_REFUSAL_REASONS =
       Set.of("queue-full", "too-late", "runner-leaving", "adapter-not-loaded", "engine-refused");
-  private static final Set<String> HOST_REFUSALS =
+  private static final Set<String> HOST_REFUSAL_REASONS =
       Set.of("stopping", "not-owner", "no-authority", "unknown-runner");
 
   private final LocalView view;
   private final DispatcherDirectory dispatchers;
-  private final FlightEvents events;
+  private final AttemptListenerFactory listeners;
   private final RunnerHints hints = new RunnerHints();
   private final RunnerChooser chooser;
   private final RouteSettings routing;
@@ -64,19 +64,19 @@
   private final SplittableRandom random;
   private final Tracing tracing;
   private final EventLog log;
-  private final Map<Long, Flight> flights = new HashMap<>();
+  private final Map<Long, InferenceRequest> requests = new HashMap<>();
   private final Map<String, ActivePool> activePools = new HashMap<>();
-  private final Timer firstChunk;
-  private final Counter retries;
-  private final Counter resumes;
-  private long lastFlight;
+  private final Timer firstChunkTimer;
+  private final Counter retryCounter;
+  private final Counter resumeCounter;
+  private long lastRequestNumber;
   private long nowMillis;
 
   InFlightRequests(
       EntrySettings settings,
       LocalView view,
       DispatcherDirectory dispatchers,
-      FlightEvents events,
+      AttemptListenerFactory events,
       RouteSettings routing,
       SplittableRandom random,
       Tracing tracing,
@@ -84,24 +84,24 @@
       EventLog log) {
     this.view = view;
     this.dispatchers = dispatchers;
-    this.events = events;
+    this.listeners = events;
     this.routing = routing;
     this.chooser = new RunnerChooser(routing);
     this.budget = new RetryBudget(settings.getRetryBudgetPercent() / 100.0);
     this.random = random;
     this.tracing = tracing;
     this.log = log;
-    this.firstChunk = metrics.timer("requests.first_chunk");
-    this.retries = metrics.counter("requests.retries");
-    this.resumes = metrics.counter("requests.resumes");
+    this.firstChunkTimer = metrics.timer("requests.first_chunk");
+    this.retryCounter = metrics.counter("requests.retries");
+    this.resumeCounter = metrics.counter("requests.resumes");
   }
 
-  void now(long millis) {
+  void setNowMillis(long millis) {
     nowMillis = millis;
   }
 
   int size() {
-    return flights.size();
+    return requests.size();
   }
 
   void begin(EntryEvent.Inference event) {
@@ -112,84 +112,84 @@
       return;
     }
     Resolved resolved = (Resolved) resolution;
-    Flight flight =
-        new Flight(
-            ++lastFlight,
+    InferenceRequest flight =
+        new InferenceRequest(
+            ++lastRequestNumber,
             event.caller(),
             event.path(),
             resolved,
             event.body(),
             nowMillis + event.caller().timeoutMillis());
-    flights.put(flight.number(), flight);
+    requests.put(flight.number(), flight);
     event.caller().span().setAttribute("adapter", flight.adapter().exactName());
-    event.caller().reply().header(Headers.ADAPTER, flight.adapter().exactName());
+    event.caller().reply().setHeader(Headers.ADAPTER, flight.adapter().exactName());
     budget.firstAttempt();
-    run(flight);
+    startRun(flight);
   }
 
-  void message(EntryEvent.FlightMessage event) {
-    Flight flight = flights.get(event.flight());
+  void handleMessage(EntryEvent.MessageReceived event) {
+    InferenceRequest flight = requests.get(event.requestNumber());
     if (flight == null || flight.attempt() != event.attempt()) {
       return;
     }
     Envelope message = event.message();
     switch (message.getBodyCase()) {
       case CHUNK -> {
-        if (flight.delivered() == 0 && message.getChunk().getSequence() == 1) {
+        if (flight.deliveredChunks() == 0 && message.getChunk().getSequence() == 1) {
           long waited = nowMillis - (flight.deadlineMillis() - flight.caller().timeoutMillis());
-          firstChunk.update(waited, TimeUnit.MILLISECONDS);
-          answerHeaders(flight);
+          firstChunkTimer.update(waited, TimeUnit.MILLISECONDS);
+          setAnswerHeaders(flight);
         }
         byte[] data = message.getChunk().getData().toByteArray();
-        if (!flight.chunk(message.getChunk().getSequence(), data)) {
-          callerGone(flight);
+        if (!flight.acceptChunk(message.getChunk().getSequence(), data)) {
+          abandon(flight);
         }
       }
-      case ADMITTED -> admitted(flight, message.getAdmitted());
+      case ADMITTED -> handleAdmitted(flight, message.getAdmitted());
       case STARTED -> flight.started();
-      case OUTCOME -> outcome(flight, message.getOutcome());
+      case OUTCOME -> handleOutcome(flight, message.getOutcome());
       default -> log.warning("unexpected-message", "kind", message.getBodyCase());
     }
   }
 
-  void lost(EntryEvent.FlightLost event) {
-    Flight flight = flights.get(event.flight());
+  void connectionLost(EntryEvent.ConnectionLost event) {
+    InferenceRequest flight = requests.get(event.requestNumber());
     if (flight == null || flight.attempt() != event.attempt()) {
       return;
     }
     String host = flight.host();
     if (host != null) {
-      dispatchers.failed(host, nowMillis);
+      dispatchers.markUnreachable(host, nowMillis);
       flight.excludedHosts().add(host);
     }
     if (!event.handedOn()) {
-      reach(flight, flight.isStarted());
+      sendToDispatcher(flight, flight.isStarted());
     } else if (flight.isStarted()) {
       resume(flight, "the dispatcher's connection is gone");
     } else {
       // It may still be queued there, and start after we look elsewhere.
-      flight.combine(new MayHaveRun("dispatcher-lost", "the dispatcher's connection is gone"));
+      flight.combineVerdict(new MayHaveRun("dispatcher-lost", "the dispatcher's connection is gone"));
       retryRun(flight, "dispatcher-lost");
     }
   }
 
   void tick() {
-    for (Flight flight : List.copyOf(flights.values())) {
+    for (InferenceRequest flight : List.copyOf(requests.values())) {
       if (flight.caller().reply().isBroken()) {
-        callerGone(flight);
-      } else if (nowMillis >= flight.deadlineMillis() + CONFIRM_MILLIS) {
+        abandon(flight);
+      } else if (nowMillis >= flight.deadlineMillis() + CANCEL_CONFIRM_MILLIS) {
         cancel(flight);
         finish(
             flight,
-            flight.combine(new MayHaveRun("deadline-passed", "the deadline passed")),
+            flight.combineVerdict(new MayHaveRun("deadline-passed", "the deadline passed")),
             HttpStatus.GATEWAY_TIMEOUT_504);
       } else if (nowMillis >= flight.deadlineMillis()) {
-        askToCancel(flight);
+        requestCancel(flight);
       }
     }
   }
 
-  private void run(Flight flight) {
+  private void startRun(InferenceRequest flight) {
     Fleet fleet = view.fleet();
     List<Runner> pool = fleet.livePool(flight.resolved().record().baseModel());
     // A limited adapter's requests all meet at one runner, where its limit is counted.
@@ -197,7 +197,7 @@
     int count =
         limited ? 1 : Math.min(routing.candidates(), flight.resolved().record().maxReplicas());
     List<Runner> candidates =
-        Placement.candidates(flight.adapter(), limited ? pool : active(flight, pool), count);
+        Placement.candidates(flight.adapter(), limited ? pool : activeRunners(flight, pool), count);
     Optional<Runner> chosen =
         chooser.choose(flight.adapter(), candidates, flight.excludedRunners(), hints, nowMillis);
     if (chosen.isEmpty()) {
@@ -207,15 +207,15 @@
               : "every candidate runner refused; repeat later";
       finish(
           flight,
-          flight.combine(new NotRun("no-runner", message, RETRY_AFTER_MILLIS)),
+          flight.combineVerdict(new NotRun("no-runner", message, RETRY_AFTER_MILLIS)),
           HttpStatus.SERVICE_UNAVAILABLE_503);
       return;
     }
     flight.beginRun(chosen.get());
-    reach(flight, false);
+    sendToDispatcher(flight, false);
   }
 
-  private List<Runner> active(Flight flight, List<Runner> pool) {
+  private List<Runner> activeRunners(InferenceRequest flight, List<Runner> pool) {
     String baseModel = flight.resolved().record().baseModel();
     double inFlight = (double) hints.inFlight(pool) * view.fleet().liveHosts().size();
     return activePools
@@ -224,21 +224,21 @@
   }
 
   /** Hands the run to a dispatcher: the runner's owner first, then those that may claim it. */
-  private void reach(Flight flight, boolean resume) {
+  private void sendToDispatcher(InferenceRequest flight, boolean resume) {
     Runner runner = flight.runner();
     if (runner == null) {
       return;
     }
     List<Host> owners =
         new ArrayList<>(
-            Placement.ownersInOrder(runner.id(), view.fleet().liveHosts(), OWNERS_TRIED));
+            Placement.ownersInOrder(runner.id(), view.fleet().liveHosts(), MAX_OWNERS_TRIED));
     Host first = owners.isEmpty() ? null : owners.get(0);
     owners.removeIf(host -> flight.excludedHosts().contains(host.id()));
-    Optional<Host> host = dispatchers.bestOf(owners, nowMillis);
+    Optional<Host> host = dispatchers.preferReachable(owners, nowMillis);
     if (host.isEmpty()) {
       finish(
           flight,
-          flight.combine(
+          flight.combineVerdict(
               new NotRun("no-dispatcher", "no dispatcher can be reached", RETRY_AFTER_MILLIS)),
           HttpStatus.SERVICE_UNAVAILABLE_503);
       return;
@@ -247,28 +247,28 @@
     int attempt = flight.beginAttempt(host.get().id());
     InferenceCall.Builder message =
         flight
-            .message(
+            .newInferenceCall(
                 Math.max(1, flight.deadlineMillis() - nowMillis),
                 fallback,
                 tracing.traceparent(flight.caller().span()))
             .setResume(resume);
     if (resume) {
-      message.setResumeAfter(flight.delivered());
+      message.setResumeAfter(flight.deliveredChunks());
     } else {
       message.setBody(ByteString.copyFrom(flight.engineBody()));
       hints.sent(runner.id());
     }
     WireClient client = dispatchers.client(host.get());
-    flight.calling(client, 0);
+    flight.setCall(client, 0);
     long call =
         client.call(
-            Envelope.newBuilder().setInference(message), events.listener(flight.number(), attempt));
+            Envelope.newBuilder().setInference(message), listeners.createListener(flight.number(), attempt));
     if (flight.attempt() == attempt) {
-      flight.calling(client, call);
+      flight.setCall(client, call);
     }
   }
 
-  private void admitted(Flight flight, Admitted admitted) {
+  private void handleAdmitted(InferenceRequest flight, Admitted admitted) {
     hints.heard(
         admitted.getRunner(),
         flight.adapter(),
@@ -277,7 +277,7 @@
         nowMillis);
   }
 
-  private void outcome(Flight flight, Outcome outcome) {
+  private void handleOutcome(InferenceRequest flight, Outcome outcome) {
     flight.endCall();
     Runner runner = flight.runner();
     if (runner != null) {
@@ -288,47 +288,47 @@
     if (outcome.getComplete()) {
       complete(flight, outcome);
     } else if (outcome.getVerdict() == RunVerdict.NOT_RUN) {
-      refused(flight, outcome);
+      handleRefusal(flight, outcome);
     } else {
-      broken(flight, outcome);
+      handleIncompleteAnswer(flight, outcome);
     }
   }
 
-  private void complete(Flight flight, Outcome outcome) {
-    if (!flight.end(outcome.getChunks())) {
+  private void complete(InferenceRequest flight, Outcome outcome) {
+    if (!flight.acceptEnd(outcome.getChunks())) {
       resume(flight, "chunks are missing");
       return;
     }
-    flights.remove(flight.number());
-    answerHeaders(flight);
-    flight.finishWhole();
+    requests.remove(flight.number());
+    setAnswerHeaders(flight);
+    flight.completeAnswer();
     endSpan(flight, RunVerdict.RAN, true);
   }
 
-  private void refused(Flight flight, Outcome outcome) {
+  private void handleRefusal(InferenceRequest flight, Outcome outcome) {
     NotRun refusal =
         new NotRun(outcome.getReason(), outcome.getMessage(), outcome.getRetryAfterMs());
-    Verdict combined = flight.combine(refusal);
+    Verdict combined = flight.combineVerdict(refusal);
     String host = flight.host();
     Runner runner = flight.runner();
-    if (HOST_REFUSALS.contains(outcome.getReason()) && host != null) {
+    if (HOST_REFUSAL_REASONS.contains(outcome.getReason()) && host != null) {
       flight.excludedHosts().add(host);
-      reach(flight, false);
-    } else if (RUNNER_REFUSALS.contains(outcome.getReason())
+      sendToDispatcher(flight, false);
+    } else if (RUNNER_REFUSAL_REASONS.contains(outcome.getReason())
         && runner != null
         && budget.tryRetry()) {
-      retries.inc();
+      retryCounter.inc();
       flight.excludedRunners().add(runner.id());
-      run(flight);
+      startRun(flight);
     } else {
       finish(flight, combined, outcome.getStatus());
     }
   }
 
-  private void broken(Flight flight, Outcome outcome) {
+  private void handleIncompleteAnswer(InferenceRequest flight, Outcome outcome) {
     boolean ran = outcome.getVerdict() == RunVerdict.RAN;
     Verdict verdict = ran ? new Ran() : new MayHaveRun(outcome.getReason(), outcome.getMessage());
-    flight.combine(verdict);
+    flight.combineVerdict(verdict);
     log.info(
         "answer-broken",
         "request",
@@ -336,11 +336,11 @@
         "reason",
         outcome.getReason(),
         "delivered",
-        flight.delivered());
-    if (flight.delivered() == 0) {
+        flight.deliveredChunks());
+    if (flight.deliveredChunks() == 0) {
       retryRun(flight, outcome.getReason());
     } else {
-      finishBroken(flight, outcome);
+      finishIncomplete(flight, outcome);
     }
   }
 
@@ -348,40 +348,40 @@
    * Runs the request again from the start. Nothing of an answer has reached the caller, and an
    * inference changes nothing outside the engine, so a second run can do no harm.
    */
-  private void retryRun(Flight flight, String reason) {
+  private void retryRun(InferenceRequest flight, String reason) {
     boolean late = nowMillis >= flight.deadlineMillis();
-    if (flight.delivered() > 0 || late || !budget.tryRetry()) {
-      Verdict verdict = flight.combine(new MayHaveRun(reason, "the request was lost; repeat it"));
+    if (flight.deliveredChunks() > 0 || late || !budget.tryRetry()) {
+      Verdict verdict = flight.combineVerdict(new MayHaveRun(reason, "the request was lost; repeat it"));
       finish(flight, verdict, HttpStatus.BAD_GATEWAY_502);
       return;
     }
-    retries.inc();
+    retryCounter.inc();
     flight.endCall();
-    run(flight);
+    startRun(flight);
   }
 
-  private void resume(Flight flight, String reason) {
-    flight.countResume();
+  private void resume(InferenceRequest flight, String reason) {
+    flight.incrementResumes();
     if (flight.resumes() > MAX_RESUMES || nowMillis >= flight.deadlineMillis()) {
-      Verdict verdict = flight.combine(new MayHaveRun("stream-lost", reason));
+      Verdict verdict = flight.combineVerdict(new MayHaveRun("stream-lost", reason));
       finish(flight, verdict, HttpStatus.BAD_GATEWAY_502);
       return;
     }
-    resumes.inc();
+    resumeCounter.inc();
     log.info(
         "answer-resumed",
         "request",
         flight.caller().requestId(),
         "after",
-        flight.delivered(),
+        flight.deliveredChunks(),
         "reason",
         reason);
-    reach(flight, true);
+    sendToDispatcher(flight, true);
   }
 
-  private void callerGone(Flight flight) {
+  private void abandon(InferenceRequest flight) {
     cancel(flight);
-    flights.remove(flight.number());
+    requests.remove(flight.number());
     endSpan(flight, RunVerdict.MAY_HAVE_RUN, false);
   }
 
@@ -390,15 +390,15 @@
    * the dispatcher can tell that it was still queued; without its word a caller whose deadline
    * passed would have to be told that the request may have run.
    */
-  private void askToCancel(Flight flight) {
+  private void requestCancel(InferenceRequest flight) {
     WireClient client = flight.client();
-    if (client != null && flight.tryCancel()) {
-      client.send(flight.call(), Envelope.newBuilder().setCancel(Cancel.getDefaultInstance()));
+    if (client != null && flight.markCancelRequested()) {
+      client.send(flight.callNumber(), Envelope.newBuilder().setCancel(Cancel.getDefaultInstance()));
     }
   }
 
-  private void cancel(Flight flight) {
-    askToCancel(flight);
+  private void cancel(InferenceRequest flight) {
+    requestCancel(flight);
     Runner runner = flight.runner();
     if (runner != null) {
       hints.ended(runner.id());
@@ -406,30 +406,30 @@
     flight.endCall();
   }
 
-  private void finishBroken(Flight flight, Outcome outcome) {
-    flights.remove(flight.number());
+  private void finishIncomplete(InferenceRequest flight, Outcome outcome) {
+    requests.remove(flight.number());
     flight.endCall();
-    flight.caller().reply().failed(outcome);
+    flight.caller().reply().sendFailure(outcome);
     endSpan(flight, outcome.getVerdict(), false);
   }
 
-  private void finish(Flight flight, Verdict verdict, int status) {
-    flights.remove(flight.number());
+  private void finish(InferenceRequest flight, Verdict verdict, int status) {
+    requests.remove(flight.number());
     flight.endCall();
     Reply reply = flight.caller().reply();
     RunVerdict told =
         verdict.fold(
             notRun -> {
-              reply.notRun(status, notRun);
+              reply.sendNotRun(status, notRun);
               return RunVerdict.NOT_RUN;
             },
             ran -> {
-              reply.failed(failure(RunVerdict.RAN, "not-whole", "the answer is not whole"));
+              reply.sendFailure(failureOutcome(RunVerdict.RAN, "not-whole", "the answer is not whole"));
               return RunVerdict.RAN;
             },
             doubt -> {
-              Outcome outcome = failure(RunVerdict.MAY_HAVE_RUN, doubt.reason(), doubt.message());
-              reply.failed(outcome.toBuilder().setStatus(status).build());
+              Outcome outcome = failureOutcome(RunVerdict.MAY_HAVE_RUN, doubt.reason(), doubt.message());
+              reply.sendFailure(outcome.toBuilder().setStatus(status).build());
               return RunVerdict.MAY_HAVE_RUN;
             });
     endSpan(flight, told, false);
@@ -438,16 +438,16 @@
   private void refuse(CallerContext caller, int status, NotRun verdict) {
     caller.span().setStatus(StatusCode.ERROR);
     caller.span().end();
-    caller.reply().notRun(status, verdict);
+    caller.reply().sendNotRun(status, verdict);
   }
 
-  private void answerHeaders(Flight flight) {
+  private void setAnswerHeaders(InferenceRequest flight) {
     Runner runner = flight.runner();
-    flight.caller().reply().verdict(RunVerdict.RAN);
-    flight.caller().reply().header(Headers.RUNNER, runner == null ? "" : runner.id());
+    flight.caller().reply().setVerdict(RunVerdict.RAN);
+    flight.caller().reply().setHeader(Headers.RUNNER, runner == null ? "" : runner.id());
   }
 
-  private void endSpan(Flight flight, RunVerdict verdict, boolean whole) {
+  private void endSpan(InferenceRequest flight, RunVerdict verdict, boolean whole) {
     Runner runner = flight.runner();
     flight
         .caller()
@@ -458,7 +458,7 @@
     flight.caller().span().end();
   }
 
-  private static Outcome failure(RunVerdict verdict, String reason, String message) {
+  private static Outcome failureOutcome(RunVerdict verdict, String reason, String message) {
     return Outcome.newBuilder()
         .setVerdict(verdict)
         .setStatus(HttpStatus.BAD_GATEWAY_502)
--- a/sequoia-entry/src/main/java/org/sequoiahub/entry/Flight.java
+++ b/sequoia-entry/src/main/java/org/sequoiahub/entry/InferenceRequest.java
@@ -14,9 +14,9 @@
 import org.sequoiahub.wire.WireClient;
 
 /** One inference request of a caller, across all its attempts. */
-final class Flight {
+final class InferenceRequest {
 
-  private static final int CHUNKS_AHEAD = 1_024;
+  private static final int MAX_CHUNKS_AHEAD = 1_024;
 
   private final long number;
   private final CallerContext caller;
@@ -28,19 +28,19 @@
   private final long deadlineMillis;
   private final Set<String> excludedRunners = new HashSet<>();
   private final Set<String> excludedHosts = new HashSet<>();
-  private ChunkSequencer sequencer = new ChunkSequencer(0, CHUNKS_AHEAD);
+  private ChunkSequencer sequencer = new ChunkSequencer(0, MAX_CHUNKS_AHEAD);
   private int attempt;
   private int runs;
   private int resumes;
   private @Nullable Runner runner;
   private @Nullable String host;
   private @Nullable WireClient client;
-  private long call;
+  private long callNumber;
   private boolean started;
-  private boolean cancelAsked;
+  private boolean cancelRequested;
   private @Nullable Verdict verdict;
 
-  Flight(
+  InferenceRequest(
       long number,
       CallerContext caller,
       String path,
@@ -101,7 +101,7 @@
     started = true;
   }
 
-  long delivered() {
+  long deliveredChunks() {
     return sequencer.delivered();
   }
 
@@ -118,7 +118,7 @@
     runner = chosen;
     runs++;
     started = false;
-    sequencer = new ChunkSequencer(0, CHUNKS_AHEAD);
+    sequencer = new ChunkSequencer(0, MAX_CHUNKS_AHEAD);
     excludedHosts.clear();
   }
 
@@ -128,26 +128,26 @@
     return ++attempt;
   }
 
-  void countResume() {
+  void incrementResumes() {
     resumes++;
   }
 
-  void calling(WireClient through, long number) {
+  void setCall(WireClient through, long number) {
     client = through;
-    call = number;
+    callNumber = number;
   }
 
   /** Returns true the first time only: one cancel is enough. */
-  boolean tryCancel() {
-    boolean first = !cancelAsked;
-    cancelAsked = true;
+  boolean markCancelRequested() {
+    boolean first = !cancelRequested;
+    cancelRequested = true;
     return first;
   }
 
   /** Ends the present call: nothing more is wanted of it. */
   void endCall() {
     if (client != null) {
-      client.end(call);
+      client.end(callNumber);
       client = null;
     }
   }
@@ -156,11 +156,11 @@
     return client;
   }
 
-  long call() {
-    return call;
+  long callNumber() {
+    return callNumber;
   }
 
-  InferenceCall.Builder message(long remainingMillis, boolean fallback, String traceparent) {
+  InferenceCall.Builder newInferenceCall(long remainingMillis, boolean fallback, String traceparent) {
     return InferenceCall.newBuilder()
         .setRequestId(caller.requestId() + "." + runs)
         .setAdapter(adapter().adapter())
@@ -180,12 +180,12 @@
   }
 
   /** Takes in a chunk and passes on what is in order; false if the caller is gone. */
-  boolean chunk(long sequence, byte[] data) {
+  boolean acceptChunk(long sequence, byte[] data) {
     List<byte[]> ready = sequencer.accept(sequence, data);
     for (byte[] piece : ready) {
       if (!streamed) {
         assembler.add(piece);
-      } else if (!caller.reply().event(piece)) {
+      } else if (!caller.reply().sendEvent(piece)) {
         return false;
       }
     }
@@ -193,22 +193,22 @@
   }
 
   /** Takes in the end marker; returns whether the answer is whole. */
-  boolean end(long chunks) {
+  boolean acceptEnd(long chunks) {
     sequencer.end(chunks);
     return sequencer.isWhole();
   }
 
   /** Passes the end of a whole answer on. */
-  void finishWhole() {
+  void completeAnswer() {
     if (streamed) {
-      caller.reply().endEvents();
+      caller.reply().completeEvents();
     } else {
-      caller.reply().json(200, assembler.answer());
+      caller.reply().sendJson(200, assembler.answer());
     }
   }
 
   /** Adds what an attempt's end says about whether the request ran, and returns the sum. */
-  Verdict combine(Verdict ofAttempt) {
+  Verdict combineVerdict(Verdict ofAttempt) {
     Verdict combined = verdict == null ? ofAttempt : verdict.combinedWith(ofAttempt);
     verdict = combined;
     return combined;
--- a/sequoia-entry/src/main/java/org/sequoiahub/entry/Reply.java
+++ b/sequoia-entry/src/main/java/org/sequoiahub/entry/Reply.java
@@ -30,7 +30,7 @@
 
   private final Response response;
   private final PieceWriter writer;
-  private boolean begun;
+  private boolean committed;
 
   Reply(Response response, Callback callback) {
     this.response = response;
@@ -38,57 +38,57 @@
   }
 
   /** Sets a header; no effect once the answer has begun. */
-  synchronized void header(String name, String value) {
-    if (!begun) {
+  synchronized void setHeader(String name, String value) {
+    if (!committed) {
       response.getHeaders().put(name, value);
     }
   }
 
   /** Sends one server-sent event; false if the caller is gone or too slow. */
-  boolean event(byte[] json) {
+  boolean sendEvent(byte[] json) {
     synchronized (this) {
-      if (!begun) {
-        begun = true;
+      if (!committed) {
+        committed = true;
         response.setStatus(HttpStatus.OK_200);
         response.getHeaders().put(HttpHeader.CONTENT_TYPE, "text/event-stream");
         response.getHeaders().put(HttpHeader.CACHE_CONTROL, "no-store");
       }
     }
-    return writer.write(sse(json), false);
+    return writer.write(serverSentEvent(json), false);
   }
 
   /** Ends a streamed answer with the marker that says it is whole. */
-  void endEvents() {
-    writer.write(sse("[DONE]".getBytes(StandardCharsets.UTF_8)), true);
+  void completeEvents() {
+    writer.write(serverSentEvent("[DONE]".getBytes(StandardCharsets.UTF_8)), true);
   }
 
   /** Answers with JSON. */
-  void json(int status, Object body) {
+  void sendJson(int status, Object body) {
     byte[] bytes;
     try {
       bytes = body instanceof byte[] raw ? raw : MAPPER.writeValueAsBytes(body);
     } catch (JsonProcessingException e) {
       throw new IllegalArgumentException("body must be JSON values", e);
     }
-    header(HttpHeader.CONTENT_TYPE.asString(), "application/json");
-    bytes(status, bytes);
+    setHeader(HttpHeader.CONTENT_TYPE.asString(), "application/json");
+    sendBytes(status, bytes);
   }
 
   /** Answers with a status and a body. */
-  void bytes(int status, byte[] body) {
+  void sendBytes(int status, byte[] body) {
     synchronized (this) {
-      if (begun) {
+      if (committed) {
         return;
       }
-      begun = true;
+      committed = true;
       response.setStatus(status);
     }
     writer.write(ByteBuffer.wrap(body), true);
   }
 
   /** Answers that the request has not run. */
-  void notRun(int status, NotRun refusal) {
-    fail(
+  void sendNotRun(int status, NotRun refusal) {
+    sendError(
         status,
         RunVerdict.NOT_RUN,
         refusal.reason(),
@@ -97,8 +97,8 @@
   }
 
   /** Answers with a failed outcome. */
-  void failed(Outcome outcome) {
-    fail(
+  void sendFailure(Outcome outcome) {
+    sendError(
         outcome.getStatus() == 0 ? HttpStatus.BAD_GATEWAY_502 : outcome.getStatus(),
         outcome.getVerdict(),
         outcome.getReason(),
@@ -107,8 +107,8 @@
   }
 
   /** Sets the verdict header. */
-  void verdict(RunVerdict verdict) {
-    header(Headers.VERDICT, word(verdict));
+  void setVerdict(RunVerdict verdict) {
+    setHeader(Headers.VERDICT, verdictText(verdict));
   }
 
   /** Returns whether the caller is gone. */
@@ -117,43 +117,43 @@
   }
 
   /** Returns whether a part of the answer has gone out. */
-  synchronized boolean isBegun() {
-    return begun;
+  synchronized boolean isCommitted() {
+    return committed;
   }
 
-  private void fail(
+  private void sendError(
       int status, RunVerdict verdict, String reason, String message, long retryAfterMillis) {
     Map<String, Object> error = new LinkedHashMap<>();
     error.put("type", reason);
     error.put("message", message);
-    error.put("verdict", word(verdict));
+    error.put("verdict", verdictText(verdict));
     if (retryAfterMillis > 0) {
       error.put("retry_after_ms", retryAfterMillis);
       long seconds = (retryAfterMillis + MILLIS_PER_SECOND - 1) / MILLIS_PER_SECOND;
-      header(HttpHeader.RETRY_AFTER.asString(), Long.toString(seconds));
-      header(Headers.RETRY_AFTER_MILLIS, Long.toString(retryAfterMillis));
+      setHeader(HttpHeader.RETRY_AFTER.asString(), Long.toString(seconds));
+      setHeader(Headers.RETRY_AFTER_MILLIS, Long.toString(retryAfterMillis));
     }
-    if (isBegun()) {
+    if (isCommitted()) {
       // The status line is gone already. Without the end marker the caller knows that this is not
       // the whole answer; the event says why.
       try {
-        writer.write(sse(MAPPER.writeValueAsBytes(Map.of("error", error))), true);
+        writer.write(serverSentEvent(MAPPER.writeValueAsBytes(Map.of("error", error))), true);
       } catch (JsonProcessingException e) {
         throw new IllegalStateException("an error object must be JSON", e);
       }
       return;
     }
-    verdict(verdict);
-    json(status, Map.of("error", error));
+    setVerdict(verdict);
+    sendJson(status, Map.of("error", error));
   }
 
-  private static ByteBuffer sse(byte[] data) {
+  private static ByteBuffer serverSentEvent(byte[] data) {
     byte[] prefix = "data: ".getBytes(StandardCharsets.UTF_8);
     ByteBuffer event = ByteBuffer.allocate(prefix.length + data.length + 2);
     return event.put(prefix).put(data).put((byte) '\n').put((byte) '\n').flip();
   }
 
-  private static String word(RunVerdict verdict) {
+  private static String verdictText(RunVerdict verdict) {
     return verdict.name().toLowerCase(Locale.ROOT).replace('_', '-');
   }
 }
--- a/sequoia-entry/src/main/java/org/sequoiahub/entry/ServiceFrontEnd.java
+++ b/sequoia-entry/src/main/java/org/sequoiahub/entry/ServiceFrontEnd.java
@@ -30,7 +30,7 @@
 /** Callers' calls of plain services, and their questions which address to use. */
 final class ServiceFrontEnd {
 
-  private static final int ALTERNATIVES = 3;
+  private static final int MAX_ALTERNATIVES = 3;
   private static final long RETRY_AFTER_MILLIS = 1_000;
 
   private final EntrySettings settings;
@@ -40,7 +40,7 @@
   private final RetryBudget budget;
   private final SplittableRandom random;
   private final Tracing tracing;
-  private int inProgress;
+  private int callsInProgress;
   private boolean stopping;
 
   ServiceFrontEnd(
@@ -60,7 +60,7 @@
   }
 
   int size() {
-    return inProgress;
+    return callsInProgress;
   }
 
   void stop() {
@@ -68,15 +68,15 @@
   }
 
   /** Answers which addresses to use, and with operation ids if some were asked for. */
-  void address(EntryEvent.Address event, long nowMillis) {
-    if (event.operations() == 0) {
-      answerAddress(event.caller(), List.of());
+  void handleAddress(EntryEvent.Address event, long nowMillis) {
+    if (event.operationIdCount() == 0) {
+      sendAddresses(event.caller(), List.of());
       return;
     }
-    mint(
-        event.operations(),
+    requestOperationIds(
+        event.operationIdCount(),
         nowMillis,
-        minted -> answerAddress(event.caller(), minted),
+        minted -> sendAddresses(event.caller(), minted),
         () ->
             refuse(
                 event.caller(),
@@ -86,7 +86,7 @@
   }
 
   /** Makes a service call, or answers 428 with a fresh operation id. */
-  void call(EntryEvent.Service event, long nowMillis) {
+  void handleCall(EntryEvent.Service event, long nowMillis) {
     Optional<PlatformRecord.Service> record =
         view.records()
             .record("services/" + event.service())
@@ -110,26 +110,26 @@
             .setRemainingMs(timeout)
             .setTraceparent(tracing.traceparent(event.caller().span()));
     if (record.get().idempotentMethods().contains(event.method())) {
-      send(message.setIdempotent(true), event.caller(), anyOrder(), nowMillis);
+      send(message.setIdempotent(true), event.caller(), shuffledLiveHosts(), nowMillis);
     } else if (event.operationId().isEmpty()) {
-      demandOperationId(event.caller(), nowMillis);
+      requireOperationId(event.caller(), nowMillis);
     } else {
       sendOperation(message, event, nowMillis);
     }
   }
 
-  private void demandOperationId(CallerContext caller, long nowMillis) {
-    mint(
+  private void requireOperationId(CallerContext caller, long nowMillis) {
+    requestOperationIds(
         1,
         nowMillis,
         minted -> {
-          caller.reply().header(Headers.OPERATION, minted.get(0));
+          caller.reply().setHeader(Headers.OPERATION_ID, minted.get(0));
           refuse(
               caller,
               HttpStatus.PRECONDITION_REQUIRED_428,
               new NotRun(
                   "operation-id-required",
-                  "repeat the call with this answer's " + Headers.OPERATION + " header",
+                  "repeat the call with this answer's " + Headers.OPERATION_ID + " header",
                   1));
         },
         () ->
@@ -147,22 +147,22 @@
   private void sendOperation(
       ServiceCall.Builder message, EntryEvent.Service event, long nowMillis) {
     OperationId id = OperationId.parse(event.operationId()).orElseThrow();
-    event.caller().reply().header(Headers.OPERATION, id.toString());
+    event.caller().reply().setHeader(Headers.OPERATION_ID, id.toString());
     Optional<Host> owner = view.fleet().host(id.host());
     if (owner.isEmpty()) {
-      doubt(event.caller(), "operation-owner-gone", "the host that handed the id out is gone");
+      failMayHaveRun(event.caller(), "operation-owner-gone", "the host that handed the id out is gone");
       return;
     }
     message.setOperationId(id.toString());
-    inProgress++;
+    callsInProgress++;
     WireClient client = dispatchers.client(owner.get());
     client.call(
         Envelope.newBuilder().setService(message),
-        new OneAnswer(
+        new SingleAnswerListener(
             client,
-            answer -> answered(event.caller(), answer.getOutcome()),
+            answer -> complete(event.caller(), answer.getOutcome()),
             handedOn ->
-                doubt(
+                failMayHaveRun(
                     event.caller(),
                     "operation-owner-unreachable",
                     "repeat with the same operation id")));
@@ -170,7 +170,7 @@
 
   private void send(
       ServiceCall.Builder message, CallerContext caller, List<Host> hosts, long nowMillis) {
-    Optional<Host> host = dispatchers.bestOf(hosts, nowMillis);
+    Optional<Host> host = dispatchers.preferReachable(hosts, nowMillis);
     if (host.isEmpty()) {
       refuse(
           caller,
@@ -178,64 +178,64 @@
           new NotRun("no-dispatcher", "no dispatcher can be reached", RETRY_AFTER_MILLIS));
       return;
     }
-    inProgress++;
+    callsInProgress++;
     budget.firstAttempt();
     List<Host> others = hosts.stream().filter(h -> !h.id().equals(host.get().id())).toList();
     WireClient client = dispatchers.client(host.get());
     client.call(
         Envelope.newBuilder().setService(message),
-        new OneAnswer(
+        new SingleAnswerListener(
             client,
-            answer -> idempotentAnswered(message, caller, others, answer.getOutcome(), nowMillis),
+            answer -> handleIdempotentOutcome(message, caller, others, answer.getOutcome(), nowMillis),
             handedOn -> {
-              dispatchers.failed(host.get().id(), nowMillis);
-              retry(message, caller, others, nowMillis);
+              dispatchers.markUnreachable(host.get().id(), nowMillis);
+              retryOnAnotherHost(message, caller, others, nowMillis);
             }));
   }
 
-  private void idempotentAnswered(
+  private void handleIdempotentOutcome(
       ServiceCall.Builder message,
       CallerContext caller,
       List<Host> others,
       Outcome outcome,
       long nowMillis) {
     if (outcome.getComplete() || others.isEmpty() || !budget.tryRetry()) {
-      answered(caller, outcome);
+      complete(caller, outcome);
     } else {
-      inProgress--;
+      callsInProgress--;
       send(message, caller, others, nowMillis);
     }
   }
 
-  private void retry(
+  private void retryOnAnotherHost(
       ServiceCall.Builder message, CallerContext caller, List<Host> others, long nowMillis) {
-    inProgress--;
+    callsInProgress--;
     if (others.isEmpty() || !budget.tryRetry()) {
-      inProgress++;
-      doubt(caller, "dispatcher-lost", "the dispatcher's connection is gone");
+      callsInProgress++;
+      failMayHaveRun(caller, "dispatcher-lost", "the dispatcher's connection is gone");
     } else {
       send(message, caller, others, nowMillis);
     }
   }
 
-  private void answered(CallerContext caller, Outcome outcome) {
-    inProgress--;
+  private void complete(CallerContext caller, Outcome outcome) {
+    callsInProgress--;
     if (!outcome.getComplete()) {
-      caller.reply().failed(outcome);
+      caller.reply().sendFailure(outcome);
     } else {
-      caller.reply().verdict(RunVerdict.RAN);
-      caller.reply().header(Headers.RUNNER, outcome.getRunner());
-      outcome.getHeadersMap().forEach(caller.reply()::header);
-      caller.reply().bytes(outcome.getStatus(), outcome.getBody().toByteArray());
+      caller.reply().setVerdict(RunVerdict.RAN);
+      caller.reply().setHeader(Headers.RUNNER, outcome.getRunner());
+      outcome.getHeadersMap().forEach(caller.reply()::setHeader);
+      caller.reply().sendBytes(outcome.getStatus(), outcome.getBody().toByteArray());
     }
     endSpan(caller, outcome.getVerdict());
   }
 
-  private void doubt(CallerContext caller, String reason, String message) {
-    inProgress = Math.max(0, inProgress - 1);
+  private void failMayHaveRun(CallerContext caller, String reason, String message) {
+    callsInProgress = Math.max(0, callsInProgress - 1);
     caller
         .reply()
-        .failed(
+        .sendFailure(
             Outcome.newBuilder()
                 .setVerdict(RunVerdict.MAY_HAVE_RUN)
                 .setStatus(HttpStatus.BAD_GATEWAY_502)
@@ -245,12 +245,12 @@
     endSpan(caller, RunVerdict.MAY_HAVE_RUN);
   }
 
-  private void mint(
+  private void requestOperationIds(
       int count, long nowMillis, Consumer<List<String>> minted, Runnable unreachable) {
     // The dispatcher beside this entry first: the two are replaced together.
-    List<Host> hosts = new ArrayList<>(anyOrder());
-    hosts.sort((a, b) -> Boolean.compare(isHere(b), isHere(a)));
-    Optional<Host> host = dispatchers.bestOf(hosts, nowMillis);
+    List<Host> hosts = new ArrayList<>(shuffledLiveHosts());
+    hosts.sort((a, b) -> Boolean.compare(isLocal(b), isLocal(a)));
+    Optional<Host> host = dispatchers.preferReachable(hosts, nowMillis);
     if (host.isEmpty()) {
       unreachable.run();
       return;
@@ -258,21 +258,21 @@
     WireClient client = dispatchers.client(host.get());
     client.call(
         Envelope.newBuilder().setMint(MintCall.newBuilder().setCount(count)),
-        new OneAnswer(
+        new SingleAnswerListener(
             client,
-            answer -> minted.accept(ids(answer.getMinted())),
+            answer -> minted.accept(operationIds(answer.getMinted())),
             handedOn -> {
-              dispatchers.failed(host.get().id(), nowMillis);
+              dispatchers.markUnreachable(host.get().id(), nowMillis);
               unreachable.run();
             }));
   }
 
-  private void answerAddress(CallerContext caller, List<String> operationIds) {
+  private void sendAddresses(CallerContext caller, List<String> operationIds) {
     List<String> addresses =
-        anyOrder().stream()
-            .filter(host -> !(stopping && isHere(host)))
+        shuffledLiveHosts().stream()
+            .filter(host -> !(stopping && isLocal(host)))
             .map(host -> host.address() + ":" + host.entryPort())
-            .limit(1 + ALTERNATIVES)
+            .limit(1 + MAX_ALTERNATIVES)
             .toList();
     if (addresses.isEmpty()) {
       refuse(
@@ -286,13 +286,13 @@
     answer.put("alternatives", addresses.subList(1, addresses.size()));
     answer.put("keep_ms", settings.getAddressTtlMs());
     answer.put("operation_ids", operationIds);
-    caller.reply().verdict(RunVerdict.RAN);
-    caller.reply().json(HttpStatus.OK_200, answer);
+    caller.reply().setVerdict(RunVerdict.RAN);
+    caller.reply().sendJson(HttpStatus.OK_200, answer);
     endSpan(caller, RunVerdict.RAN);
   }
 
   /** Returns the live hosts in a random order, so that callers spread over them. */
-  private List<Host> anyOrder() {
+  private List<Host> shuffledLiveHosts() {
     List<Host> hosts = new ArrayList<>(view.fleet().liveHosts());
     for (int i = hosts.size() - 1; i > 0; i--) {
       int j = random.nextInt(i + 1);
@@ -303,12 +303,12 @@
     return hosts;
   }
 
-  private boolean isHere(Host host) {
+  private boolean isLocal(Host host) {
     return host.id().equals(settings.getHostId());
   }
 
   private void refuse(CallerContext caller, int status, NotRun refusal) {
-    caller.reply().notRun(status, refusal);
+    caller.reply().sendNotRun(status, refusal);
     endSpan(caller, RunVerdict.NOT_RUN);
   }
 
@@ -318,31 +318,31 @@
     span.end();
   }
 
-  private static List<String> ids(MintAnswer answer) {
+  private static List<String> operationIds(MintAnswer answer) {
     return answer.getOperationIdsList();
   }
 
   /** A call with one answer, handled on the duty's thread. */
-  private final class OneAnswer implements CallListener {
+  private final class SingleAnswerListener implements CallListener {
     private final WireClient client;
-    private final Consumer<Envelope> answered;
+    private final Consumer<Envelope> onAnswer;
     private final Consumer<Boolean> lost;
 
-    OneAnswer(WireClient client, Consumer<Envelope> answered, Consumer<Boolean> lost) {
+    SingleAnswerListener(WireClient client, Consumer<Envelope> answered, Consumer<Boolean> lost) {
       this.client = client;
-      this.answered = answered;
+      this.onAnswer = answered;
       this.lost = lost;
     }
 
     @Override
     public void message(Envelope message) {
       client.end(message.getCall());
-      events.accept(new EntryEvent.Then(() -> answered.accept(message)));
+      events.accept(new EntryEvent.CallCompleted(() -> onAnswer.accept(message)));
     }
 
     @Override
     public void lost(boolean handedOn) {
-      events.accept(new EntryEvent.Then(() -> lost.accept(handedOn)));
+      events.accept(new EntryEvent.CallCompleted(() -> lost.accept(handedOn)));
     }
   }
 }
