--- a/sequoia-entry/src/main/java/org/sequoiahub/entry/AnswerAssembler.java
+++ b/sequoia-entry/src/main/java/org/sequoiahub/entry/AnswerAssembler.java
@@ -10,7 +10,7 @@
 import java.util.TreeMap;
 import org.jspecify.annotations.Nullable;
 
-/** Puts the events of a streamed answer together into the answer of a plain call. */
+/** Assembles the events of a streamed answer into the answer to a non-streamed call. */
 final class AnswerAssembler {
 
   private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -25,9 +25,9 @@
   }
 
   /**
-   * Takes in one event.
+   * Adds the next event of the stream.
    *
-   * @throws IllegalArgumentException if it is not JSON
+   * @throws IllegalArgumentException if the event is not JSON
    */
   void add(byte[] event) {
     JsonNode node;
@@ -50,7 +50,7 @@
     }
   }
 
-  /** Returns the whole answer as JSON. */
+  /** Returns the assembled answer as JSON. */
   byte[] answer() {
     ObjectNode answer = MAPPER.createObjectNode();
     if (lastEvent != null) {
@@ -66,7 +66,7 @@
     try {
       return MAPPER.writeValueAsBytes(answer);
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("an assembled answer must be writable", e);
+      throw new IllegalStateException("cannot serialize the assembled answer as JSON", e);
     }
   }
 
--- a/sequoia-entry/src/main/java/org/sequoiahub/entry/AttemptListenerFactory.java
+++ b/sequoia-entry/src/main/java/org/sequoiahub/entry/AttemptListenerFactory.java
@@ -4,7 +4,7 @@
 import org.sequoiahub.schema.wire.Envelope;
 import org.sequoiahub.wire.CallListener;
 
-/** Turns what comes of dispatchers' connections into events of the duty. */
+/** Creates listeners that forward the messages of an attempt to the duty as events. */
 final class AttemptListenerFactory {
 
   private final Consumer<EntryEvent> events;
@@ -13,16 +13,16 @@
     this.events = events;
   }
 
-  CallListener createListener(long flight, int attempt) {
+  CallListener createListener(long requestNumber, int attempt) {
     return new CallListener() {
       @Override
       public void message(Envelope message) {
-        events.accept(new EntryEvent.MessageReceived(flight, attempt, message));
+        events.accept(new EntryEvent.MessageReceived(requestNumber, attempt, message));
       }
 
       @Override
       public void lost(boolean handedOn) {
-        events.accept(new EntryEvent.ConnectionLost(flight, attempt, handedOn));
+        events.accept(new EntryEvent.ConnectionLost(requestNumber, attempt, handedOn));
       }
     };
   }
--- a/sequoia-entry/src/main/java/org/sequoiahub/entry/CallerContext.java
+++ b/sequoia-entry/src/main/java/org/sequoiahub/entry/CallerContext.java
@@ -3,11 +3,11 @@
 import io.opentelemetry.api.trace.Span;
 
 /**
- * What every request of a caller carries.
+ * The context common to all requests of callers.
  *
- * @param requestId the id given to the request
- * @param timeoutMillis how long the caller waits
- * @param span the span of this hop
- * @param reply where the answer goes
+ * @param requestId the id assigned to the request
+ * @param timeoutMillis how long the caller waits, in milliseconds
+ * @param span the trace span of the request in this process
+ * @param reply receives the answer
  */
 record CallerContext(String requestId, long timeoutMillis, Span span, Reply reply) {}
--- a/sequoia-entry/src/main/java/org/sequoiahub/entry/DispatcherDirectory.java
+++ b/sequoia-entry/src/main/java/org/sequoiahub/entry/DispatcherDirectory.java
@@ -13,10 +13,10 @@
 import org.sequoiahub.wire.WireClients;
 
 /**
- * Where dispatchers are, and which were lately found unreachable.
+ * Provides clients for the dispatchers and tracks which of these were recently unreachable.
  *
- * <p>The host list lags by seconds. Without this memory every request for a dead dispatcher's
- * runners would first wait for a connection that cannot be made.
+ * <p>The host list lags by seconds. Without this record, every request for the runners of a dead
+ * dispatcher would first wait for a connection attempt to fail.
  */
 final class DispatcherDirectory {
 
@@ -29,6 +29,7 @@
     this.clients = clients;
   }
 
+  /** Discards the clients and records of hosts that are no longer in the fleet. */
   void updateFleet(Fleet fleet, Endpoint watcher) {
     Set<Endpoint> endpoints =
         fleet.hosts().stream().map(DispatcherDirectory::endpoint).collect(Collectors.toSet());
@@ -37,11 +38,12 @@
     avoidUntilMillis.keySet().removeIf(id -> fleet.host(id).isEmpty());
   }
 
+  /** Has the host's dispatcher avoided for the next {@value #AVOID_MILLIS} milliseconds. */
   void markUnreachable(String host, long nowMillis) {
     avoidUntilMillis.put(host, nowMillis + AVOID_MILLIS);
   }
 
-  /** Returns the first host that was not found unreachable lately, else the first. */
+  /** Returns the first host that was not recently unreachable, or else the first host. */
   Optional<Host> preferReachable(List<Host> hosts, long nowMillis) {
     return hosts.stream()
         .filter(host -> avoidUntilMillis.getOrDefault(host.id(), Long.MIN_VALUE) <= nowMillis)
--- a/sequoia-entry/src/main/java/org/sequoiahub/entry/Entry.java
+++ b/sequoia-entry/src/main/java/org/sequoiahub/entry/Entry.java
@@ -31,7 +31,7 @@
 import org.sequoiahub.wire.WireClients;
 import org.sequoiahub.wire.WireThreads;
 
-/** A running entry: its thread, ports and clients. */
+/** The entry process: accepts requests of callers over HTTP and routes them to dispatchers. */
 public final class Entry implements AutoCloseable {
 
   private static final int EVENT_QUEUE_CAPACITY = 65_536;
@@ -60,7 +60,7 @@
     this.clients = new WireClients(network, settings.getSilenceMs());
     this.tracing = Tracing.create(settings.getTraces(), settings.getOtlpEndpoint(), "entry", log);
     Inbox<EntryEvent> events = new Inbox<>();
-    EntryDuty state = createDuty(metrics, events);
+    EntryDuty entryDuty = createDuty(metrics, events);
     ViewFeed feed =
         new ViewFeed(
             clients.to(Endpoint.of(settings.getWatcher())),
@@ -71,12 +71,12 @@
             "entry",
             EVENT_QUEUE_CAPACITY,
             () -> TICK_INTERVAL_MILLIS,
-            state::handle,
+            entryDuty::handle,
             now -> {
               feed.tick(now);
-              state.tick(now);
+              entryDuty.tick(now);
             },
-            state::logFailure,
+            entryDuty::logFailure,
             MonotonicClock.SYSTEM);
     events.connectTo(duty);
     this.admin =
@@ -84,16 +84,16 @@
             settings.getBindAddress(),
             settings.getAdminPort(),
             metrics,
-            state::isReady,
-            state::status);
+            entryDuty::isReady,
+            entryDuty::status);
     QueuedThreadPool threads = new QueuedThreadPool(MAX_HTTP_THREADS, MIN_HTTP_THREADS);
     threads.setName("http");
     threads.setDaemon(true);
     this.server = new Server(threads);
     this.connector = connector();
     server.addConnector(connector);
-    // Each connection holds buffers. Without a limit a burst of callers fills the heap, and the
-    // process, and every stream through it, ends with an out-of-memory error.
+    // Each connection holds buffers. Without a limit, a burst of callers fills the heap, and an
+    // out-of-memory error ends the process and every stream through it.
     server.addBean(
         new NetworkConnectionLimit(CONNECTIONS_PER_REQUEST * settings.getMaxInFlight(), connector));
     server.setErrorHandler(new EntryErrorHandler());
@@ -115,7 +115,9 @@
     return entry;
   }
 
-  /** Stops admitting, finishes every request in progress, then stops. */
+  /**
+   * Refuses new requests, waits up to the shutdown grace period for those in progress, and stops.
+   */
   @Override
   public void close() throws Exception {
     CountDownLatch drained = new CountDownLatch(1);
@@ -140,7 +142,7 @@
     ServerConnector open = new ServerConnector(server, 1, 1, new HttpConnectionFactory(http));
     open.setHost(settings.getBindAddress());
     open.setPort(settings.getHttpPort());
-    // A queued request sends nothing for as long as it waits: that is no reason to cut it.
+    // The connection of a queued request is idle while it waits and must not be closed for that.
     open.setIdleTimeout(settings.getRequestTimeoutMs() + IDLE_GRACE_MILLIS);
     return open;
   }
@@ -153,7 +155,7 @@
         settings.getDeployment().equals("dhuwaan")
             ? RouteSettings.dhuwaan()
             : RouteSettings.ashcombe();
-    InFlightRequests flights =
+    InFlightRequests requests =
         new InFlightRequests(
             settings,
             view,
@@ -167,10 +169,10 @@
     ServiceFrontEnd services =
         new ServiceFrontEnd(settings, view, dispatchers, events, random.split(), tracing);
     return new EntryDuty(
-        settings, view, flights, services, dispatchers, MonotonicClock.SYSTEM, metrics, log);
+        settings, view, requests, services, dispatchers, MonotonicClock.SYSTEM, metrics, log);
   }
 
-  /** Returns a source of ids that are unique in the fleet. */
+  /** Creates a source of request ids that are unique in the fleet. */
   private Supplier<String> createRequestIdSource() {
     String incarnation = Long.toHexString(new SecureRandom().nextLong());
     AtomicLong last = new AtomicLong();
--- a/sequoia-entry/src/main/java/org/sequoiahub/entry/EntryDuty.java
+++ b/sequoia-entry/src/main/java/org/sequoiahub/entry/EntryDuty.java
@@ -13,7 +13,12 @@
 import org.sequoiahub.schema.settings.EntrySettings;
 import org.sequoiahub.wire.LocalView;
 
-/** Hands each event to the part that it is for; all state lives on one thread. */
+/**
+ * Dispatches the entry's events to their handlers.
+ *
+ * <p>All state is confined to the duty's thread, except the readiness and the status, which any
+ * thread may read.
+ */
 final class EntryDuty {
 
   private static final long STATUS_INTERVAL_MILLIS = 200;
@@ -35,7 +40,7 @@
   EntryDuty(
       EntrySettings settings,
       LocalView view,
-      InFlightRequests flights,
+      InFlightRequests requests,
       ServiceFrontEnd services,
       DispatcherDirectory dispatchers,
       MonotonicClock clock,
@@ -43,12 +48,12 @@
       EventLog log) {
     this.settings = settings;
     this.view = view;
-    this.requests = flights;
+    this.requests = requests;
     this.services = services;
     this.dispatchers = dispatchers;
     this.clock = clock;
     this.log = log;
-    metrics.register("requests.in_progress", (Gauge<Object>) flights::size);
+    metrics.register("requests.in_progress", (Gauge<Object>) requests::size);
   }
 
   boolean isReady() {
@@ -99,10 +104,10 @@
       nextStatusMillis = nowMillis + STATUS_INTERVAL_MILLIS;
       publishStatus();
     }
-    Runnable waiting = onDrained;
-    if (waiting != null && requests.size() == 0 && services.size() == 0) {
+    Runnable callback = onDrained;
+    if (callback != null && requests.size() == 0 && services.size() == 0) {
       onDrained = null;
-      waiting.run();
+      callback.run();
     }
   }
 
@@ -113,6 +118,7 @@
     ready = view.isCaughtUp() && !stopping;
   }
 
+  /** Returns whether a new request is admitted. If not, sends the refusal to the caller. */
   private boolean admits(CallerContext caller) {
     String reason = null;
     String message = "";
@@ -124,7 +130,9 @@
       message = "this host has not caught up with its peers; use another address";
     } else if (requests.size() >= settings.getMaxInFlight()) {
       reason = "overloaded";
-      message = "this host holds max_in_flight requests; use another address" + alternativeAddressHint();
+      message =
+          "this host has reached its limit of max_in_flight requests; use another address"
+              + alternativeAddressHint();
     }
     if (reason == null) {
       return true;
--- a/sequoia-entry/src/main/java/org/sequoiahub/entry/EntryErrorHandler.java
+++ b/sequoia-entry/src/main/java/org/sequoiahub/entry/EntryErrorHandler.java
@@ -9,8 +9,8 @@
 import org.sequoiahub.schema.wire.RunVerdict;
 
 /**
- * Answers what the HTTP server refuses by itself, such as headers that are too long, in the same
- * form as all other errors, so that these answers carry a verdict too.
+ * Formats the errors that the HTTP server raises itself, such as for headers that are too long, in
+ * the same way as all other errors, so that they carry a verdict too.
  */
 final class EntryErrorHandler implements Request.Handler {
 
@@ -19,7 +19,7 @@
     int status = response.getStatus();
     Reply reply = new Reply(response, callback);
     if (HttpStatus.isClientError(status)) {
-      // Refused while the request was still being read: no part of the system has seen it.
+      // The server refused the request while reading it, so it was never passed to a handler.
       reply.sendNotRun(status, new NotRun("bad-request", HttpStatus.getMessage(status), 0));
     } else {
       reply.sendFailure(
--- a/sequoia-entry/src/main/java/org/sequoiahub/entry/EntryHandler.java
+++ b/sequoia-entry/src/main/java/org/sequoiahub/entry/EntryHandler.java
@@ -24,7 +24,7 @@
 import org.sequoiahub.runtime.trace.Tracing;
 import org.sequoiahub.schema.settings.EntrySettings;
 
-/** Reads and checks callers' requests and hands them to the entry's duty. */
+/** Reads and validates callers' HTTP requests and submits them to the entry's duty. */
 final class EntryHandler extends Handler.Abstract {
 
   private static final Set<String> INFERENCE_PATHS =
@@ -78,7 +78,9 @@
   private void handleInference(Request request, Reply reply, String path) {
     if (!HttpMethod.POST.is(request.getMethod())) {
       reply.setHeader(HttpHeader.ALLOW.asString(), "POST");
-      reply.sendNotRun(HttpStatus.METHOD_NOT_ALLOWED_405, new NotRun("bad-method", "use POST", 0));
+      reply.sendNotRun(
+          HttpStatus.METHOD_NOT_ALLOWED_405,
+          new NotRun("bad-method", "the method must be POST", 0));
       return;
     }
     readRequest(
@@ -112,7 +114,7 @@
           HttpStatus.BAD_REQUEST_400,
           new NotRun(
               "bad-operation-id",
-              Headers.OPERATION_ID + ": must be an id that this system handed out",
+              Headers.OPERATION_ID + ": must be an operation id issued by this system",
               0));
       return;
     }
@@ -140,9 +142,9 @@
 
   private void handleAddress(Request request, Reply reply) {
     int operations = 0;
-    String asked = Request.extractQueryParameters(request).getValue("operations");
+    String parameter = Request.extractQueryParameters(request).getValue("operations");
     try {
-      operations = asked == null ? 0 : Integer.parseInt(asked);
+      operations = parameter == null ? 0 : Integer.parseInt(parameter);
     } catch (NumberFormatException e) {
       operations = -1;
     }
@@ -160,9 +162,12 @@
         (caller, bytes) -> submit(new EntryEvent.Address(count, caller), caller));
   }
 
-  /** Checks what every request carries, reads its body, and goes on with both. */
+  /**
+   * Validates the headers common to all requests, reads the body, and passes the context and the
+   * body on to {@code next}.
+   */
   private void readRequest(
-      Request request, Reply reply, String hop, BiConsumer<CallerContext, byte[]> next) {
+      Request request, Reply reply, String spanName, BiConsumer<CallerContext, byte[]> next) {
     String requestId = requestIds.get();
     reply.setHeader(Headers.REQUEST_ID, requestId);
     long timeout = timeoutMillis(request);
@@ -170,14 +175,16 @@
       reply.sendNotRun(
           HttpStatus.BAD_REQUEST_400,
           new NotRun(
-              "bad-timeout", Headers.TIMEOUT_MILLIS + ": must be a whole number of milliseconds", 0));
+              "bad-timeout",
+              Headers.TIMEOUT_MILLIS + ": must be a whole number of milliseconds",
+              0));
       return;
     }
     if (request.getLength() > settings.getMaxBodyBytes()) {
       refuseTooLongBody(reply);
       return;
     }
-    Span span = tracing.start(hop, SpanKind.SERVER, header(request, Headers.TRACEPARENT));
+    Span span = tracing.start(spanName, SpanKind.SERVER, header(request, Headers.TRACEPARENT));
     CallerContext caller = new CallerContext(requestId, timeout, span, reply);
     Content.Source.asByteArrayAsync(request, (int) settings.getMaxBodyBytes())
         .whenComplete(
@@ -198,7 +205,10 @@
           .reply()
           .sendNotRun(
               HttpStatus.SERVICE_UNAVAILABLE_503,
-              new NotRun("overloaded", "this host has too much to do", OVERLOAD_RETRY_MILLIS));
+              new NotRun(
+                  "overloaded",
+                  "this host's event queue is full; use another address or retry later",
+                  OVERLOAD_RETRY_MILLIS));
     }
   }
 
--- a/sequoia-entry/src/main/java/org/sequoiahub/entry/EntryMain.java
+++ b/sequoia-entry/src/main/java/org/sequoiahub/entry/EntryMain.java
@@ -3,7 +3,7 @@
 import org.sequoiahub.runtime.process.ProcessMain;
 import org.sequoiahub.schema.settings.EntrySettings;
 
-/** The binary {@code sequoia-entry}. */
+/** The main class of the {@code sequoia-entry} process. */
 public final class EntryMain {
 
   private EntryMain() {}
--- a/sequoia-entry/src/main/java/org/sequoiahub/entry/Headers.java
+++ b/sequoia-entry/src/main/java/org/sequoiahub/entry/Headers.java
@@ -1,6 +1,6 @@
 package org.sequoiahub.entry;
 
-/** The HTTP headers that callers send and get beside the standard ones. */
+/** The names of the HTTP headers exchanged with callers in addition to the standard ones. */
 final class Headers {
 
   /** Answer: {@code ran}, {@code not-run} or {@code may-have-run}. */
@@ -18,10 +18,10 @@
   /** Request: how long the caller waits, in milliseconds. */
   static final String TIMEOUT_MILLIS = "Sequoia-Timeout-Ms";
 
-  /** Answer: when to come back, in milliseconds; more exact than Retry-After. */
+  /** Answer: the delay before a retry, in milliseconds; more precise than Retry-After. */
   static final String RETRY_AFTER_MILLIS = "Sequoia-Retry-After-Ms";
 
-  /** Answer: the request's id, for support. */
+  /** Answer: the request's id, to be quoted in support requests. */
   static final String REQUEST_ID = "X-Request-Id";
 
   /** Request: the W3C trace context. */
--- a/sequoia-entry/src/main/java/org/sequoiahub/entry/InFlightRequests.java
+++ b/sequoia-entry/src/main/java/org/sequoiahub/entry/InFlightRequests.java
@@ -42,7 +42,7 @@
 import org.sequoiahub.wire.LocalView;
 import org.sequoiahub.wire.WireClient;
 
-/** The inference requests in progress at this entry. */
+/** Routes inference requests to runners and tracks those in progress at this entry. */
 final class InFlightRequests {
 
   private static final int MAX_OWNERS_TRIED = 3;
@@ -76,7 +76,7 @@
       EntrySettings settings,
       LocalView view,
       DispatcherDirectory dispatchers,
-      AttemptListenerFactory events,
+      AttemptListenerFactory listeners,
       RouteSettings routing,
       SplittableRandom random,
       Tracing tracing,
@@ -84,7 +84,7 @@
       EventLog log) {
     this.view = view;
     this.dispatchers = dispatchers;
-    this.listeners = events;
+    this.listeners = listeners;
     this.routing = routing;
     this.chooser = new RunnerChooser(routing);
     this.budget = new RetryBudget(settings.getRetryBudgetPercent() / 100.0);
@@ -112,7 +112,7 @@
       return;
     }
     Resolved resolved = (Resolved) resolution;
-    InferenceRequest flight =
+    InferenceRequest request =
         new InferenceRequest(
             ++lastRequestNumber,
             event.caller(),
@@ -120,112 +120,123 @@
             resolved,
             event.body(),
             nowMillis + event.caller().timeoutMillis());
-    requests.put(flight.number(), flight);
-    event.caller().span().setAttribute("adapter", flight.adapter().exactName());
-    event.caller().reply().setHeader(Headers.ADAPTER, flight.adapter().exactName());
+    requests.put(request.number(), request);
+    event.caller().span().setAttribute("adapter", request.adapter().exactName());
+    event.caller().reply().setHeader(Headers.ADAPTER, request.adapter().exactName());
     budget.firstAttempt();
-    startRun(flight);
+    startRun(request);
   }
 
   void handleMessage(EntryEvent.MessageReceived event) {
-    InferenceRequest flight = requests.get(event.requestNumber());
-    if (flight == null || flight.attempt() != event.attempt()) {
+    InferenceRequest request = requests.get(event.requestNumber());
+    if (request == null || request.attempt() != event.attempt()) {
       return;
     }
     Envelope message = event.message();
     switch (message.getBodyCase()) {
       case CHUNK -> {
-        if (flight.deliveredChunks() == 0 && message.getChunk().getSequence() == 1) {
-          long waited = nowMillis - (flight.deadlineMillis() - flight.caller().timeoutMillis());
-          firstChunkTimer.update(waited, TimeUnit.MILLISECONDS);
-          setAnswerHeaders(flight);
+        if (request.deliveredChunks() == 0 && message.getChunk().getSequence() == 1) {
+          long elapsedMillis =
+              nowMillis - (request.deadlineMillis() - request.caller().timeoutMillis());
+          firstChunkTimer.update(elapsedMillis, TimeUnit.MILLISECONDS);
+          setAnswerHeaders(request);
         }
         byte[] data = message.getChunk().getData().toByteArray();
-        if (!flight.acceptChunk(message.getChunk().getSequence(), data)) {
-          abandon(flight);
+        if (!request.acceptChunk(message.getChunk().getSequence(), data)) {
+          abandon(request);
         }
       }
-      case ADMITTED -> handleAdmitted(flight, message.getAdmitted());
-      case STARTED -> flight.started();
-      case OUTCOME -> handleOutcome(flight, message.getOutcome());
+      case ADMITTED -> handleAdmitted(request, message.getAdmitted());
+      case STARTED -> request.markStarted();
+      case OUTCOME -> handleOutcome(request, message.getOutcome());
       default -> log.warning("unexpected-message", "kind", message.getBodyCase());
     }
   }
 
+  /**
+   * Handles the loss of the connection to a dispatcher. A call that was never written is sent to
+   * another dispatcher, a started run is resumed, and any other run is retried.
+   */
   void connectionLost(EntryEvent.ConnectionLost event) {
-    InferenceRequest flight = requests.get(event.requestNumber());
-    if (flight == null || flight.attempt() != event.attempt()) {
+    InferenceRequest request = requests.get(event.requestNumber());
+    if (request == null || request.attempt() != event.attempt()) {
       return;
     }
-    String host = flight.host();
+    String host = request.host();
     if (host != null) {
       dispatchers.markUnreachable(host, nowMillis);
-      flight.excludedHosts().add(host);
+      request.excludedHosts().add(host);
     }
     if (!event.handedOn()) {
-      sendToDispatcher(flight, flight.isStarted());
-    } else if (flight.isStarted()) {
-      resume(flight, "the dispatcher's connection is gone");
+      sendToDispatcher(request, request.isStarted());
+    } else if (request.isStarted()) {
+      resume(request, "the connection to the dispatcher was lost");
     } else {
-      // It may still be queued there, and start after we look elsewhere.
-      flight.combineVerdict(new MayHaveRun("dispatcher-lost", "the dispatcher's connection is gone"));
-      retryRun(flight, "dispatcher-lost");
+      // The request may still be queued there and start after it is sent to another runner.
+      request.combineVerdict(
+          new MayHaveRun("dispatcher-lost", "the connection to the dispatcher was lost"));
+      retryRun(request, "dispatcher-lost");
     }
   }
 
+  /** Abandons requests whose caller is gone, and cancels and fails those past their deadline. */
   void tick() {
-    for (InferenceRequest flight : List.copyOf(requests.values())) {
-      if (flight.caller().reply().isBroken()) {
-        abandon(flight);
-      } else if (nowMillis >= flight.deadlineMillis() + CANCEL_CONFIRM_MILLIS) {
-        cancel(flight);
+    for (InferenceRequest request : List.copyOf(requests.values())) {
+      if (request.caller().reply().isBroken()) {
+        abandon(request);
+      } else if (nowMillis >= request.deadlineMillis() + CANCEL_CONFIRM_MILLIS) {
+        cancel(request);
         finish(
-            flight,
-            flight.combineVerdict(new MayHaveRun("deadline-passed", "the deadline passed")),
+            request,
+            request.combineVerdict(
+                new MayHaveRun(
+                    "deadline-passed", "the deadline passed before the request completed")),
             HttpStatus.GATEWAY_TIMEOUT_504);
-      } else if (nowMillis >= flight.deadlineMillis()) {
-        requestCancel(flight);
+      } else if (nowMillis >= request.deadlineMillis()) {
+        requestCancel(request);
       }
     }
   }
 
-  private void startRun(InferenceRequest flight) {
+  /** Chooses a runner and sends it the request, or fails the request if there is none. */
+  private void startRun(InferenceRequest request) {
     Fleet fleet = view.fleet();
-    List<Runner> pool = fleet.livePool(flight.resolved().record().baseModel());
-    // A limited adapter's requests all meet at one runner, where its limit is counted.
-    boolean limited = flight.resolved().record().maxInFlight() > 0;
+    List<Runner> pool = fleet.livePool(request.resolved().record().baseModel());
+    // All requests for an adapter with a limit go to one runner, which enforces the limit.
+    boolean limited = request.resolved().record().maxInFlight() > 0;
     int count =
-        limited ? 1 : Math.min(routing.candidates(), flight.resolved().record().maxReplicas());
+        limited ? 1 : Math.min(routing.candidates(), request.resolved().record().maxReplicas());
     List<Runner> candidates =
-        Placement.candidates(flight.adapter(), limited ? pool : activeRunners(flight, pool), count);
+        Placement.candidates(
+            request.adapter(), limited ? pool : activeRunners(request, pool), count);
     Optional<Runner> chosen =
-        chooser.choose(flight.adapter(), candidates, flight.excludedRunners(), hints, nowMillis);
+        chooser.choose(request.adapter(), candidates, request.excludedRunners(), hints, nowMillis);
     if (chosen.isEmpty()) {
       String message =
           pool.isEmpty()
-              ? "no live runner serves base model '" + flight.resolved().record().baseModel() + "'"
-              : "every candidate runner refused; repeat later";
+              ? "no live runner serves base model '" + request.resolved().record().baseModel() + "'"
+              : "every candidate runner refused the request; retry later";
       finish(
-          flight,
-          flight.combineVerdict(new NotRun("no-runner", message, RETRY_AFTER_MILLIS)),
+          request,
+          request.combineVerdict(new NotRun("no-runner", message, RETRY_AFTER_MILLIS)),
           HttpStatus.SERVICE_UNAVAILABLE_503);
       return;
     }
-    flight.beginRun(chosen.get());
-    sendToDispatcher(flight, false);
+    request.beginRun(chosen.get());
+    sendToDispatcher(request, false);
   }
 
-  private List<Runner> activeRunners(InferenceRequest flight, List<Runner> pool) {
-    String baseModel = flight.resolved().record().baseModel();
+  private List<Runner> activeRunners(InferenceRequest request, List<Runner> pool) {
+    String baseModel = request.resolved().record().baseModel();
     double inFlight = (double) hints.inFlight(pool) * view.fleet().liveHosts().size();
     return activePools
         .computeIfAbsent(baseModel, model -> new ActivePool(routing.leastShare()))
         .active(baseModel, pool, inFlight, nowMillis);
   }
 
-  /** Hands the run to a dispatcher: the runner's owner first, then those that may claim it. */
-  private void sendToDispatcher(InferenceRequest flight, boolean resume) {
-    Runner runner = flight.runner();
+  /** Sends the run to the dispatcher of the runner's owner, or else of a host that may claim it. */
+  private void sendToDispatcher(InferenceRequest request, boolean resume) {
+    Runner runner = request.runner();
     if (runner == null) {
       return;
     }
@@ -233,206 +244,218 @@
         new ArrayList<>(
             Placement.ownersInOrder(runner.id(), view.fleet().liveHosts(), MAX_OWNERS_TRIED));
     Host first = owners.isEmpty() ? null : owners.get(0);
-    owners.removeIf(host -> flight.excludedHosts().contains(host.id()));
+    owners.removeIf(host -> request.excludedHosts().contains(host.id()));
     Optional<Host> host = dispatchers.preferReachable(owners, nowMillis);
     if (host.isEmpty()) {
       finish(
-          flight,
-          flight.combineVerdict(
-              new NotRun("no-dispatcher", "no dispatcher can be reached", RETRY_AFTER_MILLIS)),
+          request,
+          request.combineVerdict(
+              new NotRun(
+                  "no-dispatcher",
+                  "no dispatcher can be reached; retry later",
+                  RETRY_AFTER_MILLIS)),
           HttpStatus.SERVICE_UNAVAILABLE_503);
       return;
     }
     boolean fallback = first != null && !host.get().id().equals(first.id());
-    int attempt = flight.beginAttempt(host.get().id());
+    int attempt = request.beginAttempt(host.get().id());
     InferenceCall.Builder message =
-        flight
+        request
             .newInferenceCall(
-                Math.max(1, flight.deadlineMillis() - nowMillis),
+                Math.max(1, request.deadlineMillis() - nowMillis),
                 fallback,
-                tracing.traceparent(flight.caller().span()))
+                tracing.traceparent(request.caller().span()))
             .setResume(resume);
     if (resume) {
-      message.setResumeAfter(flight.deliveredChunks());
+      message.setResumeAfter(request.deliveredChunks());
     } else {
-      message.setBody(ByteString.copyFrom(flight.engineBody()));
+      message.setBody(ByteString.copyFrom(request.engineBody()));
       hints.sent(runner.id());
     }
     WireClient client = dispatchers.client(host.get());
-    flight.setCall(client, 0);
+    request.setCall(client, 0);
     long call =
         client.call(
-            Envelope.newBuilder().setInference(message), listeners.createListener(flight.number(), attempt));
-    if (flight.attempt() == attempt) {
-      flight.setCall(client, call);
+            Envelope.newBuilder().setInference(message),
+            listeners.createListener(request.number(), attempt));
+    if (request.attempt() == attempt) {
+      request.setCall(client, call);
     }
   }
 
-  private void handleAdmitted(InferenceRequest flight, Admitted admitted) {
+  private void handleAdmitted(InferenceRequest request, Admitted admitted) {
     hints.heard(
         admitted.getRunner(),
-        flight.adapter(),
+        request.adapter(),
         admitted.getExpectedWaitMs(),
         admitted.getResident(),
         nowMillis);
   }
 
-  private void handleOutcome(InferenceRequest flight, Outcome outcome) {
-    flight.endCall();
-    Runner runner = flight.runner();
+  private void handleOutcome(InferenceRequest request, Outcome outcome) {
+    request.endCall();
+    Runner runner = request.runner();
     if (runner != null) {
       hints.ended(runner.id());
       boolean resident = outcome.getComplete() || outcome.getResident();
-      hints.heard(runner.id(), flight.adapter(), outcome.getExpectedWaitMs(), resident, nowMillis);
+      hints.heard(runner.id(), request.adapter(), outcome.getExpectedWaitMs(), resident, nowMillis);
     }
     if (outcome.getComplete()) {
-      complete(flight, outcome);
+      complete(request, outcome);
     } else if (outcome.getVerdict() == RunVerdict.NOT_RUN) {
-      handleRefusal(flight, outcome);
+      handleRefusal(request, outcome);
     } else {
-      handleIncompleteAnswer(flight, outcome);
+      handleIncompleteAnswer(request, outcome);
     }
   }
 
-  private void complete(InferenceRequest flight, Outcome outcome) {
-    if (!flight.acceptEnd(outcome.getChunks())) {
-      resume(flight, "chunks are missing");
+  private void complete(InferenceRequest request, Outcome outcome) {
+    if (!request.acceptEnd(outcome.getChunks())) {
+      resume(request, "chunks are missing before the end marker");
       return;
     }
-    requests.remove(flight.number());
-    setAnswerHeaders(flight);
-    flight.completeAnswer();
-    endSpan(flight, RunVerdict.RAN, true);
+    requests.remove(request.number());
+    setAnswerHeaders(request);
+    request.completeAnswer();
+    endSpan(request, RunVerdict.RAN, true);
   }
 
-  private void handleRefusal(InferenceRequest flight, Outcome outcome) {
+  private void handleRefusal(InferenceRequest request, Outcome outcome) {
     NotRun refusal =
         new NotRun(outcome.getReason(), outcome.getMessage(), outcome.getRetryAfterMs());
-    Verdict combined = flight.combineVerdict(refusal);
-    String host = flight.host();
-    Runner runner = flight.runner();
+    Verdict combined = request.combineVerdict(refusal);
+    String host = request.host();
+    Runner runner = request.runner();
     if (HOST_REFUSAL_REASONS.contains(outcome.getReason()) && host != null) {
-      flight.excludedHosts().add(host);
-      sendToDispatcher(flight, false);
+      request.excludedHosts().add(host);
+      sendToDispatcher(request, false);
     } else if (RUNNER_REFUSAL_REASONS.contains(outcome.getReason())
         && runner != null
         && budget.tryRetry()) {
       retryCounter.inc();
-      flight.excludedRunners().add(runner.id());
-      startRun(flight);
+      request.excludedRunners().add(runner.id());
+      startRun(request);
     } else {
-      finish(flight, combined, outcome.getStatus());
+      finish(request, combined, outcome.getStatus());
     }
   }
 
-  private void handleIncompleteAnswer(InferenceRequest flight, Outcome outcome) {
+  private void handleIncompleteAnswer(InferenceRequest request, Outcome outcome) {
     boolean ran = outcome.getVerdict() == RunVerdict.RAN;
     Verdict verdict = ran ? new Ran() : new MayHaveRun(outcome.getReason(), outcome.getMessage());
-    flight.combineVerdict(verdict);
+    request.combineVerdict(verdict);
     log.info(
         "answer-broken",
         "request",
-        flight.caller().requestId(),
+        request.caller().requestId(),
         "reason",
         outcome.getReason(),
         "delivered",
-        flight.deliveredChunks());
-    if (flight.deliveredChunks() == 0) {
-      retryRun(flight, outcome.getReason());
+        request.deliveredChunks());
+    if (request.deliveredChunks() == 0) {
+      retryRun(request, outcome.getReason());
     } else {
-      finishIncomplete(flight, outcome);
+      finishIncomplete(request, outcome);
     }
   }
 
   /**
-   * Runs the request again from the start. Nothing of an answer has reached the caller, and an
-   * inference changes nothing outside the engine, so a second run can do no harm.
+   * Runs the request again from the start. This is safe because no part of the answer has reached
+   * the caller, and an inference has no effects outside the engine.
    */
-  private void retryRun(InferenceRequest flight, String reason) {
-    boolean late = nowMillis >= flight.deadlineMillis();
-    if (flight.deliveredChunks() > 0 || late || !budget.tryRetry()) {
-      Verdict verdict = flight.combineVerdict(new MayHaveRun(reason, "the request was lost; repeat it"));
-      finish(flight, verdict, HttpStatus.BAD_GATEWAY_502);
+  private void retryRun(InferenceRequest request, String reason) {
+    boolean deadlinePassed = nowMillis >= request.deadlineMillis();
+    if (request.deliveredChunks() > 0 || deadlinePassed || !budget.tryRetry()) {
+      Verdict verdict =
+          request.combineVerdict(
+              new MayHaveRun(reason, "the request was lost before it completed; repeat it"));
+      finish(request, verdict, HttpStatus.BAD_GATEWAY_502);
       return;
     }
     retryCounter.inc();
-    flight.endCall();
-    startRun(flight);
+    request.endCall();
+    startRun(request);
   }
 
-  private void resume(InferenceRequest flight, String reason) {
-    flight.incrementResumes();
-    if (flight.resumes() > MAX_RESUMES || nowMillis >= flight.deadlineMillis()) {
-      Verdict verdict = flight.combineVerdict(new MayHaveRun("stream-lost", reason));
-      finish(flight, verdict, HttpStatus.BAD_GATEWAY_502);
+  /** Resumes the run's stream after the chunks delivered so far. */
+  private void resume(InferenceRequest request, String reason) {
+    request.incrementResumes();
+    if (request.resumes() > MAX_RESUMES || nowMillis >= request.deadlineMillis()) {
+      Verdict verdict = request.combineVerdict(new MayHaveRun("stream-lost", reason));
+      finish(request, verdict, HttpStatus.BAD_GATEWAY_502);
       return;
     }
     resumeCounter.inc();
     log.info(
         "answer-resumed",
         "request",
-        flight.caller().requestId(),
+        request.caller().requestId(),
         "after",
-        flight.deliveredChunks(),
+        request.deliveredChunks(),
         "reason",
         reason);
-    sendToDispatcher(flight, true);
+    sendToDispatcher(request, true);
   }
 
-  private void abandon(InferenceRequest flight) {
-    cancel(flight);
-    requests.remove(flight.number());
-    endSpan(flight, RunVerdict.MAY_HAVE_RUN, false);
+  /** Cancels a request whose caller is gone. */
+  private void abandon(InferenceRequest request) {
+    cancel(request);
+    requests.remove(request.number());
+    endSpan(request, RunVerdict.MAY_HAVE_RUN, false);
   }
 
   /**
-   * Asks the dispatcher to cancel, and leaves it a moment to say what became of the request. Only
-   * the dispatcher can tell that it was still queued; without its word a caller whose deadline
-   * passed would have to be told that the request may have run.
+   * Requests the dispatcher to cancel the request but does not end the call, so that the dispatcher
+   * can still report the outcome. Only the dispatcher knows whether the request was still queued;
+   * without its report, a caller whose deadline passed would receive {@code MAY_HAVE_RUN}.
    */
-  private void requestCancel(InferenceRequest flight) {
-    WireClient client = flight.client();
-    if (client != null && flight.markCancelRequested()) {
-      client.send(flight.callNumber(), Envelope.newBuilder().setCancel(Cancel.getDefaultInstance()));
+  private void requestCancel(InferenceRequest request) {
+    WireClient client = request.client();
+    if (client != null && request.markCancelRequested()) {
+      client.send(
+          request.callNumber(), Envelope.newBuilder().setCancel(Cancel.getDefaultInstance()));
     }
   }
 
-  private void cancel(InferenceRequest flight) {
-    requestCancel(flight);
-    Runner runner = flight.runner();
+  private void cancel(InferenceRequest request) {
+    requestCancel(request);
+    Runner runner = request.runner();
     if (runner != null) {
       hints.ended(runner.id());
     }
-    flight.endCall();
+    request.endCall();
   }
 
-  private void finishIncomplete(InferenceRequest flight, Outcome outcome) {
-    requests.remove(flight.number());
-    flight.endCall();
-    flight.caller().reply().sendFailure(outcome);
-    endSpan(flight, outcome.getVerdict(), false);
+  private void finishIncomplete(InferenceRequest request, Outcome outcome) {
+    requests.remove(request.number());
+    request.endCall();
+    request.caller().reply().sendFailure(outcome);
+    endSpan(request, outcome.getVerdict(), false);
   }
 
-  private void finish(InferenceRequest flight, Verdict verdict, int status) {
-    requests.remove(flight.number());
-    flight.endCall();
-    Reply reply = flight.caller().reply();
-    RunVerdict told =
+  private void finish(InferenceRequest request, Verdict verdict, int status) {
+    requests.remove(request.number());
+    request.endCall();
+    Reply reply = request.caller().reply();
+    RunVerdict reported =
         verdict.fold(
             notRun -> {
               reply.sendNotRun(status, notRun);
               return RunVerdict.NOT_RUN;
             },
             ran -> {
-              reply.sendFailure(failureOutcome(RunVerdict.RAN, "not-whole", "the answer is not whole"));
+              reply.sendFailure(
+                  failureOutcome(RunVerdict.RAN, "not-whole", "the answer is incomplete"));
               return RunVerdict.RAN;
             },
-            doubt -> {
-              Outcome outcome = failureOutcome(RunVerdict.MAY_HAVE_RUN, doubt.reason(), doubt.message());
+            mayHaveRun -> {
+              Outcome outcome =
+                  failureOutcome(
+                      RunVerdict.MAY_HAVE_RUN, mayHaveRun.reason(), mayHaveRun.message());
               reply.sendFailure(outcome.toBuilder().setStatus(status).build());
               return RunVerdict.MAY_HAVE_RUN;
             });
-    endSpan(flight, told, false);
+    endSpan(request, reported, false);
   }
 
   private void refuse(CallerContext caller, int status, NotRun verdict) {
@@ -441,21 +464,21 @@
     caller.reply().sendNotRun(status, verdict);
   }
 
-  private void setAnswerHeaders(InferenceRequest flight) {
-    Runner runner = flight.runner();
-    flight.caller().reply().setVerdict(RunVerdict.RAN);
-    flight.caller().reply().setHeader(Headers.RUNNER, runner == null ? "" : runner.id());
+  private void setAnswerHeaders(InferenceRequest request) {
+    Runner runner = request.runner();
+    request.caller().reply().setVerdict(RunVerdict.RAN);
+    request.caller().reply().setHeader(Headers.RUNNER, runner == null ? "" : runner.id());
   }
 
-  private void endSpan(InferenceRequest flight, RunVerdict verdict, boolean whole) {
-    Runner runner = flight.runner();
-    flight
+  private void endSpan(InferenceRequest request, RunVerdict verdict, boolean successful) {
+    Runner runner = request.runner();
+    request
         .caller()
         .span()
         .setAttribute("verdict", verdict.name())
         .setAttribute("runner", runner == null ? "" : runner.id())
-        .setStatus(whole ? StatusCode.OK : StatusCode.ERROR);
-    flight.caller().span().end();
+        .setStatus(successful ? StatusCode.OK : StatusCode.ERROR);
+    request.caller().span().end();
   }
 
   private static Outcome failureOutcome(RunVerdict verdict, String reason, String message) {
--- a/sequoia-entry/src/main/java/org/sequoiahub/entry/InferenceBody.java
+++ b/sequoia-entry/src/main/java/org/sequoiahub/entry/InferenceBody.java
@@ -9,7 +9,7 @@
 import java.io.IOException;
 import org.sequoiahub.core.record.AdapterVersion;
 
-/** The body of an inference request. */
+/** The validated JSON body of an inference request. */
 final class InferenceBody {
 
   private static final ObjectMapper MAPPER =
@@ -26,9 +26,9 @@
   }
 
   /**
-   * Reads a body.
+   * Parses and validates a body.
    *
-   * @throws IllegalArgumentException if it is not valid; the message names the field
+   * @throws IllegalArgumentException if the body is invalid; the message names the field
    */
   static InferenceBody parse(byte[] bytes) {
     JsonNode node;
@@ -44,7 +44,8 @@
     }
     JsonNode model = object.path("model");
     if (!model.isTextual() || model.textValue().isEmpty()) {
-      throw new IllegalArgumentException("model: must be a text, adapter or adapter@version");
+      throw new IllegalArgumentException(
+          "model: must be a string of the form adapter or adapter@version");
     }
     JsonNode stream = object.path("stream");
     if (!stream.isMissingNode() && !stream.isBoolean()) {
@@ -65,7 +66,7 @@
     return stream;
   }
 
-  /** Returns the body for the engine: with the exact name, and streamed. */
+  /** Returns the body for the engine, with the adapter's exact name and streaming enabled. */
   byte[] forEngine(AdapterVersion adapter) {
     ObjectNode copy = json.deepCopy();
     copy.put("model", adapter.exactName());
@@ -73,7 +74,7 @@
     try {
       return MAPPER.writeValueAsBytes(copy);
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("a parsed body must be writable", e);
+      throw new IllegalStateException("cannot serialize the parsed request body as JSON", e);
     }
   }
 }
--- a/sequoia-entry/src/main/java/org/sequoiahub/entry/InferenceRequest.java
+++ b/sequoia-entry/src/main/java/org/sequoiahub/entry/InferenceRequest.java
@@ -13,7 +13,12 @@
 import org.sequoiahub.schema.wire.InferenceCall;
 import org.sequoiahub.wire.WireClient;
 
-/** One inference request of a caller, across all its attempts. */
+/**
+ * The state of one inference request of a caller, across all its runs and attempts.
+ *
+ * <p>A run assigns the request to a runner; an attempt sends a run to a dispatcher. A run may take
+ * several attempts, and a request several runs.
+ */
 final class InferenceRequest {
 
   private static final int MAX_CHUNKS_AHEAD = 1_024;
@@ -93,11 +98,12 @@
     return host;
   }
 
+  /** Returns whether the runner has started the current run. */
   boolean isStarted() {
     return started;
   }
 
-  void started() {
+  void markStarted() {
     started = true;
   }
 
@@ -113,7 +119,7 @@
     return excludedHosts;
   }
 
-  /** Begins a run on a runner; a new run's chunks are numbered from 1 again. */
+  /** Begins a run on the given runner. The chunks of a new run are numbered from 1 again. */
   void beginRun(Runner chosen) {
     runner = chosen;
     runs++;
@@ -122,9 +128,9 @@
     excludedHosts.clear();
   }
 
-  /** Begins an attempt to reach the run through a dispatcher and returns the attempt's number. */
-  int beginAttempt(String throughHost) {
-    host = throughHost;
+  /** Begins an attempt through the dispatcher on the given host and returns its number. */
+  int beginAttempt(String dispatcherHost) {
+    host = dispatcherHost;
     return ++attempt;
   }
 
@@ -132,19 +138,19 @@
     resumes++;
   }
 
-  void setCall(WireClient through, long number) {
-    client = through;
-    callNumber = number;
+  void setCall(WireClient newClient, long newCallNumber) {
+    client = newClient;
+    callNumber = newCallNumber;
   }
 
-  /** Returns true the first time only: one cancel is enough. */
+  /** Returns true on the first invocation only, so that a call is cancelled at most once. */
   boolean markCancelRequested() {
     boolean first = !cancelRequested;
     cancelRequested = true;
     return first;
   }
 
-  /** Ends the present call: nothing more is wanted of it. */
+  /** Ends the current call to the dispatcher, if any; its later messages are ignored. */
   void endCall() {
     if (client != null) {
       client.end(callNumber);
@@ -160,7 +166,8 @@
     return callNumber;
   }
 
-  InferenceCall.Builder newInferenceCall(long remainingMillis, boolean fallback, String traceparent) {
+  InferenceCall.Builder newInferenceCall(
+      long remainingMillis, boolean fallback, String traceparent) {
     return InferenceCall.newBuilder()
         .setRequestId(caller.requestId() + "." + runs)
         .setAdapter(adapter().adapter())
@@ -179,26 +186,35 @@
     return engineBody;
   }
 
-  /** Takes in a chunk and passes on what is in order; false if the caller is gone. */
+  /**
+   * Accepts a chunk and passes all chunks that are now in order on to the caller.
+   *
+   * @return false if the caller is gone or reads too slowly
+   */
   boolean acceptChunk(long sequence, byte[] data) {
     List<byte[]> ready = sequencer.accept(sequence, data);
-    for (byte[] piece : ready) {
+    for (byte[] next : ready) {
       if (!streamed) {
-        assembler.add(piece);
-      } else if (!caller.reply().sendEvent(piece)) {
+        assembler.add(next);
+      } else if (!caller.reply().sendEvent(next)) {
         return false;
       }
     }
     return !caller.reply().isBroken();
   }
 
-  /** Takes in the end marker; returns whether the answer is whole. */
+  /**
+   * Accepts the end marker.
+   *
+   * @param chunks the number of chunks in the whole answer
+   * @return whether the answer is complete
+   */
   boolean acceptEnd(long chunks) {
     sequencer.end(chunks);
     return sequencer.isWhole();
   }
 
-  /** Passes the end of a whole answer on. */
+  /** Completes the caller's answer, all chunks of which must have been accepted. */
   void completeAnswer() {
     if (streamed) {
       caller.reply().completeEvents();
@@ -207,9 +223,9 @@
     }
   }
 
-  /** Adds what an attempt's end says about whether the request ran, and returns the sum. */
-  Verdict combineVerdict(Verdict ofAttempt) {
-    Verdict combined = verdict == null ? ofAttempt : verdict.combinedWith(ofAttempt);
+  /** Combines an attempt's verdict with those of earlier attempts and returns the result. */
+  Verdict combineVerdict(Verdict attemptVerdict) {
+    Verdict combined = verdict == null ? attemptVerdict : verdict.combinedWith(attemptVerdict);
     verdict = combined;
     return combined;
   }
--- a/sequoia-entry/src/main/java/org/sequoiahub/entry/Reply.java
+++ b/sequoia-entry/src/main/java/org/sequoiahub/entry/Reply.java
@@ -17,9 +17,9 @@
 import org.sequoiahub.schema.wire.RunVerdict;
 
 /**
- * Writes one answer to one caller, a piece at a time.
+ * Writes the answer to one request of a caller, whole or as a stream of events.
  *
- * <p>May be used by any thread; the pieces go out in the order of the calls.
+ * <p>Safe for use by several threads; pieces are sent in the order of the method invocations.
  *
  * @see PieceWriter
  */
@@ -37,14 +37,18 @@
     this.writer = new PieceWriter(response, callback);
   }
 
-  /** Sets a header; no effect once the answer has begun. */
+  /** Sets a header. Has no effect once the answer is committed. */
   synchronized void setHeader(String name, String value) {
     if (!committed) {
       response.getHeaders().put(name, value);
     }
   }
 
-  /** Sends one server-sent event; false if the caller is gone or too slow. */
+  /**
+   * Sends one server-sent event.
+   *
+   * @return false if the answer is closed, or the caller is gone or reads too slowly
+   */
   boolean sendEvent(byte[] json) {
     synchronized (this) {
       if (!committed) {
@@ -57,24 +61,24 @@
     return writer.write(serverSentEvent(json), false);
   }
 
-  /** Ends a streamed answer with the marker that says it is whole. */
+  /** Ends a streamed answer with the marker that tells the caller it is complete. */
   void completeEvents() {
     writer.write(serverSentEvent("[DONE]".getBytes(StandardCharsets.UTF_8)), true);
   }
 
-  /** Answers with JSON. */
+  /** Sends a JSON answer. Has no effect once the answer is committed. */
   void sendJson(int status, Object body) {
     byte[] bytes;
     try {
       bytes = body instanceof byte[] raw ? raw : MAPPER.writeValueAsBytes(body);
     } catch (JsonProcessingException e) {
-      throw new IllegalArgumentException("body must be JSON values", e);
+      throw new IllegalArgumentException("body must be serializable as JSON", e);
     }
     setHeader(HttpHeader.CONTENT_TYPE.asString(), "application/json");
     sendBytes(status, bytes);
   }
 
-  /** Answers with a status and a body. */
+  /** Sends an answer with a status and a body. Has no effect once the answer is committed. */
   void sendBytes(int status, byte[] body) {
     synchronized (this) {
       if (committed) {
@@ -86,7 +90,7 @@
     writer.write(ByteBuffer.wrap(body), true);
   }
 
-  /** Answers that the request has not run. */
+  /** Sends an error that states that the request has not run. */
   void sendNotRun(int status, NotRun refusal) {
     sendError(
         status,
@@ -96,7 +100,7 @@
         refusal.retryAfterMillis());
   }
 
-  /** Answers with a failed outcome. */
+  /** Sends the error for a failed outcome. */
   void sendFailure(Outcome outcome) {
     sendError(
         outcome.getStatus() == 0 ? HttpStatus.BAD_GATEWAY_502 : outcome.getStatus(),
@@ -111,12 +115,12 @@
     setHeader(Headers.VERDICT, verdictText(verdict));
   }
 
-  /** Returns whether the caller is gone. */
+  /** Returns whether the caller is gone or was cut off for reading too slowly. */
   boolean isBroken() {
     return writer.isBroken();
   }
 
-  /** Returns whether a part of the answer has gone out. */
+  /** Returns whether the status line is sent or about to be, so that it can no longer change. */
   synchronized boolean isCommitted() {
     return committed;
   }
@@ -134,12 +138,12 @@
       setHeader(Headers.RETRY_AFTER_MILLIS, Long.toString(retryAfterMillis));
     }
     if (isCommitted()) {
-      // The status line is gone already. Without the end marker the caller knows that this is not
-      // the whole answer; the event says why.
+      // The status line can no longer change. The missing end marker tells the caller that the
+      // answer is incomplete; the event states why.
       try {
         writer.write(serverSentEvent(MAPPER.writeValueAsBytes(Map.of("error", error))), true);
       } catch (JsonProcessingException e) {
-        throw new IllegalStateException("an error object must be JSON", e);
+        throw new IllegalStateException("cannot serialize the error object as JSON", e);
       }
       return;
     }
--- a/sequoia-entry/src/main/java/org/sequoiahub/entry/ServiceFrontEnd.java
+++ b/sequoia-entry/src/main/java/org/sequoiahub/entry/ServiceFrontEnd.java
@@ -27,7 +27,7 @@
 import org.sequoiahub.wire.LocalView;
 import org.sequoiahub.wire.WireClient;
 
-/** Callers' calls of plain services, and their questions which address to use. */
+/** Forwards callers' service calls to dispatchers and answers their address requests. */
 final class ServiceFrontEnd {
 
   private static final int MAX_ALTERNATIVES = 3;
@@ -67,7 +67,7 @@
     stopping = true;
   }
 
-  /** Answers which addresses to use, and with operation ids if some were asked for. */
+  /** Sends the addresses to use, along with the requested number of new operation ids. */
   void handleAddress(EntryEvent.Address event, long nowMillis) {
     if (event.operationIdCount() == 0) {
       sendAddresses(event.caller(), List.of());
@@ -76,16 +76,21 @@
     requestOperationIds(
         event.operationIdCount(),
         nowMillis,
-        minted -> sendAddresses(event.caller(), minted),
+        issued -> sendAddresses(event.caller(), issued),
         () ->
             refuse(
                 event.caller(),
                 HttpStatus.SERVICE_UNAVAILABLE_503,
                 new NotRun(
-                    "no-dispatcher", "no operation ids can be had now", RETRY_AFTER_MILLIS)));
+                    "no-dispatcher",
+                    "no dispatcher can be reached to issue operation ids; retry later",
+                    RETRY_AFTER_MILLIS)));
   }
 
-  /** Makes a service call, or answers 428 with a fresh operation id. */
+  /**
+   * Forwards a service call to a dispatcher. A call that is not idempotent and has no operation id
+   * is answered with status 428 and a new operation id.
+   */
   void handleCall(EntryEvent.Service event, long nowMillis) {
     Optional<PlatformRecord.Service> record =
         view.records()
@@ -122,27 +127,32 @@
     requestOperationIds(
         1,
         nowMillis,
-        minted -> {
-          caller.reply().setHeader(Headers.OPERATION_ID, minted.get(0));
+        issued -> {
+          caller.reply().setHeader(Headers.OPERATION_ID, issued.get(0));
           refuse(
               caller,
               HttpStatus.PRECONDITION_REQUIRED_428,
               new NotRun(
                   "operation-id-required",
-                  "repeat the call with this answer's " + Headers.OPERATION_ID + " header",
+                  "repeat the call with the operation id in this answer's "
+                      + Headers.OPERATION_ID
+                      + " header",
                   1));
         },
         () ->
             refuse(
                 caller,
                 HttpStatus.SERVICE_UNAVAILABLE_503,
-                new NotRun("no-dispatcher", "no operation id can be had now", RETRY_AFTER_MILLIS)));
+                new NotRun(
+                    "no-dispatcher",
+                    "no dispatcher can be reached to issue an operation id; retry later",
+                    RETRY_AFTER_MILLIS)));
   }
 
   /**
-   * Sends an operation to the one host whose dispatcher may run it. If that host cannot be reached,
-   * nobody else can tell whether an earlier call with this id ran, so the verdict is a doubt even
-   * though this call itself was not handed on.
+   * Sends an operation to the only host whose dispatcher may run it. If that host cannot be
+   * reached, no other host knows whether an earlier call with this id ran. The verdict is therefore
+   * {@code MAY_HAVE_RUN}, even if this call itself was never sent.
    */
   private void sendOperation(
       ServiceCall.Builder message, EntryEvent.Service event, long nowMillis) {
@@ -150,7 +160,11 @@
     event.caller().reply().setHeader(Headers.OPERATION_ID, id.toString());
     Optional<Host> owner = view.fleet().host(id.host());
     if (owner.isEmpty()) {
-      failMayHaveRun(event.caller(), "operation-owner-gone", "the host that handed the id out is gone");
+      failMayHaveRun(
+          event.caller(),
+          "operation-owner-gone",
+          "the host that issued the operation id is no longer in the fleet;"
+              + " check whether the operation took effect before you repeat it with a new id");
       return;
     }
     message.setOperationId(id.toString());
@@ -165,7 +179,7 @@
                 failMayHaveRun(
                     event.caller(),
                     "operation-owner-unreachable",
-                    "repeat with the same operation id")));
+                    "the host that issued the operation id cannot be reached; repeat the call with the same id")));
   }
 
   private void send(
@@ -175,7 +189,8 @@
       refuse(
           caller,
           HttpStatus.SERVICE_UNAVAILABLE_503,
-          new NotRun("no-dispatcher", "no dispatcher can be reached", RETRY_AFTER_MILLIS));
+          new NotRun(
+              "no-dispatcher", "no dispatcher can be reached; retry later", RETRY_AFTER_MILLIS));
       return;
     }
     callsInProgress++;
@@ -186,7 +201,8 @@
         Envelope.newBuilder().setService(message),
         new SingleAnswerListener(
             client,
-            answer -> handleIdempotentOutcome(message, caller, others, answer.getOutcome(), nowMillis),
+            answer ->
+                handleIdempotentOutcome(message, caller, others, answer.getOutcome(), nowMillis),
             handedOn -> {
               dispatchers.markUnreachable(host.get().id(), nowMillis);
               retryOnAnotherHost(message, caller, others, nowMillis);
@@ -212,7 +228,7 @@
     callsInProgress--;
     if (others.isEmpty() || !budget.tryRetry()) {
       callsInProgress++;
-      failMayHaveRun(caller, "dispatcher-lost", "the dispatcher's connection is gone");
+      failMayHaveRun(caller, "dispatcher-lost", "the connection to the dispatcher was lost");
     } else {
       send(message, caller, others, nowMillis);
     }
@@ -246,13 +262,13 @@
   }
 
   private void requestOperationIds(
-      int count, long nowMillis, Consumer<List<String>> minted, Runnable unreachable) {
-    // The dispatcher beside this entry first: the two are replaced together.
+      int count, long nowMillis, Consumer<List<String>> onIssued, Runnable onUnreachable) {
+    // The dispatcher on this entry's host comes first because the two are replaced together.
     List<Host> hosts = new ArrayList<>(shuffledLiveHosts());
     hosts.sort((a, b) -> Boolean.compare(isLocal(b), isLocal(a)));
     Optional<Host> host = dispatchers.preferReachable(hosts, nowMillis);
     if (host.isEmpty()) {
-      unreachable.run();
+      onUnreachable.run();
       return;
     }
     WireClient client = dispatchers.client(host.get());
@@ -260,10 +276,10 @@
         Envelope.newBuilder().setMint(MintCall.newBuilder().setCount(count)),
         new SingleAnswerListener(
             client,
-            answer -> minted.accept(operationIds(answer.getMinted())),
+            answer -> onIssued.accept(operationIds(answer.getMinted())),
             handedOn -> {
               dispatchers.markUnreachable(host.get().id(), nowMillis);
-              unreachable.run();
+              onUnreachable.run();
             }));
   }
 
@@ -278,7 +294,7 @@
       refuse(
           caller,
           HttpStatus.SERVICE_UNAVAILABLE_503,
-          new NotRun("no-host", "no entry host is known to be live", RETRY_AFTER_MILLIS));
+          new NotRun("no-host", "no live entry host is known; retry later", RETRY_AFTER_MILLIS));
       return;
     }
     Map<String, Object> answer = new LinkedHashMap<>();
@@ -291,7 +307,7 @@
     endSpan(caller, RunVerdict.RAN);
   }
 
-  /** Returns the live hosts in a random order, so that callers spread over them. */
+  /** Returns the live hosts in random order, so that callers are spread over them. */
   private List<Host> shuffledLiveHosts() {
     List<Host> hosts = new ArrayList<>(view.fleet().liveHosts());
     for (int i = hosts.size() - 1; i > 0; i--) {
@@ -322,7 +338,7 @@
     return answer.getOperationIdsList();
   }
 
-  /** A call with one answer, handled on the duty's thread. */
+  /** Listens for the single answer to a call and has it handled on the duty's thread. */
   private final class SingleAnswerListener implements CallListener {
     private final WireClient client;
     private final Consumer<Envelope> onAnswer;
--- a/sequoia-entry/src/main/java/org/sequoiahub/entry/package-info.java
+++ b/sequoia-entry/src/main/java/org/sequoiahub/entry/package-info.java
@@ -1,4 +1,4 @@
-/** The callers' side: inference, plain services and address answers over HTTP. */
+/** The HTTP front end for callers: inference, service calls and entry addresses. */
 @NullMarked
 package org.sequoiahub.entry;
 
