--- a/sequoia-entry/src/main/java/org/sequoiahub/entry/InferenceRequest.java
+++ b/sequoia-entry/src/main/java/org/sequoiahub/entry/InferenceRequest.java
@@ -143,7 +143,7 @@
     callNumber = newCallNumber;
   }
 
-  /** Returns true on the first invocation only, so that a call is cancelled at most once. */
+  /** Returns true on the first invocation only, so that cancellation is requested once. */
   boolean markCancelRequested() {
     boolean first = !cancelRequested;
     cancelRequested = true;
--- a/sequoia-entry/src/main/java/org/sequoiahub/entry/ServiceFrontEnd.java
+++ b/sequoia-entry/src/main/java/org/sequoiahub/entry/ServiceFrontEnd.java
@@ -179,7 +179,8 @@
                 failMayHaveRun(
                     event.caller(),
                     "operation-owner-unreachable",
-                    "the host that issued the operation id cannot be reached; repeat the call with the same id")));
+                    "the host that issued the operation id cannot be reached;"
+                        + " repeat the call with the same id")));
   }
 
   private void send(
