--- a/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/DispatcherEvent.java
+++ b/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/DispatcherEvent.java
@@ -3,7 +3,7 @@
 import java.util.Map;
 import org.sequoiahub.core.record.AdapterVersion;
 import org.sequoiahub.core.runner.EngineReport;
-import org.sequoiahub.platform.EngineClient.OrderAnswer;
+import org.sequoiahub.platform.EngineClient.OrderResponse;
 import org.sequoiahub.schema.wire.Envelope;
 import org.sequoiahub.schema.wire.Update;
 import org.sequoiahub.wire.WireConnection;
@@ -21,7 +21,7 @@
   record Closed(WireConnection connection) implements DispatcherEvent {}
 
   /** An engine answered a claim of authority. */
-  record ClaimAnswered(String runner, long number, long sentMillis, OrderAnswer answer)
+  record ClaimAnswered(String runner, long number, long sentMillis, OrderResponse answer)
       implements DispatcherEvent {}
 
   /** A host answered a lease round. */
@@ -29,11 +29,11 @@
       implements DispatcherEvent {}
 
   /** An engine answered a load order. */
-  record LoadAnswered(String runner, AdapterVersion adapter, long number, OrderAnswer answer)
+  record LoadAnswered(String runner, AdapterVersion adapter, long number, OrderResponse answer)
       implements DispatcherEvent {}
 
   /** An engine answered an eviction order. */
-  record UnloadAnswered(String runner, AdapterVersion adapter, long number, OrderAnswer answer)
+  record UnloadAnswered(String runner, AdapterVersion adapter, long number, OrderResponse answer)
       implements DispatcherEvent {}
 
   /** A load turn was granted, or its keeper cannot be reached. */
--- a/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/JobScheduler.java
+++ b/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/JobScheduler.java
@@ -471,22 +471,22 @@
     }
 
     @Override
-    public void chunk(long sequence, String model, byte[] data) {
+    public void onChunk(long sequence, String model, byte[] data) {
       events.accept(new DispatcherEvent.ChunkCame(request, number, sequence, model, data));
     }
 
     @Override
-    public void end(long chunks) {
+    public void onEnd(long chunks) {
       events.accept(new DispatcherEvent.EndCame(request, number, chunks));
     }
 
     @Override
-    public void refused(int status, String message) {
+    public void onRefused(int status, String message) {
       events.accept(new DispatcherEvent.StartRefused(request, number, status, message));
     }
 
     @Override
-    public void broken(String why) {
+    public void onBroken(String why) {
       events.accept(new DispatcherEvent.StreamBroke(request, number, why));
     }
   }
--- a/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/OwnedRunnerController.java
+++ b/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/OwnedRunnerController.java
@@ -370,7 +370,7 @@
   }
 
   private void fenced(
-      OwnedRunner runner, long number, EngineClient.OrderAnswer answer, long nowMillis) {
+      OwnedRunner runner, long number, EngineClient.OrderResponse answer, long nowMillis) {
     if (answer.fenced() && runner.authority() instanceof FencedAuthority authority) {
       claimsRefused.inc();
       authority.refused(number, answer.highestFencing(), nowMillis);
@@ -384,18 +384,18 @@
   private void readReport(OwnedRunner runner, long nowMillis) {
     String id = runner.runner().id();
     runner.reportAsked(nowMillis, settings.getReportPeriodMs());
-    engines.report(
+    engines.readReport(
         runner.runner().address(),
         REPORT_TIMEOUT_MILLIS,
         nowMillis,
         new EngineClient.ReportListener() {
           @Override
-          public void report(EngineReport report) {
+          public void onReport(EngineReport report) {
             events.accept(new DispatcherEvent.Reported(id, report));
           }
 
           @Override
-          public void failed(String why) {
+          public void onFailure(String why) {
             events.accept(new DispatcherEvent.ReportFailed(id, why));
           }
         });
--- a/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/ServiceForwarder.java
+++ b/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/ServiceForwarder.java
@@ -255,12 +255,12 @@
     }
 
     @Override
-    public void answered(int status, Map<String, String> headers, byte[] body) {
+    public void onResponse(int status, Map<String, String> headers, byte[] body) {
       events.accept(new DispatcherEvent.ServiceAnswered(job, status, headers, body));
     }
 
     @Override
-    public void failed(boolean sent, String why) {
+    public void onFailure(boolean sent, String why) {
       events.accept(new DispatcherEvent.ServiceFailed(job, sent, why));
     }
   }
--- a/sequoia-platform/src/main/java/org/sequoiahub/platform/HttpReads.java
+++ b/sequoia-platform/src/main/java/org/sequoiahub/platform/BlockingHttp.java
@@ -11,9 +11,9 @@
 import org.sequoiahub.runtime.settings.Endpoint;
 
 /** Blocking reads, for duties that do nothing else. */
-final class HttpReads {
+final class BlockingHttp {
 
-  private HttpReads() {}
+  private BlockingHttp() {}
 
   /**
    * Reads one resource.
--- a/sequoia-platform/src/main/java/org/sequoiahub/platform/ConfigurationClient.java
+++ b/sequoia-platform/src/main/java/org/sequoiahub/platform/ConfigurationClient.java
@@ -50,7 +50,7 @@
 
   private Listing read(String path, long timeoutMillis) throws IOException, InterruptedException {
     ContentResponse response =
-        HttpReads.get(http, endpoint, path, timeoutMillis, MAX_LISTING_BYTES);
+        BlockingHttp.get(http, endpoint, path, timeoutMillis, MAX_LISTING_BYTES);
     JsonNode root = mapper.readTree(response.getContent());
     List<StoredRecord> records = new ArrayList<>();
     for (JsonNode item : root.path("records")) {
--- a/sequoia-platform/src/main/java/org/sequoiahub/platform/EngineClient.java
+++ b/sequoia-platform/src/main/java/org/sequoiahub/platform/EngineClient.java
@@ -26,10 +26,10 @@
 public final class EngineClient {
 
   /** Header that carries the fencing number. */
-  public static final String FENCING = "Sequoia-Fencing";
+  public static final String FENCING_HEADER = "Sequoia-Fencing";
 
   /** Header that carries the request's id. */
-  public static final String REQUEST_ID = "X-Request-Id";
+  public static final String REQUEST_ID_HEADER = "X-Request-Id";
 
   private static final int MAX_ANSWER_BYTES = 4 << 20;
 
@@ -48,15 +48,15 @@
    * @param fenced whether it was refused for its fencing number
    * @param highestFencing the number to exceed, if fenced
    */
-  public record OrderAnswer(OrderResult result, boolean fenced, long highestFencing) {}
+  public record OrderResponse(OrderResult result, boolean fenced, long highestFencing) {}
 
   /** What an engine reported, or nothing if it could not be read. */
   public interface ReportListener {
     /** Receives a report. */
-    void report(EngineReport report);
+    void onReport(EngineReport report);
 
     /** Told that no report could be read. */
-    void failed(String why);
+    void onFailure(String why);
   }
 
   /** Orders an engine to load an adapter version. */
@@ -65,7 +65,7 @@
       AdapterVersion adapter,
       long fencing,
       long timeoutMillis,
-      Consumer<OrderAnswer> answer) {
+      Consumer<OrderResponse> answer) {
     Map<String, String> body =
         Map.of("lora_name", adapter.exactName(), "lora_path", "weights/" + adapter.exactName());
     order(address, "/v1/load_lora_adapter", body, fencing, timeoutMillis, answer);
@@ -77,14 +77,14 @@
       AdapterVersion adapter,
       long fencing,
       long timeoutMillis,
-      Consumer<OrderAnswer> answer) {
+      Consumer<OrderResponse> answer) {
     Map<String, String> body = Map.of("lora_name", adapter.exactName());
     order(address, "/v1/unload_lora_adapter", body, fencing, timeoutMillis, answer);
   }
 
   /** Gives an engine the order that changes nothing: it only makes the fencing number known. */
   public void claim(
-      String address, long fencing, long timeoutMillis, Consumer<OrderAnswer> answer) {
+      String address, long fencing, long timeoutMillis, Consumer<OrderResponse> answer) {
     order(address, "/v1/role", Map.of("role", "serve"), fencing, timeoutMillis, answer);
   }
 
@@ -114,7 +114,7 @@
    *
    * @param nowMillis the present time; the sample is dated relative to it
    */
-  public void report(String address, long timeoutMillis, long nowMillis, ReportListener listener) {
+  public void readReport(String address, long timeoutMillis, long nowMillis, ReportListener listener) {
     Request request =
         http.newRequest("http://" + address + "/v1/load")
             .timeout(timeoutMillis, TimeUnit.MILLISECONDS);
@@ -123,13 +123,13 @@
         .whenComplete(
             (response, failure) -> {
               if (failure != null || response.getStatus() != HttpStatus.OK_200) {
-                listener.failed(failure == null ? "status " + response.getStatus() : "" + failure);
+                listener.onFailure(failure == null ? "status " + response.getStatus() : "" + failure);
                 return;
               }
               try {
-                listener.report(parseReport(response, nowMillis));
+                listener.onReport(parseReport(response, nowMillis));
               } catch (IOException | IllegalArgumentException e) {
-                listener.failed("report: " + e.getMessage());
+                listener.onFailure("report: " + e.getMessage());
               }
             });
   }
@@ -149,10 +149,10 @@
             .method(HttpMethod.POST)
             .headers(
                 headers -> {
-                  headers.put(REQUEST_ID, requestId);
+                  headers.put(REQUEST_ID_HEADER, requestId);
                   headers.put("X-Priority", interactive ? "0" : "10");
                   if (fencing > 0) {
-                    headers.put(FENCING, Long.toString(fencing));
+                    headers.put(FENCING_HEADER, Long.toString(fencing));
                   }
                   if (!traceparent.isEmpty()) {
                     headers.put("traceparent", traceparent);
@@ -177,7 +177,7 @@
       Map<String, String> body,
       long fencing,
       long timeoutMillis,
-      Consumer<OrderAnswer> answer) {
+      Consumer<OrderResponse> answer) {
     byte[] json;
     try {
       json = mapper.writeValueAsBytes(body);
@@ -190,24 +190,24 @@
             .timeout(timeoutMillis, TimeUnit.MILLISECONDS)
             .body(new BytesRequestContent("application/json", json));
     if (fencing > 0) {
-      request.headers(headers -> headers.put(FENCING, Long.toString(fencing)));
+      request.headers(headers -> headers.put(FENCING_HEADER, Long.toString(fencing)));
     }
     new CompletableResponseListener(request, MAX_ANSWER_BYTES)
         .send()
         .whenComplete((response, failure) -> answer.accept(orderAnswer(response, failure)));
   }
 
-  private OrderAnswer orderAnswer(@Nullable ContentResponse response, @Nullable Throwable failure) {
+  private OrderResponse orderAnswer(@Nullable ContentResponse response, @Nullable Throwable failure) {
     if (response == null || failure != null) {
-      return new OrderAnswer(OrderResult.UNKNOWN, false, 0);
+      return new OrderResponse(OrderResult.UNKNOWN, false, 0);
     }
     if (response.getStatus() == HttpStatus.OK_200) {
-      return new OrderAnswer(OrderResult.DONE, false, 0);
+      return new OrderResponse(OrderResult.DONE, false, 0);
     }
     if (response.getStatus() == HttpStatus.PRECONDITION_FAILED_412) {
-      return new OrderAnswer(OrderResult.FAILED, true, highest(response));
+      return new OrderResponse(OrderResult.FAILED, true, highest(response));
     }
-    return new OrderAnswer(OrderResult.FAILED, false, 0);
+    return new OrderResponse(OrderResult.FAILED, false, 0);
   }
 
   private long highest(ContentResponse response) {
--- a/sequoia-platform/src/main/java/org/sequoiahub/platform/EngineStream.java
+++ b/sequoia-platform/src/main/java/org/sequoiahub/platform/EngineStream.java
@@ -21,7 +21,7 @@
   private final Request request;
   private final ObjectMapper mapper;
   private final Listener listener;
-  private final EventLines lines = new EventLines();
+  private final EventStreamDecoder lines = new EventStreamDecoder();
   private int status;
   private long lastSequence;
   private boolean ended;
@@ -42,16 +42,16 @@
      * @param model the exact name that the engine says it ran
      * @param data its JSON
      */
-    void chunk(long sequence, String model, byte[] data);
+    void onChunk(long sequence, String model, byte[] data);
 
     /** Told of the engine's end marker: the answer has {@code chunks} chunks. */
-    void end(long chunks);
+    void onEnd(long chunks);
 
     /** Told that the engine refused the request: it has not run and will not. */
-    void refused(int status, String message);
+    void onRefused(int status, String message);
 
     /** Told that the connection is gone without an end marker: the request may still run. */
-    void broken(String why);
+    void onBroken(String why);
   }
 
   static EngineStream open(Request request, ObjectMapper mapper, Listener listener) {
@@ -73,7 +73,7 @@
       errorBody.append(UTF_8.decode(content));
       return;
     }
-    for (byte[] data : lines.accept(content)) {
+    for (byte[] data : lines.decode(content)) {
       event(data);
     }
   }
@@ -82,7 +82,7 @@
     if (Arrays.equals(data, END_MARKER)) {
       if (lastSequence > 0) {
         ended = true;
-        listener.end(lastSequence);
+        listener.onEnd(lastSequence);
       }
       return;
     }
@@ -98,7 +98,7 @@
       lastSequence = sequence;
     }
     if (sequence > 0) {
-      listener.chunk(sequence, json.path("model").asText(), data);
+      listener.onChunk(sequence, json.path("model").asText(), data);
     }
   }
 
@@ -127,9 +127,9 @@
     if (failure == null
         && status >= HttpStatus.BAD_REQUEST_400
         && status != HttpStatus.INTERNAL_SERVER_ERROR_500) {
-      listener.refused(status, errorBody.toString());
+      listener.onRefused(status, errorBody.toString());
     } else {
-      listener.broken(failure == null ? "the answer ended without its end marker" : "" + failure);
+      listener.onBroken(failure == null ? "the answer ended without its end marker" : "" + failure);
     }
   }
 }
--- a/sequoia-platform/src/main/java/org/sequoiahub/platform/EventLines.java
+++ b/sequoia-platform/src/main/java/org/sequoiahub/platform/EventStreamDecoder.java
@@ -8,14 +8,14 @@
 import java.util.List;
 
 /** Takes the {@code data:} lines out of a text/event-stream, however the network cuts it. */
-final class EventLines {
+final class EventStreamDecoder {
 
   private static final byte[] PREFIX = "data:".getBytes(UTF_8);
 
   private final ByteArrayOutputStream line = new ByteArrayOutputStream();
 
   /** Takes in a piece of the stream and returns the data of the lines that it completes. */
-  List<byte[]> accept(ByteBuffer piece) {
+  List<byte[]> decode(ByteBuffer piece) {
     List<byte[]> complete = new ArrayList<>();
     while (piece.hasRemaining()) {
       byte next = piece.get();
--- a/sequoia-platform/src/main/java/org/sequoiahub/platform/HostListClient.java
+++ b/sequoia-platform/src/main/java/org/sequoiahub/platform/HostListClient.java
@@ -21,6 +21,6 @@
 
   /** Returns the list's JSON as published. */
   public byte[] read() throws IOException, InterruptedException {
-    return HttpReads.get(http, endpoint, "/v1/hosts", TIMEOUT_MILLIS, MAX_BYTES).getContent();
+    return BlockingHttp.get(http, endpoint, "/v1/hosts", TIMEOUT_MILLIS, MAX_BYTES).getContent();
   }
 }
--- a/sequoia-platform/src/main/java/org/sequoiahub/platform/ServiceClient.java
+++ b/sequoia-platform/src/main/java/org/sequoiahub/platform/ServiceClient.java
@@ -27,14 +27,14 @@
   /** Receives what became of a call, on an HTTP client thread. */
   public interface Listener {
     /** The upstream answered. */
-    void answered(int status, Map<String, String> headers, byte[] body);
+    void onResponse(int status, Map<String, String> headers, byte[] body);
 
     /**
      * No answer came.
      *
      * @param sent false if surely nothing of the call reached the upstream
      */
-    void failed(boolean sent, String why);
+    void onFailure(boolean sent, String why);
   }
 
   /** Makes one call. It is never repeated here: that is for its owner to decide. */
@@ -63,7 +63,7 @@
         .whenComplete(
             (response, failure) -> {
               if (failure != null) {
-                listener.failed(begun.get(), String.valueOf(failure));
+                listener.onFailure(begun.get(), String.valueOf(failure));
                 return;
               }
               Map<String, String> kept = new HashMap<>();
@@ -75,7 +75,7 @@
                           kept.put(field.getLowerCaseName(), field.getValue());
                         }
                       });
-              listener.answered(response.getStatus(), kept, response.getContent());
+              listener.onResponse(response.getStatus(), kept, response.getContent());
             });
   }
 }
--- a/sequoia-platform/src/main/java/org/sequoiahub/platform/WeightStoreClient.java
+++ b/sequoia-platform/src/main/java/org/sequoiahub/platform/WeightStoreClient.java
@@ -27,7 +27,7 @@
   }
 
   /** Reads how many loads are in progress; empty if that cannot be read. */
-  public void activeLoads(Consumer<OptionalInt> answer) {
+  public void readActiveLoads(Consumer<OptionalInt> answer) {
     var request =
         http.newRequest("http://" + endpoint + "/v1/status")
             .timeout(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
--- a/sequoia-watcher/src/main/java/org/sequoiahub/watcher/SourceReader.java
+++ b/sequoia-watcher/src/main/java/org/sequoiahub/watcher/SourceReader.java
@@ -54,12 +54,12 @@
           Listing listing =
               position.listed ? service.watch(position.revision, waitMillis) : service.list();
           position.advance(listing);
-          events.accept(new WatcherEvent.ServiceAnswered(listing));
+          events.accept(new WatcherEvent.ListingRead(listing));
         };
     return new SourceReader("configuration", step, 0, metrics, log);
   }
 
-  static SourceReader ofHosts(
+  static SourceReader ofHostList(
       HostListClient hosts,
       long periodMillis,
       Consumer<WatcherEvent> events,
@@ -67,7 +67,7 @@
       EventLog log) {
     return new SourceReader(
         "hosts",
-        () -> events.accept(new WatcherEvent.HostsRead(hosts.read())),
+        () -> events.accept(new WatcherEvent.HostListRead(hosts.read())),
         periodMillis,
         metrics,
         log);
--- a/sequoia-watcher/src/main/java/org/sequoiahub/watcher/Watcher.java
+++ b/sequoia-watcher/src/main/java/org/sequoiahub/watcher/Watcher.java
@@ -51,15 +51,15 @@
             () -> TICK_MILLIS,
             state::handle,
             state::tick,
-            state::failed,
+            state::onFailure,
             MonotonicClock.SYSTEM);
-    state.connectTo(duty);
+    state.attachTo(duty);
     ConfigurationClient service =
         new ConfigurationClient(http, Endpoint.of(settings.getConfigurationService()));
     this.configuration =
         SourceReader.ofConfiguration(service, settings.getWatchWaitMs(), duty::put, metrics, log);
     this.hosts =
-        SourceReader.ofHosts(
+        SourceReader.ofHostList(
             new HostListClient(http, Endpoint.of(settings.getHostList())),
             settings.getHostsPeriodMs(),
             duty::put,
@@ -117,12 +117,12 @@
   private final class Inbound implements WireServer.Handler {
     @Override
     public void message(WireConnection connection, Envelope message) {
-      duty.put(new WatcherEvent.Received(connection, message));
+      duty.put(new WatcherEvent.MessageReceived(connection, message));
     }
 
     @Override
     public void closed(WireConnection connection) {
-      duty.put(new WatcherEvent.Closed(connection));
+      duty.put(new WatcherEvent.ConnectionClosed(connection));
     }
   }
 }
--- a/sequoia-watcher/src/main/java/org/sequoiahub/watcher/WatcherDuty.java
+++ b/sequoia-watcher/src/main/java/org/sequoiahub/watcher/WatcherDuty.java
@@ -82,7 +82,7 @@
         "records.highest_revision", (Gauge<Object>) () -> status.getOrDefault("revision", 0L));
   }
 
-  void connectTo(Duty<WatcherEvent> owner) {
+  void attachTo(Duty<WatcherEvent> owner) {
     this.duty = owner;
   }
 
@@ -94,28 +94,28 @@
     return status;
   }
 
-  void failed(Throwable failure) {
+  void onFailure(Throwable failure) {
     log.warning("defect", "error", failure);
   }
 
   void handle(WatcherEvent event) {
-    if (event instanceof WatcherEvent.ServiceAnswered answered) {
+    if (event instanceof WatcherEvent.ListingRead answered) {
       serviceAnswered(answered.listing());
-    } else if (event instanceof WatcherEvent.HostsRead read) {
+    } else if (event instanceof WatcherEvent.HostListRead read) {
       offerHosts(read.json());
-    } else if (event instanceof WatcherEvent.Received received) {
+    } else if (event instanceof WatcherEvent.MessageReceived received) {
       received(received.connection(), received.message());
-    } else if (event instanceof WatcherEvent.Closed closed) {
+    } else if (event instanceof WatcherEvent.ConnectionClosed closed) {
       subscribers.remove(closed.connection());
-    } else if (event instanceof WatcherEvent.PeerDigest digest) {
+    } else if (event instanceof WatcherEvent.PeerDigestReceived digest) {
       peerDigest(digest.peer(), digest.answer());
-    } else if (event instanceof WatcherEvent.PeerUpdate update) {
+    } else if (event instanceof WatcherEvent.PeerUpdateReceived update) {
       offerAll(fromWire(update.update()), "peer");
       if (!update.update().getHosts().isEmpty()) {
         offerHosts(update.update().getHosts().toByteArray());
       }
       heard(update.peer());
-    } else if (event instanceof WatcherEvent.PeerLost lost) {
+    } else if (event instanceof WatcherEvent.PeerUnreachable lost) {
       doNotWaitFor(lost.peer());
     }
   }
@@ -420,15 +420,15 @@
     public void message(Envelope message) {
       client.end(message.getCall());
       if (message.hasDigestAnswer()) {
-        duty.put(new WatcherEvent.PeerDigest(peer, message.getDigestAnswer()));
+        duty.put(new WatcherEvent.PeerDigestReceived(peer, message.getDigestAnswer()));
       } else if (message.hasUpdate()) {
-        duty.put(new WatcherEvent.PeerUpdate(peer, message.getUpdate()));
+        duty.put(new WatcherEvent.PeerUpdateReceived(peer, message.getUpdate()));
       }
     }
 
     @Override
     public void lost(boolean handedOn) {
-      duty.put(new WatcherEvent.PeerLost(peer));
+      duty.put(new WatcherEvent.PeerUnreachable(peer));
     }
   }
 }
--- a/sequoia-watcher/src/main/java/org/sequoiahub/watcher/WatcherEvent.java
+++ b/sequoia-watcher/src/main/java/org/sequoiahub/watcher/WatcherEvent.java
@@ -10,23 +10,23 @@
 sealed interface WatcherEvent {
 
   /** The configuration service answered. */
-  record ServiceAnswered(Listing listing) implements WatcherEvent {}
+  record ListingRead(Listing listing) implements WatcherEvent {}
 
   /** The host list was read. */
-  record HostsRead(byte[] json) implements WatcherEvent {}
+  record HostListRead(byte[] json) implements WatcherEvent {}
 
   /** A local process or a peer sent a message. */
-  record Received(WireConnection connection, Envelope message) implements WatcherEvent {}
+  record MessageReceived(WireConnection connection, Envelope message) implements WatcherEvent {}
 
   /** A connection is gone. */
-  record Closed(WireConnection connection) implements WatcherEvent {}
+  record ConnectionClosed(WireConnection connection) implements WatcherEvent {}
 
   /** A peer answered a digest. */
-  record PeerDigest(String peer, DigestAnswer answer) implements WatcherEvent {}
+  record PeerDigestReceived(String peer, DigestAnswer answer) implements WatcherEvent {}
 
   /** A peer sent what was fetched from it. */
-  record PeerUpdate(String peer, Update update) implements WatcherEvent {}
+  record PeerUpdateReceived(String peer, Update update) implements WatcherEvent {}
 
   /** A peer could not be reached. */
-  record PeerLost(String peer) implements WatcherEvent {}
+  record PeerUnreachable(String peer) implements WatcherEvent {}
 }
