--- a/sequoia-watcher/src/main/java/org/sequoiahub/watcher/SourceReader.java
+++ b/sequoia-watcher/src/main/java/org/sequoiahub/watcher/SourceReader.java
@@ -10,25 +10,29 @@
 import org.sequoiahub.platform.HostListClient;
 import org.sequoiahub.runtime.log.EventLog;
 
-/** A thread that reads one of the platform's sources, again and again. */
+/**
+ * Polls one of the platform's sources on a thread of its own.
+ *
+ * <p>A failed read is logged, counted, and retried with exponential backoff.
+ */
 final class SourceReader implements AutoCloseable {
 
-  private static final long FIRST_PAUSE_MILLIS = 200;
-  private static final long LONGEST_PAUSE_MILLIS = 5_000;
+  private static final long INITIAL_BACKOFF_MILLIS = 200;
+  private static final long MAX_BACKOFF_MILLIS = 5_000;
 
   private final String name;
-  private final Step step;
-  private final long pauseMillis;
+  private final Poll poll;
+  private final long periodMillis;
   private final Meter failures;
   private final EventLog log;
   private final Thread thread;
   private volatile boolean running = true;
 
   private SourceReader(
-      String name, Step step, long pauseMillis, MetricRegistry metrics, EventLog log) {
+      String name, Poll poll, long periodMillis, MetricRegistry metrics, EventLog log) {
     this.name = name;
-    this.step = step;
-    this.pauseMillis = pauseMillis;
+    this.poll = poll;
+    this.periodMillis = periodMillis;
     this.failures = metrics.meter(name + ".failures");
     this.log = log;
     this.thread = new Thread(this::run, name + "-reader");
@@ -36,10 +40,15 @@
   }
 
   @FunctionalInterface
-  private interface Step {
-    void read() throws IOException, InterruptedException;
+  private interface Poll {
+    void execute() throws IOException, InterruptedException;
   }
 
+  /**
+   * Creates a reader that lists the configuration once and then watches it for changes.
+   *
+   * @param waitMillis how long the service may hold one watch call open (ms)
+   */
   static SourceReader ofConfiguration(
       ConfigurationClient service,
       long waitMillis,
@@ -48,7 +57,7 @@
       EventLog log) {
     ServicePosition position = new ServicePosition();
     Meter calls = metrics.meter("configuration.calls");
-    Step step =
+    Poll poll =
         () -> {
           calls.mark();
           Listing listing =
@@ -56,9 +65,12 @@
           position.advance(listing);
           events.accept(new WatcherEvent.ListingRead(listing));
         };
-    return new SourceReader("configuration", step, 0, metrics, log);
+    return new SourceReader("configuration", poll, 0, metrics, log);
   }
 
+  /**
+   * Creates a reader that waits {@code periodMillis} after each successful read of the host list.
+   */
   static SourceReader ofHostList(
       HostListClient hosts,
       long periodMillis,
@@ -84,36 +96,37 @@
   }
 
   private void run() {
-    long backoff = FIRST_PAUSE_MILLIS;
+    long backoffMillis = INITIAL_BACKOFF_MILLIS;
     while (running) {
       try {
-        step.read();
-        backoff = FIRST_PAUSE_MILLIS;
-        TimeUnit.MILLISECONDS.sleep(pauseMillis);
+        poll.execute();
+        backoffMillis = INITIAL_BACKOFF_MILLIS;
+        TimeUnit.MILLISECONDS.sleep(periodMillis);
       } catch (InterruptedException e) {
         return;
       } catch (IOException | RuntimeException e) {
         failures.mark();
         log.warning("source-unreachable", "source", name, "error", e.getMessage());
-        backoff = pauseAfterFailure(backoff);
+        backoffMillis = backOff(backoffMillis);
       }
     }
   }
 
-  private long pauseAfterFailure(long backoff) {
+  private long backOff(long backoffMillis) {
     try {
-      TimeUnit.MILLISECONDS.sleep(backoff);
+      TimeUnit.MILLISECONDS.sleep(backoffMillis);
     } catch (InterruptedException e) {
       running = false;
     }
-    return Math.min(LONGEST_PAUSE_MILLIS, backoff * 2);
+    return Math.min(MAX_BACKOFF_MILLIS, backoffMillis * 2);
   }
 
   /**
-   * Where this reader stands in the service's history.
+   * The highest service revision that this reader has read.
    *
-   * <p>A service that answers below this position comes from an older replica. The position then
-   * stays, and the changes in that answer are still offered: each is judged by its own revision.
+   * <p>A response with a lower revision comes from an older replica. It does not move the position
+   * back, and its records are still passed on, because each is accepted or ignored by its own
+   * revision.
    */
   private static final class ServicePosition {
     private boolean listed;
--- a/sequoia-watcher/src/main/java/org/sequoiahub/watcher/Watcher.java
+++ b/sequoia-watcher/src/main/java/org/sequoiahub/watcher/Watcher.java
@@ -20,11 +20,11 @@
 import org.sequoiahub.wire.WireServer;
 import org.sequoiahub.wire.WireThreads;
 
-/** A running watcher: its threads, ports and clients. */
+/** A running watcher, which owns its threads, ports and clients. */
 public final class Watcher implements AutoCloseable {
 
-  private static final int RING = 4_096;
-  private static final long TICK_MILLIS = 100;
+  private static final int EVENT_QUEUE_CAPACITY = 4_096;
+  private static final long TICK_PERIOD_MILLIS = 100;
 
   private final Duty<WatcherEvent> duty;
   private final SourceReader configuration;
@@ -47,8 +47,8 @@
     this.duty =
         new Duty<>(
             "watcher",
-            RING,
-            () -> TICK_MILLIS,
+            EVENT_QUEUE_CAPACITY,
+            () -> TICK_PERIOD_MILLIS,
             state::handle,
             state::tick,
             state::onFailure,
@@ -82,7 +82,7 @@
   }
 
   /**
-   * Starts a watcher.
+   * Starts a watcher: opens its ports and begins to read its sources.
    *
    * @throws IOException if a port cannot be opened
    */
@@ -96,7 +96,7 @@
     return watcher;
   }
 
-  /** Returns the administration interface's port. */
+  /** Returns the port of the administration interface. */
   public int adminPort() {
     return admin.port();
   }
--- a/sequoia-watcher/src/main/java/org/sequoiahub/watcher/WatcherDuty.java
+++ b/sequoia-watcher/src/main/java/org/sequoiahub/watcher/WatcherDuty.java
@@ -37,15 +37,21 @@
 import org.sequoiahub.wire.WireConnection;
 import org.sequoiahub.wire.WireRecords;
 
-/** The watcher's state and decisions, all on one thread. */
+/**
+ * Holds the watcher's records and host list, and distributes them to local subscribers and to the
+ * watchers of other hosts.
+ *
+ * <p>All state belongs to the thread of one {@link Duty}, except the fields that {@link #isReady}
+ * and {@link #status} read.
+ */
 final class WatcherDuty {
 
-  /** A catching-up watcher asks at most this many peers at its start. */
-  private static final int FIRST_ASKED = 5;
+  /** Maximum number of peers that a watcher queries at startup before it is ready. */
+  private static final int INITIAL_PEER_COUNT = 5;
 
   private static final int RECORDS_PER_UPDATE = 2_000;
 
-  private static final long STATUS_MILLIS = 250;
+  private static final long STATUS_PERIOD_MILLIS = 250;
 
   private final WatcherSettings settings;
   private final WireClients clients;
@@ -59,8 +65,8 @@
   private @Nullable Duty<WatcherEvent> duty;
   private Fleet fleet = Fleet.EMPTY;
   private byte[] fleetJson = new byte[0];
-  private boolean heardAnySource;
-  private @Nullable Set<String> stillToHear;
+  private boolean receivedFromAnySource;
+  private @Nullable Set<String> pendingInitialPeers;
   private long nextExchangeMillis = Long.MIN_VALUE;
   private long nextStatusMillis = Long.MIN_VALUE;
   private volatile boolean caughtUp;
@@ -82,14 +88,17 @@
         "records.highest_revision", (Gauge<Object>) () -> status.getOrDefault("revision", 0L));
   }
 
+  /** Sets the duty that receives the answers of peers; called once, before the duty starts. */
   void attachTo(Duty<WatcherEvent> owner) {
     this.duty = owner;
   }
 
+  /** Returns whether this watcher has caught up with its sources and peers. */
   boolean isReady() {
     return caughtUp;
   }
 
+  /** Returns the status that the administration interface reports. */
   Map<String, Object> status() {
     return status;
   }
@@ -99,60 +108,60 @@
   }
 
   void handle(WatcherEvent event) {
-    if (event instanceof WatcherEvent.ListingRead answered) {
-      serviceAnswered(answered.listing());
-    } else if (event instanceof WatcherEvent.HostListRead read) {
-      offerHosts(read.json());
+    if (event instanceof WatcherEvent.ListingRead listingRead) {
+      applyListing(listingRead.listing());
+    } else if (event instanceof WatcherEvent.HostListRead hostListRead) {
+      applyHostList(hostListRead.json());
     } else if (event instanceof WatcherEvent.MessageReceived received) {
-      received(received.connection(), received.message());
+      onMessage(received.connection(), received.message());
     } else if (event instanceof WatcherEvent.ConnectionClosed closed) {
       subscribers.remove(closed.connection());
     } else if (event instanceof WatcherEvent.PeerDigestReceived digest) {
-      peerDigest(digest.peer(), digest.answer());
+      onPeerDigest(digest.peer(), digest.answer());
     } else if (event instanceof WatcherEvent.PeerUpdateReceived update) {
-      offerAll(fromWire(update.update()), "peer");
+      applyRecords(recordsOf(update.update()), "peer");
       if (!update.update().getHosts().isEmpty()) {
-        offerHosts(update.update().getHosts().toByteArray());
+        applyHostList(update.update().getHosts().toByteArray());
       }
-      heard(update.peer());
-    } else if (event instanceof WatcherEvent.PeerUnreachable lost) {
-      doNotWaitFor(lost.peer());
+      onPeerReconciled(update.peer());
+    } else if (event instanceof WatcherEvent.PeerUnreachable unreachable) {
+      removePendingPeer(unreachable.peer());
     }
   }
 
   void tick(long nowMillis) {
-    if (stillToHear == null && fleet.revision() > 0) {
-      askFirstPeers();
+    if (pendingInitialPeers == null && fleet.revision() > 0) {
+      queryInitialPeers();
     }
     if (nowMillis >= nextExchangeMillis) {
       nextExchangeMillis = nowMillis + settings.getExchangePeriodMs();
-      pick(peers(), 1).forEach(this::sendDigest);
+      pickRandom(peers(), 1).forEach(this::sendDigest);
     }
     if (nowMillis >= nextStatusMillis) {
-      nextStatusMillis = nowMillis + STATUS_MILLIS;
+      nextStatusMillis = nowMillis + STATUS_PERIOD_MILLIS;
       publishStatus();
     }
   }
 
-  private void serviceAnswered(Listing listing) {
+  private void applyListing(Listing listing) {
     List<StoredRecord> offered = new ArrayList<>(listing.records());
     if (listing.complete()) {
       Set<String> listed =
           listing.records().stream().map(StoredRecord::key).collect(Collectors.toSet());
       offered.addAll(records.deletedBy(listed, listing.revision()));
     }
-    offerAll(offered, "service");
-    heardAnySource = true;
+    applyRecords(offered, "service");
+    receivedFromAnySource = true;
     checkCaughtUp();
   }
 
-  private void offerAll(List<StoredRecord> offered, String source) {
-    List<StoredRecord> news = new ArrayList<>();
+  private void applyRecords(List<StoredRecord> offered, String source) {
+    List<StoredRecord> changes = new ArrayList<>();
     for (StoredRecord record : offered) {
       Offered result = records.offer(record);
       if (result instanceof Offered.Accepted) {
         accepted.inc();
-        news.add(record);
+        changes.add(record);
         log.debug(
             "record-accepted",
             "key",
@@ -173,24 +182,24 @@
             refusal.problems());
       }
     }
-    if (news.isEmpty()) {
+    if (changes.isEmpty()) {
       return;
     }
     log.info(
         "records-in-force",
         "count",
-        news.size(),
+        changes.size(),
         "revision",
         records.highestRevision(),
         "source",
         source);
-    tellSubscribers(news, false);
+    sendToSubscribers(changes, false);
     if (caughtUp) {
-      tellPeers(news);
+      sendToPeers(changes);
     }
   }
 
-  private void offerHosts(byte[] json) {
+  private void applyHostList(byte[] json) {
     Fleet offered;
     try {
       offered = FleetJson.parse(json);
@@ -204,39 +213,40 @@
     fleet = offered;
     fleetJson = json;
     log.info("hosts-in-force", "revision", fleet.revision());
-    clients.retain(peers().stream().map(WatcherDuty::endpoint).collect(Collectors.toSet()));
-    tellSubscribers(List.of(), true);
+    clients.retain(peers().stream().map(WatcherDuty::watcherEndpoint).collect(Collectors.toSet()));
+    sendToSubscribers(List.of(), true);
   }
 
-  private void received(WireConnection connection, Envelope message) {
+  private void onMessage(WireConnection connection, Envelope message) {
     long call = message.getCall();
     if (message.hasSubscribe()) {
       Subscriber subscriber = new Subscriber(call, message.getSubscribe().getHostsOnly());
       subscribers.put(connection, subscriber);
-      sendAll(connection, subscriber);
+      sendSnapshot(connection, subscriber);
     } else if (message.hasDigest()) {
-      connection.send(call, Envelope.newBuilder().setDigestAnswer(compare(message.getDigest())));
+      connection.send(
+          call, Envelope.newBuilder().setDigestAnswer(compareDigest(message.getDigest())));
     } else if (message.hasFetch()) {
-      connection.send(call, Envelope.newBuilder().setUpdate(fetched(message.getFetch())));
+      connection.send(call, Envelope.newBuilder().setUpdate(answerFetch(message.getFetch())));
     } else if (message.hasUpdate()) {
-      offerAll(fromWire(message.getUpdate()), "peer");
+      applyRecords(recordsOf(message.getUpdate()), "peer");
     }
   }
 
-  private DigestAnswer compare(Digest digest) {
-    long[] theirs = digest.getBucketsList().stream().mapToLong(Long::longValue).toArray();
+  private DigestAnswer compareDigest(Digest digest) {
+    long[] peerBuckets = digest.getBucketsList().stream().mapToLong(Long::longValue).toArray();
     DigestAnswer.Builder answer = DigestAnswer.newBuilder().setHostsRevision(fleet.revision());
-    if (theirs.length != AcceptedRecords.BUCKETS) {
+    if (peerBuckets.length != AcceptedRecords.BUCKETS) {
       return answer.build();
     }
-    Map<String, Long> held = records.heldWhereDifferent(theirs);
+    Map<String, Long> held = records.heldWhereDifferent(peerBuckets);
     held.forEach(
         (key, revision) ->
             answer.addHeld(DigestAnswer.Held.newBuilder().setKey(key).setRevision(revision)));
     return answer.setEqual(held.isEmpty()).build();
   }
 
-  private Update fetched(Fetch fetch) {
+  private Update answerFetch(Fetch fetch) {
     Update.Builder update = Update.newBuilder();
     for (String key : fetch.getKeysList()) {
       records.stored(key).ifPresent(record -> update.addRecords(WireRecords.toWire(record)));
@@ -247,7 +257,7 @@
     return update.build();
   }
 
-  private void peerDigest(String peer, DigestAnswer answer) {
+  private void onPeerDigest(String peer, DigestAnswer answer) {
     Map<String, Long> held =
         answer.getHeldList().stream()
             .collect(
@@ -256,42 +266,50 @@
     List<String> missing = records.missing(held);
     boolean hosts = answer.getHostsRevision() > fleet.revision();
     if (missing.isEmpty() && !hosts) {
-      heard(peer);
+      onPeerReconciled(peer);
       return;
     }
     Fetch fetch = Fetch.newBuilder().addAllKeys(missing).setHosts(hosts).build();
     callPeer(peer, Envelope.newBuilder().setFetch(fetch));
   }
 
-  private void heard(String peer) {
-    heardAnySource = true;
-    doNotWaitFor(peer);
+  /** Handles that nothing newer is left to fetch from {@code peer}. */
+  private void onPeerReconciled(String peer) {
+    receivedFromAnySource = true;
+    removePendingPeer(peer);
   }
 
-  private void doNotWaitFor(String peer) {
-    if (stillToHear != null) {
-      stillToHear.remove(peer);
+  private void removePendingPeer(String peer) {
+    if (pendingInitialPeers != null) {
+      pendingInitialPeers.remove(peer);
     }
     checkCaughtUp();
   }
 
   /**
-   * A process that has just started must not serve below its peers: the service may answer from an
-   * older replica, and a caller would see accepted configuration revert. So nothing here is ready
-   * until every peer that was asked has answered or could not be reached.
+   * Marks this watcher as caught up once the configuration service or a peer has answered, and
+   * every queried peer has answered or could not be reached.
+   *
+   * <p>The configuration service may answer from an older replica. If a watcher were ready before
+   * it has compared its records with its peers, it could serve an older configuration than they do,
+   * and a caller would see accepted configuration revert.
    */
   private void checkCaughtUp() {
-    if (!caughtUp && heardAnySource && stillToHear != null && stillToHear.isEmpty()) {
+    if (!caughtUp
+        && receivedFromAnySource
+        && pendingInitialPeers != null
+        && pendingInitialPeers.isEmpty()) {
       caughtUp = true;
       log.info("caught-up", "revision", records.highestRevision());
-      tellSubscribers(List.of(), false);
+      sendToSubscribers(List.of(), false);
     }
   }
 
-  private void askFirstPeers() {
-    List<Host> first = pick(peers(), FIRST_ASKED);
-    stillToHear = first.stream().map(Host::id).collect(Collectors.toCollection(HashSet::new));
-    first.forEach(this::sendDigest);
+  private void queryInitialPeers() {
+    List<Host> initialPeers = pickRandom(peers(), INITIAL_PEER_COUNT);
+    pendingInitialPeers =
+        initialPeers.stream().map(Host::id).collect(Collectors.toCollection(HashSet::new));
+    initialPeers.forEach(this::sendDigest);
     checkCaughtUp();
   }
 
@@ -312,35 +330,41 @@
         .host(peer)
         .ifPresentOrElse(
             host -> {
-              WireClient client = clients.to(endpoint(host));
+              WireClient client = clients.to(watcherEndpoint(host));
               client.call(message, new PeerCall(peer, client, owner));
             },
-            () -> doNotWaitFor(peer));
+            () -> removePendingPeer(peer));
   }
 
-  private void tellPeers(List<StoredRecord> news) {
-    for (Host peer : pick(peers(), settings.getFanOut())) {
-      WireClient client = clients.to(endpoint(peer));
-      for (Update update : inParts(news)) {
+  private void sendToPeers(List<StoredRecord> changes) {
+    for (Host peer : pickRandom(peers(), settings.getFanOut())) {
+      WireClient client = clients.to(watcherEndpoint(peer));
+      for (Update update : splitIntoUpdates(changes)) {
         client.tell(Envelope.newBuilder().setUpdate(update));
       }
     }
   }
 
-  private void tellSubscribers(List<StoredRecord> news, boolean hosts) {
+  private void sendToSubscribers(List<StoredRecord> changes, boolean hosts) {
     subscribers.forEach(
         (connection, subscriber) ->
-            send(connection, subscriber, subscriber.hostsOnly ? List.of() : news, hosts));
+            send(connection, subscriber, subscriber.hostsOnly ? List.of() : changes, hosts));
   }
 
-  private void sendAll(WireConnection connection, Subscriber subscriber) {
+  /** Sends all records, unless only the hosts were subscribed to, and the host list. */
+  private void sendSnapshot(WireConnection connection, Subscriber subscriber) {
     send(connection, subscriber, subscriber.hostsOnly ? List.of() : records.all(), true);
   }
 
-  /** Sends records in parts; the last one says whether that was all and may bring the host list. */
+  /**
+   * Sends records to a subscriber as one or more updates.
+   *
+   * <p>Only the last update states whether this watcher has caught up, and only it carries the host
+   * list if {@code hosts} is set.
+   */
   private void send(
-      WireConnection connection, Subscriber subscriber, List<StoredRecord> news, boolean hosts) {
-    List<Update> parts = inParts(news);
+      WireConnection connection, Subscriber subscriber, List<StoredRecord> changes, boolean hosts) {
+    List<Update> parts = splitIntoUpdates(changes);
     for (int i = 0; i < parts.size(); i++) {
       boolean last = i == parts.size() - 1;
       Update.Builder update = parts.get(i).toBuilder().setCaughtUp(caughtUp && last);
@@ -355,8 +379,10 @@
     update.setHosts(ByteString.copyFrom(fleetJson)).setHostsRevision(fleet.revision());
   }
 
-  /** Cuts records into updates of bounded size; at least one, which may be empty. */
-  private static List<Update> inParts(List<StoredRecord> all) {
+  /**
+   * Splits records into updates of bounded size: at least one, which is empty if there are none.
+   */
+  private static List<Update> splitIntoUpdates(List<StoredRecord> all) {
     List<Update> parts = new ArrayList<>();
     for (int from = 0; from == 0 || from < all.size(); from += RECORDS_PER_UPDATE) {
       Update.Builder update = Update.newBuilder();
@@ -367,7 +393,7 @@
     return parts;
   }
 
-  private static List<StoredRecord> fromWire(Update update) {
+  private static List<StoredRecord> recordsOf(Update update) {
     return update.getRecordsList().stream().map(WireRecords::fromWire).toList();
   }
 
@@ -375,16 +401,16 @@
     return fleet.hosts().stream().filter(h -> !h.id().equals(settings.getHostId())).toList();
   }
 
-  private <T> List<T> pick(List<T> from, int count) {
-    List<T> left = new ArrayList<>(from);
+  private <T> List<T> pickRandom(List<T> candidates, int count) {
+    List<T> remaining = new ArrayList<>(candidates);
     List<T> picked = new ArrayList<>();
-    while (picked.size() < count && !left.isEmpty()) {
-      picked.add(left.remove(random.nextInt(left.size())));
+    while (picked.size() < count && !remaining.isEmpty()) {
+      picked.add(remaining.remove(random.nextInt(remaining.size())));
     }
     return picked;
   }
 
-  private static Endpoint endpoint(Host host) {
+  private static Endpoint watcherEndpoint(Host host) {
     return new Endpoint(host.address(), host.watcherPort());
   }
 
--- a/sequoia-watcher/src/main/java/org/sequoiahub/watcher/WatcherMain.java
+++ b/sequoia-watcher/src/main/java/org/sequoiahub/watcher/WatcherMain.java
@@ -3,7 +3,7 @@
 import org.sequoiahub.runtime.process.ProcessMain;
 import org.sequoiahub.schema.settings.WatcherSettings;
 
-/** The binary {@code sequoia-watcher}. */
+/** The entry point of the {@code sequoia-watcher} process. */
 public final class WatcherMain {
 
   private WatcherMain() {}
--- a/sequoia-watcher/src/main/java/org/sequoiahub/watcher/package-info.java
+++ b/sequoia-watcher/src/main/java/org/sequoiahub/watcher/package-info.java
@@ -1,4 +1,7 @@
-/** The one reader of the configuration service and of the host list on its host. */
+/**
+ * The watcher process: the only reader of the configuration service and of the host list on its
+ * host.
+ */
 @NullMarked
 package org.sequoiahub.watcher;
 
