--- a/sequoia-platform/src/main/java/org/sequoiahub/platform/BlockingHttp.java
+++ b/sequoia-platform/src/main/java/org/sequoiahub/platform/BlockingHttp.java
@@ -10,15 +10,15 @@
 import org.eclipse.jetty.http.HttpStatus;
 import org.sequoiahub.runtime.settings.Endpoint;
 
-/** Blocking reads, for duties that do nothing else. */
+/** Blocking HTTP requests, for threads that only read one source. */
 final class BlockingHttp {
 
   private BlockingHttp() {}
 
   /**
-   * Reads one resource.
+   * Returns the response to a GET request.
    *
-   * @throws IOException if no answer came in time, or one that is not 200
+   * @throws IOException if no response arrives before the timeout, or its status is not 200
    */
   static ContentResponse get(
       HttpClient http, Endpoint endpoint, String path, long timeoutMillis, int maxBytes)
@@ -33,14 +33,14 @@
               .send()
               .get(timeoutMillis, TimeUnit.MILLISECONDS);
       if (response.getStatus() != HttpStatus.OK_200) {
-        throw new IOException(endpoint + path + " answered " + response.getStatus());
+        throw new IOException(endpoint + path + " responded with status " + response.getStatus());
       }
       return response;
     } catch (ExecutionException e) {
       throw new IOException(endpoint + path + ": " + e.getCause(), e);
     } catch (TimeoutException e) {
       request.abort(e);
-      throw new IOException(endpoint + path + ": no answer in " + timeoutMillis + " ms", e);
+      throw new IOException(endpoint + path + ": no response within " + timeoutMillis + " ms", e);
     }
   }
 }
--- a/sequoia-platform/src/main/java/org/sequoiahub/platform/ConfigurationClient.java
+++ b/sequoia-platform/src/main/java/org/sequoiahub/platform/ConfigurationClient.java
@@ -12,11 +12,13 @@
 import org.sequoiahub.core.config.StoredRecord;
 import org.sequoiahub.runtime.settings.Endpoint;
 
-/** Reads and watches the configuration service; blocking, for one duty's own thread. */
+/** Reads and watches the configuration service. All calls block, so each needs its own thread. */
 public final class ConfigurationClient {
 
-  private static final int MAX_LISTING_BYTES = 256 << 20;
-  private static final long GRACE_MILLIS = 2_000;
+  private static final int MAX_RESPONSE_BYTES = 256 << 20;
+
+  /** Time allowed for a response, in addition to the wait that a watch asks the service for. */
+  private static final long RESPONSE_TIMEOUT_MILLIS = 2_000;
 
   private final HttpClient http;
   private final Endpoint endpoint;
@@ -29,28 +31,36 @@
   }
 
   /**
-   * What one call returned.
+   * The records that one call returned.
    *
-   * @param revision the service's revision when it answered
-   * @param complete whether {@code records} is everything, not only changes
-   * @param records the records or changes
+   * @param revision the service's revision at the time of its response
+   * @param complete whether {@code records} holds all records, not only changes
+   * @param records all records, or the changed and deleted ones
    */
   public record Listing(long revision, boolean complete, List<StoredRecord> records) {}
 
-  /** Reads all records. */
+  /**
+   * Returns all records.
+   *
+   * @throws IOException if the service does not respond with status 200 before the timeout
+   */
   public Listing list() throws IOException, InterruptedException {
-    return read("/v1/records", GRACE_MILLIS);
+    return read("/v1/records", RESPONSE_TIMEOUT_MILLIS);
   }
 
-  /** Waits at most {@code waitMillis} for changes after {@code revision}. */
+  /**
+   * Returns the changes after {@code revision}, waiting at most {@code waitMillis} for one.
+   *
+   * @throws IOException if the service does not respond with status 200 before the timeout
+   */
   public Listing watch(long revision, long waitMillis) throws IOException, InterruptedException {
     String path = "/v1/watch?after=" + revision + "&wait_ms=" + waitMillis;
-    return read(path, waitMillis + GRACE_MILLIS);
+    return read(path, waitMillis + RESPONSE_TIMEOUT_MILLIS);
   }
 
   private Listing read(String path, long timeoutMillis) throws IOException, InterruptedException {
     ContentResponse response =
-        BlockingHttp.get(http, endpoint, path, timeoutMillis, MAX_LISTING_BYTES);
+        BlockingHttp.get(http, endpoint, path, timeoutMillis, MAX_RESPONSE_BYTES);
     JsonNode root = mapper.readTree(response.getContent());
     List<StoredRecord> records = new ArrayList<>();
     for (JsonNode item : root.path("records")) {
--- a/sequoia-platform/src/main/java/org/sequoiahub/platform/EngineClient.java
+++ b/sequoia-platform/src/main/java/org/sequoiahub/platform/EngineClient.java
@@ -22,41 +22,42 @@
 import org.sequoiahub.core.runner.EngineReport;
 import org.sequoiahub.core.runner.OrderResult;
 
-/** Speaks the engines' published interface. All answers come on an HTTP client thread. */
+/** Calls the engines' published interface. All callbacks run on an HTTP client thread. */
 public final class EngineClient {
 
-  /** Header that carries the fencing number. */
+  /** The header that carries the fencing number of the sender. */
   public static final String FENCING_HEADER = "Sequoia-Fencing";
 
-  /** Header that carries the request's id. */
+  /** The header that carries the request's id. */
   public static final String REQUEST_ID_HEADER = "X-Request-Id";
 
-  private static final int MAX_ANSWER_BYTES = 4 << 20;
+  private static final int MAX_RESPONSE_BYTES = 4 << 20;
 
   private final HttpClient http;
   private final ObjectMapper mapper = new ObjectMapper();
 
-  /** Creates a client of all engines. */
+  /** Creates a client for all engines; each call names the address of its engine. */
   public EngineClient(HttpClient http) {
     this.http = http;
   }
 
   /**
-   * An engine's answer to an order.
+   * An engine's response to an order.
    *
-   * @param result whether it was done
-   * @param fenced whether it was refused for its fencing number
-   * @param highestFencing the number to exceed, if fenced
+   * @param result whether the order was carried out, or unknown if no response was received
+   * @param fenced whether the order was refused because of its fencing number
+   * @param highestFencing the fencing number that the next order must exceed, if fenced; 0 if the
+   *     engine did not state it
    */
   public record OrderResponse(OrderResult result, boolean fenced, long highestFencing) {}
 
-  /** What an engine reported, or nothing if it could not be read. */
+  /** Receives an engine's load report. */
   public interface ReportListener {
-    /** Receives a report. */
+    /** Called with the report. */
     void onReport(EngineReport report);
 
-    /** Told that no report could be read. */
-    void onFailure(String why);
+    /** Called if the report could not be read. */
+    void onFailure(String reason);
   }
 
   /** Orders an engine to load an adapter version. */
@@ -65,10 +66,10 @@
       AdapterVersion adapter,
       long fencing,
       long timeoutMillis,
-      Consumer<OrderResponse> answer) {
+      Consumer<OrderResponse> callback) {
     Map<String, String> body =
         Map.of("lora_name", adapter.exactName(), "lora_path", "weights/" + adapter.exactName());
-    order(address, "/v1/load_lora_adapter", body, fencing, timeoutMillis, answer);
+    sendOrder(address, "/v1/load_lora_adapter", body, fencing, timeoutMillis, callback);
   }
 
   /** Orders an engine to evict an adapter version. */
@@ -77,24 +78,27 @@
       AdapterVersion adapter,
       long fencing,
       long timeoutMillis,
-      Consumer<OrderResponse> answer) {
+      Consumer<OrderResponse> callback) {
     Map<String, String> body = Map.of("lora_name", adapter.exactName());
-    order(address, "/v1/unload_lora_adapter", body, fencing, timeoutMillis, answer);
+    sendOrder(address, "/v1/unload_lora_adapter", body, fencing, timeoutMillis, callback);
   }
 
-  /** Gives an engine the order that changes nothing: it only makes the fencing number known. */
+  /** Sends an engine an order that changes nothing except the highest fencing number it knows. */
   public void claim(
-      String address, long fencing, long timeoutMillis, Consumer<OrderResponse> answer) {
-    order(address, "/v1/role", Map.of("role", "serve"), fencing, timeoutMillis, answer);
+      String address, long fencing, long timeoutMillis, Consumer<OrderResponse> callback) {
+    sendOrder(address, "/v1/role", Map.of("role", "serve"), fencing, timeoutMillis, callback);
   }
 
   /**
-   * Asks an engine to stop a request; {@code confirmed} gets whether it surely no longer runs.
+   * Asks an engine to cancel a request.
    *
-   * <p>A cancel travels on its own connection and can overtake the start. An engine that does not
-   * know the request may get it a moment later; were that taken for a confirmation, the adapter
-   * would lose its pin and be evicted under the request. So only the engine's word that it knew it
-   * counts.
+   * <p>A cancel uses its own connection and can overtake the start of the request. An engine that
+   * does not know the request may therefore receive it a moment later. If such a response counted
+   * as a confirmation, the adapter would be unpinned and could be evicted while the request runs.
+   * Only a response from an engine that knew the request (status 200) therefore confirms the
+   * cancel.
+   *
+   * @param confirmed receives whether the request is certain to run no longer
    */
   public void cancel(
       String address, String requestId, long timeoutMillis, Consumer<Boolean> confirmed) {
@@ -102,7 +106,7 @@
         http.newRequest("http://" + address + "/v1/requests/" + requestId + "/cancel")
             .method(HttpMethod.POST)
             .timeout(timeoutMillis, TimeUnit.MILLISECONDS);
-    new CompletableResponseListener(request, MAX_ANSWER_BYTES)
+    new CompletableResponseListener(request, MAX_RESPONSE_BYTES)
         .send()
         .whenComplete(
             (response, failure) ->
@@ -112,29 +116,33 @@
   /**
    * Reads an engine's load report.
    *
-   * @param nowMillis the present time; the sample is dated relative to it
+   * @param nowMillis the present time (ms), from which the age of the sample is subtracted
    */
-  public void readReport(String address, long timeoutMillis, long nowMillis, ReportListener listener) {
+  public void readReport(
+      String address, long timeoutMillis, long nowMillis, ReportListener listener) {
     Request request =
         http.newRequest("http://" + address + "/v1/load")
             .timeout(timeoutMillis, TimeUnit.MILLISECONDS);
-    new CompletableResponseListener(request, MAX_ANSWER_BYTES)
+    new CompletableResponseListener(request, MAX_RESPONSE_BYTES)
         .send()
         .whenComplete(
             (response, failure) -> {
               if (failure != null || response.getStatus() != HttpStatus.OK_200) {
-                listener.onFailure(failure == null ? "status " + response.getStatus() : "" + failure);
+                listener.onFailure(
+                    failure == null
+                        ? "the engine responded with status " + response.getStatus()
+                        : "" + failure);
                 return;
               }
               try {
                 listener.onReport(parseReport(response, nowMillis));
               } catch (IOException | IllegalArgumentException e) {
-                listener.onFailure("report: " + e.getMessage());
+                listener.onFailure("cannot parse the load report: " + e.getMessage());
               }
             });
   }
 
-  /** Starts a request and streams its answer. */
+  /** Starts a request and streams its response. */
   public EngineStream start(
       String address,
       String path,
@@ -162,7 +170,7 @@
     return EngineStream.open(request, mapper, listener);
   }
 
-  /** Streams the rest of a running request's answer, from after chunk {@code after}. */
+  /** Resumes the response stream of a running request after chunk {@code after}. */
   public EngineStream resume(
       String address, String requestId, long after, EngineStream.Listener listener) {
     Request request =
@@ -171,18 +179,18 @@
     return EngineStream.open(request, mapper, listener);
   }
 
-  private void order(
+  private void sendOrder(
       String address,
       String path,
       Map<String, String> body,
       long fencing,
       long timeoutMillis,
-      Consumer<OrderResponse> answer) {
+      Consumer<OrderResponse> callback) {
     byte[] json;
     try {
       json = mapper.writeValueAsBytes(body);
     } catch (JsonProcessingException e) {
-      throw new IllegalArgumentException("body must be a map of texts", e);
+      throw new IllegalArgumentException("cannot write the body of the order as JSON", e);
     }
     Request request =
         http.newRequest("http://" + address + path)
@@ -192,12 +200,13 @@
     if (fencing > 0) {
       request.headers(headers -> headers.put(FENCING_HEADER, Long.toString(fencing)));
     }
-    new CompletableResponseListener(request, MAX_ANSWER_BYTES)
+    new CompletableResponseListener(request, MAX_RESPONSE_BYTES)
         .send()
-        .whenComplete((response, failure) -> answer.accept(orderAnswer(response, failure)));
+        .whenComplete((response, failure) -> callback.accept(toOrderResponse(response, failure)));
   }
 
-  private OrderResponse orderAnswer(@Nullable ContentResponse response, @Nullable Throwable failure) {
+  private OrderResponse toOrderResponse(
+      @Nullable ContentResponse response, @Nullable Throwable failure) {
     if (response == null || failure != null) {
       return new OrderResponse(OrderResult.UNKNOWN, false, 0);
     }
@@ -205,12 +214,12 @@
       return new OrderResponse(OrderResult.DONE, false, 0);
     }
     if (response.getStatus() == HttpStatus.PRECONDITION_FAILED_412) {
-      return new OrderResponse(OrderResult.FAILED, true, highest(response));
+      return new OrderResponse(OrderResult.FAILED, true, parseHighestFencing(response));
     }
     return new OrderResponse(OrderResult.FAILED, false, 0);
   }
 
-  private long highest(ContentResponse response) {
+  private long parseHighestFencing(ContentResponse response) {
     try {
       return mapper.readTree(response.getContent()).path("highest").longValue();
     } catch (IOException e) {
@@ -226,10 +235,13 @@
       active.put(item.path("id").asText(), AdapterVersion.parse(item.path("model").asText()));
     }
     return new EngineReport(
-        sentMillis - age, adapters(root.path("resident")), adapters(root.path("loading")), active);
+        sentMillis - age,
+        parseAdapters(root.path("resident")),
+        parseAdapters(root.path("loading")),
+        active);
   }
 
-  private static Set<AdapterVersion> adapters(JsonNode names) {
+  private static Set<AdapterVersion> parseAdapters(JsonNode names) {
     Set<AdapterVersion> adapters = new HashSet<>();
     names.forEach(name -> adapters.add(AdapterVersion.parse(name.asText())));
     return adapters;
--- a/sequoia-platform/src/main/java/org/sequoiahub/platform/EngineStream.java
+++ b/sequoia-platform/src/main/java/org/sequoiahub/platform/EngineStream.java
@@ -13,7 +13,7 @@
 import org.eclipse.jetty.http.HttpStatus;
 import org.jspecify.annotations.Nullable;
 
-/** One connection that carries the events of an engine's answer. */
+/** Reads the event stream of an engine's response to one request, over one connection. */
 public final class EngineStream {
 
   private static final byte[] END_MARKER = "[DONE]".getBytes(UTF_8);
@@ -21,7 +21,7 @@
   private final Request request;
   private final ObjectMapper mapper;
   private final Listener listener;
-  private final EventStreamDecoder lines = new EventStreamDecoder();
+  private final EventStreamDecoder decoder = new EventStreamDecoder();
   private int status;
   private long lastSequence;
   private boolean ended;
@@ -33,52 +33,52 @@
     this.listener = listener;
   }
 
-  /** Receives the events of an answer, on an HTTP client thread. */
+  /** Receives the events of a response, on an HTTP client thread. */
   public interface Listener {
     /**
      * Receives one event.
      *
-     * @param sequence its number, from 1
-     * @param model the exact name that the engine says it ran
-     * @param data its JSON
+     * @param sequence the event's sequence number, starting at 1
+     * @param model the exact name of the adapter version that the engine reports to have run
+     * @param data the event's JSON
      */
     void onChunk(long sequence, String model, byte[] data);
 
-    /** Told of the engine's end marker: the answer has {@code chunks} chunks. */
+    /** Called on the engine's end marker: the response is complete with {@code chunks} chunks. */
     void onEnd(long chunks);
 
-    /** Told that the engine refused the request: it has not run and will not. */
+    /** Called if the engine refused the request, which has not run and will not run. */
     void onRefused(int status, String message);
 
-    /** Told that the connection is gone without an end marker: the request may still run. */
-    void onBroken(String why);
+    /** Called if the connection ended without an end marker: the request may still be running. */
+    void onBroken(String reason);
   }
 
   static EngineStream open(Request request, ObjectMapper mapper, Listener listener) {
     EngineStream stream = new EngineStream(request, mapper, listener);
     request
         .onResponseBegin(response -> stream.status = response.getStatus())
-        .onResponseContent((Response response, ByteBuffer content) -> stream.content(content))
-        .send(stream::complete);
+        .onResponseContent((Response response, ByteBuffer content) -> stream.onContent(content))
+        .send(stream::onComplete);
     return stream;
   }
 
-  /** Gives the connection up; the engine is not told. */
+  /** Closes the connection without cancelling the request at the engine. */
   public void abandon() {
     request.abort(new IOException("abandoned"));
   }
 
-  private void content(ByteBuffer content) {
+  private void onContent(ByteBuffer content) {
     if (status != HttpStatus.OK_200) {
       errorBody.append(UTF_8.decode(content));
       return;
     }
-    for (byte[] data : lines.decode(content)) {
-      event(data);
+    for (byte[] data : decoder.decode(content)) {
+      onEvent(data);
     }
   }
 
-  private void event(byte[] data) {
+  private void onEvent(byte[] data) {
     if (Arrays.equals(data, END_MARKER)) {
       if (lastSequence > 0) {
         ended = true;
@@ -90,11 +90,11 @@
     try {
       json = mapper.readTree(data);
     } catch (IOException e) {
-      request.abort(new IOException("an event is not JSON", e));
+      request.abort(new IOException("cannot parse an event of the stream as JSON", e));
       return;
     }
     long sequence = json.path("seq").longValue();
-    if (isLast(json)) {
+    if (isLastEvent(json)) {
       lastSequence = sequence;
     }
     if (sequence > 0) {
@@ -103,10 +103,12 @@
   }
 
   /**
-   * Returns whether this is the answer's last event. The end marker counts only after it: were the
-   * last event lost, the marker alone would make a cut answer look whole.
+   * Returns whether this is the last event of the response.
+   *
+   * <p>The end marker is accepted only after this event. If the event were lost, the marker alone
+   * would make a truncated response look complete.
    */
-  private static boolean isLast(JsonNode event) {
+  private static boolean isLastEvent(JsonNode event) {
     JsonNode choices = event.path("choices");
     if (choices.isEmpty()) {
       return false;
@@ -119,7 +121,7 @@
     return true;
   }
 
-  private void complete(Result result) {
+  private void onComplete(Result result) {
     if (ended) {
       return;
     }
@@ -129,7 +131,8 @@
         && status != HttpStatus.INTERNAL_SERVER_ERROR_500) {
       listener.onRefused(status, errorBody.toString());
     } else {
-      listener.onBroken(failure == null ? "the answer ended without its end marker" : "" + failure);
+      listener.onBroken(
+          failure == null ? "the response ended without the end marker" : "" + failure);
     }
   }
 }
--- a/sequoia-platform/src/main/java/org/sequoiahub/platform/EventStreamDecoder.java
+++ b/sequoia-platform/src/main/java/org/sequoiahub/platform/EventStreamDecoder.java
@@ -7,40 +7,44 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** Takes the {@code data:} lines out of a text/event-stream, however the network cuts it. */
+/**
+ * Decodes the {@code data:} lines of a {@code text/event-stream} that arrives in chunks.
+ *
+ * <p>A line may span several chunks.
+ */
 final class EventStreamDecoder {
 
-  private static final byte[] PREFIX = "data:".getBytes(UTF_8);
+  private static final byte[] DATA_PREFIX = "data:".getBytes(UTF_8);
 
   private final ByteArrayOutputStream line = new ByteArrayOutputStream();
 
-  /** Takes in a piece of the stream and returns the data of the lines that it completes. */
-  List<byte[]> decode(ByteBuffer piece) {
-    List<byte[]> complete = new ArrayList<>();
-    while (piece.hasRemaining()) {
-      byte next = piece.get();
+  /** Decodes the next chunk and returns the data of the lines that it completes. */
+  List<byte[]> decode(ByteBuffer chunk) {
+    List<byte[]> completed = new ArrayList<>();
+    while (chunk.hasRemaining()) {
+      byte next = chunk.get();
       if (next != '\n') {
         line.write(next);
         continue;
       }
       byte[] bytes = line.toByteArray();
       line.reset();
-      if (startsWithPrefix(bytes)) {
-        complete.add(
-            new String(bytes, PREFIX.length, bytes.length - PREFIX.length, UTF_8)
+      if (startsWithDataPrefix(bytes)) {
+        completed.add(
+            new String(bytes, DATA_PREFIX.length, bytes.length - DATA_PREFIX.length, UTF_8)
                 .trim()
                 .getBytes(UTF_8));
       }
     }
-    return complete;
+    return completed;
   }
 
-  private static boolean startsWithPrefix(byte[] bytes) {
-    if (bytes.length < PREFIX.length) {
+  private static boolean startsWithDataPrefix(byte[] bytes) {
+    if (bytes.length < DATA_PREFIX.length) {
       return false;
     }
-    for (int i = 0; i < PREFIX.length; i++) {
-      if (bytes[i] != PREFIX[i]) {
+    for (int i = 0; i < DATA_PREFIX.length; i++) {
+      if (bytes[i] != DATA_PREFIX[i]) {
         return false;
       }
     }
--- a/sequoia-platform/src/main/java/org/sequoiahub/platform/HttpClients.java
+++ b/sequoia-platform/src/main/java/org/sequoiahub/platform/HttpClients.java
@@ -5,17 +5,17 @@
 import org.eclipse.jetty.io.ClientConnector;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
-/** Creates the HTTP client of a process. */
+/** Creates the HTTP client that all clients of a process share. */
 public final class HttpClients {
 
   private static final int MAX_THREADS = 8;
   private static final int MIN_THREADS = 2;
-  private static final int CONNECTIONS_PER_UPSTREAM = 512;
+  private static final int MAX_CONNECTIONS_PER_UPSTREAM = 512;
   private static final int CONNECT_TIMEOUT_MILLIS = 1_000;
 
   private HttpClients() {}
 
-  /** Returns a started client. */
+  /** Creates and starts a client. */
   public static HttpClient start() throws Exception {
     ClientConnector connector = new ClientConnector();
     QueuedThreadPool threads = new QueuedThreadPool(MAX_THREADS, MIN_THREADS);
@@ -24,7 +24,7 @@
     connector.setExecutor(threads);
     connector.setSelectors(1);
     HttpClient client = new HttpClient(new HttpClientTransportOverHTTP(connector));
-    client.setMaxConnectionsPerDestination(CONNECTIONS_PER_UPSTREAM);
+    client.setMaxConnectionsPerDestination(MAX_CONNECTIONS_PER_UPSTREAM);
     client.setConnectTimeout(CONNECT_TIMEOUT_MILLIS);
     client.setFollowRedirects(false);
     client.getContentDecoderFactories().clear();
--- a/sequoia-platform/src/main/java/org/sequoiahub/platform/ServiceClient.java
+++ b/sequoia-platform/src/main/java/org/sequoiahub/platform/ServiceClient.java
@@ -10,11 +10,11 @@
 import org.eclipse.jetty.client.HttpClient;
 import org.eclipse.jetty.client.Request;
 
-/** Calls the upstreams of plain services, once for each call made to it. */
+/** Forwards calls to the upstreams of plain services, without retries. */
 public final class ServiceClient {
 
-  private static final int MAX_ANSWER_BYTES = 16 << 20;
-  private static final Set<String> PASSED_ON =
+  private static final int MAX_RESPONSE_BYTES = 16 << 20;
+  private static final Set<String> FORWARDED_HEADERS =
       Set.of("content-type", "cache-control", "etag", "location", "last-modified");
 
   private final HttpClient http;
@@ -24,20 +24,20 @@
     this.http = http;
   }
 
-  /** Receives what became of a call, on an HTTP client thread. */
+  /** Receives the result of a call, on an HTTP client thread. */
   public interface Listener {
-    /** The upstream answered. */
+    /** Called with the upstream's response, whatever its status. */
     void onResponse(int status, Map<String, String> headers, byte[] body);
 
     /**
-     * No answer came.
+     * Called if no response was received.
      *
-     * @param sent false if surely nothing of the call reached the upstream
+     * @param sent false only if it is certain that no part of the call reached the upstream
      */
-    void onFailure(boolean sent, String why);
+    void onFailure(boolean sent, String reason);
   }
 
-  /** Makes one call. It is never repeated here: that is for its owner to decide. */
+  /** Makes one call. It is never retried here: only the owner of the call may decide that. */
   public void call(
       String address,
       String method,
@@ -46,36 +46,36 @@
       byte[] body,
       long timeoutMillis,
       Listener listener) {
-    AtomicBoolean begun = new AtomicBoolean();
+    AtomicBoolean sendBegun = new AtomicBoolean();
     Request request =
         http.newRequest("http://" + address + path)
             .method(method)
             .timeout(timeoutMillis, TimeUnit.MILLISECONDS)
-            .onRequestBegin(r -> begun.set(true));
+            .onRequestBegin(r -> sendBegun.set(true));
     headers.forEach((name, value) -> request.headers(fields -> fields.put(name, value)));
     if (body.length > 0) {
       request.body(
           new BytesRequestContent(
               headers.getOrDefault("content-type", "application/octet-stream"), body));
     }
-    new CompletableResponseListener(request, MAX_ANSWER_BYTES)
+    new CompletableResponseListener(request, MAX_RESPONSE_BYTES)
         .send()
         .whenComplete(
             (response, failure) -> {
               if (failure != null) {
-                listener.onFailure(begun.get(), String.valueOf(failure));
+                listener.onFailure(sendBegun.get(), String.valueOf(failure));
                 return;
               }
-              Map<String, String> kept = new HashMap<>();
+              Map<String, String> forwarded = new HashMap<>();
               response
                   .getHeaders()
                   .forEach(
                       field -> {
-                        if (PASSED_ON.contains(field.getLowerCaseName())) {
-                          kept.put(field.getLowerCaseName(), field.getValue());
+                        if (FORWARDED_HEADERS.contains(field.getLowerCaseName())) {
+                          forwarded.put(field.getLowerCaseName(), field.getValue());
                         }
                       });
-              listener.onResponse(response.getStatus(), kept, response.getContent());
+              listener.onResponse(response.getStatus(), forwarded, response.getContent());
             });
   }
 }
--- a/sequoia-platform/src/main/java/org/sequoiahub/platform/WeightStoreClient.java
+++ b/sequoia-platform/src/main/java/org/sequoiahub/platform/WeightStoreClient.java
@@ -10,11 +10,11 @@
 import org.eclipse.jetty.http.HttpStatus;
 import org.sequoiahub.runtime.settings.Endpoint;
 
-/** Reads the weight store's published status. */
+/** Reads the published status of the weight store. */
 public final class WeightStoreClient {
 
   private static final long TIMEOUT_MILLIS = 1_000;
-  private static final int MAX_BYTES = 1 << 16;
+  private static final int MAX_RESPONSE_BYTES = 1 << 16;
 
   private final HttpClient http;
   private final Endpoint endpoint;
@@ -26,25 +26,30 @@
     this.endpoint = endpoint;
   }
 
-  /** Reads how many loads are in progress; empty if that cannot be read. */
-  public void readActiveLoads(Consumer<OptionalInt> answer) {
+  /**
+   * Reads the number of loads in progress.
+   *
+   * @param callback receives the number, or empty if it cannot be read; called on an HTTP client
+   *     thread
+   */
+  public void readActiveLoads(Consumer<OptionalInt> callback) {
     var request =
         http.newRequest("http://" + endpoint + "/v1/status")
             .timeout(TIMEOUT_MILLIS, TimeUnit.MILLISECONDS);
-    new CompletableResponseListener(request, MAX_BYTES)
+    new CompletableResponseListener(request, MAX_RESPONSE_BYTES)
         .send()
         .whenComplete(
             (response, failure) -> {
               if (failure != null || response.getStatus() != HttpStatus.OK_200) {
-                answer.accept(OptionalInt.empty());
+                callback.accept(OptionalInt.empty());
                 return;
               }
               try {
-                answer.accept(
+                callback.accept(
                     OptionalInt.of(
                         mapper.readTree(response.getContent()).path("active").intValue()));
               } catch (IOException e) {
-                answer.accept(OptionalInt.empty());
+                callback.accept(OptionalInt.empty());
               }
             });
   }
--- a/sequoia-platform/src/main/java/org/sequoiahub/platform/package-info.java
+++ b/sequoia-platform/src/main/java/org/sequoiahub/platform/package-info.java
@@ -1,6 +1,7 @@
 /**
- * Adapters to what the platform publishes, one class for each interface in docs/PLATFORM.md, so
- * that another implementation of the platform needs a change in one place only.
+ * Clients of the interfaces that the platform publishes, one class for each interface in
+ * docs/PLATFORM.md, so that supporting another implementation of the platform requires changes in
+ * this package only.
  */
 @NullMarked
 package org.sequoiahub.platform;
