--- a/sequoia-soak/src/main/java/org/sequoiahub/soak/Callers.java
+++ b/sequoia-soak/src/main/java/org/sequoiahub/soak/Callers.java
@@ -11,7 +11,7 @@
 import org.eclipse.jetty.client.Request;
 import org.eclipse.jetty.client.StringRequestContent;
 import org.eclipse.jetty.http.HttpMethod;
-import org.sequoiahub.soak.Asked.Kind;
+import org.sequoiahub.soak.RequestResult.Kind;
 import org.sequoiahub.usersplatform.Headers;
 
 /** Callers that send requests to hosts drawn at random and note what comes of each. */
@@ -26,10 +26,10 @@
   private final List<HostProcess> hosts;
   private final int port;
   private final Random random;
-  private final String run;
-  private final AtomicInteger sent = new AtomicInteger();
-  private final AtomicInteger open = new AtomicInteger();
-  private final Queue<Asked> asked = new ConcurrentLinkedQueue<>();
+  private final String runId;
+  private final AtomicInteger sentCount = new AtomicInteger();
+  private final AtomicInteger inProgress = new AtomicInteger();
+  private final Queue<RequestResult> results = new ConcurrentLinkedQueue<>();
 
   /**
    * Creates callers.
@@ -41,23 +41,23 @@
     this.hosts = hosts;
     this.port = port;
     this.random = random;
-    this.run = run;
+    this.runId = run;
   }
 
   /** Returns the requests that have ended. */
-  Queue<Asked> asked() {
-    return asked;
+  Queue<RequestResult> results() {
+    return results;
   }
 
   /** Returns how many requests have not ended. */
-  int open() {
-    return open.get();
+  int inProgress() {
+    return inProgress.get();
   }
 
   /** Sends one request. */
   void send() {
     Kind kind = Kind.values()[random.nextInt(Kind.values().length)];
-    String id = run + "-" + sent.incrementAndGet();
+    String id = runId + "-" + sentCount.incrementAndGet();
     HostProcess host = hosts.get(random.nextInt(hosts.size()));
     Request request =
         http.newRequest("http://" + host.ip() + ":" + port)
@@ -80,16 +80,17 @@
                   .put(Headers.PROMPT, "aa:60,bb:40"));
     }
     request.body(new StringRequestContent("body of " + id));
-    open.incrementAndGet();
+    inProgress.incrementAndGet();
     new CompletableResponseListener(request)
         .send()
         .whenComplete(
             (response, failure) -> {
-              asked.add(
+              results.add(
                   failure != null || response == null
-                      ? new Asked(id, kind, 0, null)
-                      : new Asked(id, kind, response.getStatus(), response.getContentAsString()));
-              open.decrementAndGet();
+                      ? new RequestResult(id, kind, 0, null)
+                      : new RequestResult(
+                          id, kind, response.getStatus(), response.getContentAsString()));
+              inProgress.decrementAndGet();
             });
   }
 }
--- /dev/null
+++ b/sequoia-soak/src/main/java/org/sequoiahub/soak/FaultInjector.java
@@ -0,0 +1,134 @@
+package org.sequoiahub.soak;
+
+import java.util.ArrayList;
+import java.util.List;
+import java.util.Random;
+import java.util.concurrent.ScheduledExecutorService;
+import java.util.concurrent.TimeUnit;
+
+/** Draws faults and undoes each after a while; they overlap and come in series. */
+final class FaultInjector {
+
+  private static final int MAX_FAULT_MILLIS = 3_000;
+  private static final int MAX_DELAY_MILLIS = 80;
+
+  private final Soak soak;
+  private final Random random;
+  private final ScheduledExecutorService scheduler;
+  private int count;
+
+  /** What can fail with an exception, as most faults can. */
+  @FunctionalInterface
+  private interface FaultAction {
+    void run() throws Exception;
+  }
+
+  FaultInjector(Soak soak, Random random, ScheduledExecutorService later) {
+    this.soak = soak;
+    this.random = random;
+    this.scheduler = later;
+  }
+
+  /** Returns how many faults there were. */
+  int count() {
+    return count;
+  }
+
+  /** Injects the next fault. */
+  void injectNext() {
+    count++;
+    HostProcess host = pickRandom(soak.hosts());
+    FaultProxy proxy =
+        pickRandom(random.nextBoolean() ? soak.storeProxies() : soak.runnerProxies());
+    long millis = 200 + random.nextInt(MAX_FAULT_MILLIS);
+    switch (random.nextInt(10)) {
+      case 0 -> inject("kill " + host.name(), host::kill, millis / 2, host::start);
+      case 1 -> inject("stop " + host.name(), () -> stopHost(host), millis / 2, host::start);
+      case 2 ->
+          inject(
+              "pause " + host.name(), () -> host.signal("STOP"), millis, () -> host.signal("CONT"));
+      case 3 -> inject("hangup " + host.name(), () -> host.signal("HUP"), 0, () -> {});
+      case 4 -> inject("reset", proxy::resetConnections, 0, () -> {});
+      case 5 -> injectLoss(proxy, FaultProxy.Mode.LOSE_ANSWERS, millis);
+      case 6 -> injectLoss(proxy, FaultProxy.Mode.LOSE_REQUESTS, millis);
+      case 7 ->
+          inject(
+              "delay",
+              () -> proxy.delay(random.nextInt(MAX_DELAY_MILLIS)),
+              millis,
+              () -> proxy.delay(0));
+      case 8 -> injectStoreFault(millis);
+      default -> {
+        int runner = random.nextInt(soak.runnerProxies().size());
+        boolean announced = random.nextBoolean();
+        inject("replace runner", () -> soak.replaceRunner(runner, announced), 0, () -> {});
+      }
+    }
+  }
+
+  private void injectStoreFault(long millis) {
+    switch (random.nextInt(3)) {
+      case 0 ->
+          inject(
+              "store down", () -> soak.store().down(true), millis, () -> soak.store().down(false));
+      case 1 -> inject("store forgets", () -> soak.store().compact(), 0, () -> {});
+      default -> inject("configuration", soak::rewriteConfiguration, 0, () -> {});
+    }
+  }
+
+  private void injectLoss(FaultProxy proxy, FaultProxy.Mode mode, long millis) {
+    inject(
+        mode.name(),
+        () -> proxy.mode(mode),
+        millis,
+        () -> {
+          proxy.mode(FaultProxy.Mode.PASS);
+          proxy.resetConnections();
+        });
+  }
+
+  private void stopHost(HostProcess host) throws Exception {
+    if (host.stop()) {
+      soak.recordKilledAtStop(host);
+    }
+  }
+
+  private void inject(String what, FaultAction harm, long millis, FaultAction undo) {
+    System.out.printf("event=fault what=\"%s\" for_ms=%d%n", what, millis);
+    scheduler.execute(() -> run(harm));
+    scheduler.schedule(() -> run(undo), millis, TimeUnit.MILLISECONDS);
+  }
+
+  /** Ends all harm that is still done, and starts the processes that do not run. */
+  void undoAll() {
+    soak.store().down(false);
+    List<FaultProxy> proxies = new ArrayList<>(soak.storeProxies());
+    proxies.addAll(soak.runnerProxies());
+    for (FaultProxy proxy : proxies) {
+      proxy.delay(0);
+      proxy.mode(FaultProxy.Mode.PASS);
+      proxy.resetConnections();
+    }
+    for (HostProcess host : soak.hosts()) {
+      scheduler.schedule(
+          () -> run(() -> host.signal("CONT")), MAX_FAULT_MILLIS, TimeUnit.MILLISECONDS);
+      scheduler.schedule(
+          () -> run(host::start),
+          MAX_FAULT_MILLIS + HostProcess.GRACE_MILLIS,
+          TimeUnit.MILLISECONDS);
+    }
+  }
+
+  @SuppressWarnings("CatchAndPrintStackTrace")
+  private static void run(FaultAction harm) {
+    try {
+      harm.run();
+    } catch (Exception e) {
+      System.out.println("event=fault-failed why=\"" + e + "\"");
+    }
+  }
+
+  private <T> T pickRandom(List<T> from) {
+    return from.get(random.nextInt(from.size()));
+  }
+}
--- a/sequoia-soak/src/main/java/org/sequoiahub/soak/FaultProxy.java
+++ b/sequoia-soak/src/main/java/org/sequoiahub/soak/FaultProxy.java
@@ -28,7 +28,7 @@
   }
 
   private final ServerSocket server;
-  private final Set<Socket> open = ConcurrentHashMap.newKeySet();
+  private final Set<Socket> openSockets = ConcurrentHashMap.newKeySet();
   private volatile InetSocketAddress target;
   private volatile Mode mode = Mode.PASS;
   private volatile long delayMillis;
@@ -36,7 +36,7 @@
   FaultProxy(String address) throws IOException {
     server = new ServerSocket(0, 256, InetAddress.getByName("127.0.0.1"));
     target(address);
-    daemon(this::accept, "proxy-accept");
+    startDaemon(this::acceptConnections, "proxy-accept");
   }
 
   /** Returns the proxy's own host:port. */
@@ -63,17 +63,17 @@
   }
 
   /** Resets all open connections. */
-  void reset() {
-    for (Socket socket : open) {
+  void resetConnections() {
+    for (Socket socket : openSockets) {
       abort(socket);
     }
   }
 
-  private void accept() {
+  private void acceptConnections() {
     while (!server.isClosed()) {
       try {
         Socket from = server.accept();
-        daemon(() -> connect(from), "proxy-connect");
+        startDaemon(() -> connect(from), "proxy-connect");
       } catch (IOException e) {
         // The port was closed: the loop ends.
       }
@@ -82,8 +82,8 @@
 
   private void connect(Socket from) {
     Socket to = new Socket();
-    open.add(from);
-    open.add(to);
+    openSockets.add(from);
+    openSockets.add(to);
     try {
       to.connect(target, CONNECT_MILLIS);
     } catch (IOException e) {
@@ -92,11 +92,11 @@
       abort(to);
       return;
     }
-    daemon(() -> pump(from, to, Mode.LOSE_REQUESTS), "proxy-up");
-    daemon(() -> pump(to, from, Mode.LOSE_ANSWERS), "proxy-down");
+    startDaemon(() -> forward(from, to, Mode.LOSE_REQUESTS), "proxy-up");
+    startDaemon(() -> forward(to, from, Mode.LOSE_ANSWERS), "proxy-down");
   }
 
-  private void pump(Socket from, Socket to, Mode losing) {
+  private void forward(Socket from, Socket to, Mode losing) {
     byte[] buffer = new byte[BUFFER_BYTES];
     boolean lost = false;
     try (InputStream in = from.getInputStream();
@@ -120,7 +120,7 @@
   }
 
   private void abort(Socket socket) {
-    open.remove(socket);
+    openSockets.remove(socket);
     try {
       if (!socket.isClosed()) {
         socket.setSoLinger(true, 0);
@@ -131,7 +131,7 @@
     }
   }
 
-  private static void daemon(Runnable work, String name) {
+  private static void startDaemon(Runnable work, String name) {
     Thread thread = new Thread(work, name);
     thread.setDaemon(true);
     thread.start();
@@ -140,6 +140,6 @@
   @Override
   public void close() throws IOException {
     server.close();
-    reset();
+    resetConnections();
   }
 }
--- a/sequoia-soak/src/main/java/org/sequoiahub/soak/HostProcess.java
+++ b/sequoia-soak/src/main/java/org/sequoiahub/soak/HostProcess.java
@@ -28,9 +28,9 @@
   private final Path directory;
   private final Function<Boolean, String> settings;
   private @Nullable Process process;
-  private boolean started;
-  private volatile long thawedNanos = System.nanoTime();
-  private final RunningTime running = new RunningTime();
+  private boolean startedBefore;
+  private volatile long lastResumedNanos = System.nanoTime();
+  private final RunningTime runningTime = new RunningTime();
 
   /**
    * Creates a host whose process does not run yet.
@@ -55,8 +55,8 @@
   }
 
   /** Returns when the process last began to run again, on the steady clock. */
-  long thawedNanos() {
-    return thawedNanos;
+  long lastResumedNanos() {
+    return lastResumedNanos;
   }
 
   /** Starts the process unless it runs. */
@@ -66,8 +66,8 @@
       return;
     }
     Path file = directory.resolve(name + ".conf");
-    Files.writeString(file, settings.apply(!started));
-    started = true;
+    Files.writeString(file, settings.apply(!startedBefore));
+    startedBefore = true;
     ProcessBuilder builder =
         new ProcessBuilder(
             "java",
@@ -82,8 +82,8 @@
     builder.redirectErrorStream(true);
     builder.redirectOutput(ProcessBuilder.Redirect.appendTo(log));
     process = builder.start();
-    thawedNanos = System.nanoTime();
-    running.resumed(thawedNanos);
+    lastResumedNanos = System.nanoTime();
+    runningTime.markResumed(lastResumedNanos);
   }
 
   /** Sends the process a signal by its name, such as STOP. */
@@ -93,11 +93,11 @@
       new ProcessBuilder("kill", "-" + signal, Long.toString(current.pid())).start().waitFor();
     }
     if (signal.equals("CONT")) {
-      thawedNanos = System.nanoTime();
-      running.resumed(thawedNanos);
+      lastResumedNanos = System.nanoTime();
+      runningTime.markResumed(lastResumedNanos);
     }
     if (signal.equals("STOP")) {
-      running.paused(System.nanoTime());
+      runningTime.markPaused(System.nanoTime());
     }
   }
 
@@ -105,15 +105,15 @@
   void kill() throws IOException, InterruptedException {
     signal("KILL");
     // A killed process ends also while it is paused, after which no time counts as running.
-    running.resumed(System.nanoTime());
-    await(GRACE_MILLIS);
+    runningTime.markResumed(System.nanoTime());
+    awaitTermination(GRACE_MILLIS);
   }
 
   /** Asks the process to stop, and kills it after the grace time; returns whether it had to. */
   boolean stop() throws IOException, InterruptedException {
     signal("CONT");
     signal("TERM");
-    boolean gone = await(GRACE_MILLIS);
+    boolean gone = awaitTermination(GRACE_MILLIS);
     if (!gone) {
       kill();
     }
@@ -121,7 +121,7 @@
   }
 
   /** Waits until the process has gone, or has had this much time to run in. */
-  private boolean await(long millis) throws InterruptedException {
+  private boolean awaitTermination(long millis) throws InterruptedException {
     Process current;
     synchronized (this) {
       current = process;
@@ -129,8 +129,8 @@
     if (current == null) {
       return true;
     }
-    long end = running.nanos(System.nanoTime()) + TimeUnit.MILLISECONDS.toNanos(millis);
-    while (running.nanos(System.nanoTime()) < end) {
+    long end = runningTime.runningNanos(System.nanoTime()) + TimeUnit.MILLISECONDS.toNanos(millis);
+    while (runningTime.runningNanos(System.nanoTime()) < end) {
       if (current.waitFor(POLL_MILLIS, TimeUnit.MILLISECONDS)) {
         return true;
       }
--- a/sequoia-soak/src/main/java/org/sequoiahub/soak/Asked.java
+++ b/sequoia-soak/src/main/java/org/sequoiahub/soak/RequestResult.java
@@ -10,7 +10,7 @@
  * @param status the answer's status; 0 if there was no whole answer
  * @param body the answer's body; null if there was no whole answer
  */
-record Asked(String id, Kind kind, int status, @Nullable String body) {
+record RequestResult(String id, Kind kind, int status, @Nullable String body) {
 
   /** What a request asks for. */
   enum Kind {
@@ -25,12 +25,12 @@
 
     private final String prefix;
     private final boolean stream;
-    private final boolean once;
+    private final boolean atMostOnce;
 
     Kind(String prefix, boolean stream, boolean once) {
       this.prefix = prefix;
       this.stream = stream;
-      this.once = once;
+      this.atMostOnce = once;
     }
 
     String prefix() {
@@ -41,13 +41,13 @@
       return stream;
     }
 
-    boolean runsOnce() {
-      return once;
+    boolean runsAtMostOnce() {
+      return atMostOnce;
     }
   }
 
   /** Returns whether the answer says that the request has not run and never will. */
-  boolean isRefused() {
+  boolean guaranteesNotRun() {
     return status == 503 || status == 429 || status == 408 || status == 421;
   }
 }
--- a/sequoia-soak/src/main/java/org/sequoiahub/soak/Soak.java
+++ b/sequoia-soak/src/main/java/org/sequoiahub/soak/Soak.java
@@ -26,21 +26,21 @@
 /** One run: hosts, runners and a store on loopback, callers, and faults drawn from a seed. */
 final class Soak implements AutoCloseable {
 
-  private static final int PORTS = 5;
+  private static final int PORTS_PER_HOST = 5;
   private static final int RUNNERS_OF_EACH_KIND = 3;
   private static final int PLACES = 4;
-  private static final int EVENTS = 12;
-  private static final int EVENT_MILLIS = 25;
-  private static final int PLAIN_MILLIS = 15;
-  private static final long REQUEST_MILLIS = 25;
+  private static final int EVENTS_PER_STREAM = 12;
+  private static final int EVENT_INTERVAL_MILLIS = 25;
+  private static final int PLAIN_DURATION_MILLIS = 15;
+  private static final long REQUEST_INTERVAL_MILLIS = 25;
 
   /** How long all may take to serve again once nothing is harmed any more (ms). */
   private static final long RECOVERY_MILLIS = 20_000;
 
-  /** Requests that must be served after the recovery, out of {@link #LAST_REQUESTS}. */
-  private static final int SERVED_AT_LAST = 15;
+  /** Requests that must be served after the recovery, out of {@link #RECOVERY_SAMPLE_REQUESTS}. */
+  private static final int MIN_SERVED_AFTER_RECOVERY = 15;
 
-  private static final int LAST_REQUESTS = 20;
+  private static final int RECOVERY_SAMPLE_REQUESTS = 20;
 
   private final long seed;
   private final Random random;
@@ -51,12 +51,12 @@
   private final List<FaultProxy> storeProxies = new ArrayList<>();
   private final List<FaultProxy> runnerProxies = new ArrayList<>();
   private final List<StandinRunner> runners = new ArrayList<>();
-  private final List<StandinRunner> everyRunner = new ArrayList<>();
-  private final ScheduledExecutorService later = Executors.newScheduledThreadPool(4);
+  private final List<StandinRunner> allRunners = new ArrayList<>();
+  private final ScheduledExecutorService scheduler = Executors.newScheduledThreadPool(4);
   private final List<Integer> ports;
-  private final List<String> killedAtStop = new ArrayList<>();
-  private long configuration;
-  private int runnerNumber;
+  private final List<String> hostsKilledAtStop = new ArrayList<>();
+  private long configurationVersion;
+  private int nextRunnerNumber;
 
   /**
    * Creates a run.
@@ -68,8 +68,8 @@
     this.seed = seed;
     this.random = new Random(seed);
     this.directory = Files.createDirectories(directory);
-    this.ports = FreePorts.find(PORTS, new SecureRandom());
-    configure();
+    this.ports = FreePorts.find(PORTS_PER_HOST, new SecureRandom());
+    writeConfiguration();
     for (int i = 0; i < RUNNERS_OF_EACH_KIND; i++) {
       addRunner("plain", "");
       addRunner("llm", "m");
@@ -80,7 +80,7 @@
       String name = "host-" + number;
       String ip = ip(number);
       hosts.add(
-          new HostProcess(name, ip, jar, directory, first -> settings(name, ip, first, proxy)));
+          new HostProcess(name, ip, jar, directory, first -> settingsText(name, ip, first, proxy)));
     }
   }
 
@@ -88,41 +88,46 @@
     return "127." + (1 + Math.floorMod(seed, 200)) + ".0." + (1 + number);
   }
 
-  private String settings(String name, String ip, boolean first, FaultProxy proxy) {
+  private String settingsText(String name, String ip, boolean first, FaultProxy proxy) {
     List<String> seeds = List.of(ip(0), ip(1), ip(2));
     int grace = (int) TimeUnit.MILLISECONDS.toSeconds(HostProcess.GRACE_MILLIS);
     return StandinSettings.text(name, "z", ip, ports, seeds, first, proxy.address(), grace);
   }
 
-  private void configure() {
+  private void writeConfiguration() {
     List<String> routes = new ArrayList<>();
-    routes.add(StandinConfiguration.route(Asked.Kind.PLAIN.prefix(), "safe", "plain", false));
     routes.add(
-        StandinConfiguration.route(Asked.Kind.PLAIN_ONCE.prefix(), "unsafe", "plain", false));
-    routes.add(StandinConfiguration.route(Asked.Kind.STREAM.prefix(), "streaming", "llm", true));
+        StandinConfiguration.route(RequestResult.Kind.PLAIN.prefix(), "safe", "plain", false));
     routes.add(
-        StandinConfiguration.route(Asked.Kind.STREAM_ONCE.prefix(), "streaming", "llm", false));
+        StandinConfiguration.route(
+            RequestResult.Kind.PLAIN_ONCE.prefix(), "unsafe", "plain", false));
+    routes.add(
+        StandinConfiguration.route(RequestResult.Kind.STREAM.prefix(), "streaming", "llm", true));
+    routes.add(
+        StandinConfiguration.route(
+            RequestResult.Kind.STREAM_ONCE.prefix(), "streaming", "llm", false));
     store.put(
-        StandinConfiguration.key(), StandinConfiguration.configuration(++configuration, routes));
+        StandinConfiguration.key(),
+        StandinConfiguration.configuration(++configurationVersion, routes));
   }
 
-  private StandinRunner runner(String service, String model) throws Exception {
+  private StandinRunner createRunner(String service, String model) throws Exception {
     StandinRunner runner =
-        new StandinRunner("i-" + seed + "-" + runnerNumber++, service, model, PLACES);
-    runner.streams(EVENTS, EVENT_MILLIS);
-    runner.plainMillis(PLAIN_MILLIS);
-    everyRunner.add(runner);
+        new StandinRunner("i-" + seed + "-" + nextRunnerNumber++, service, model, PLACES);
+    runner.streams(EVENTS_PER_STREAM, EVENT_INTERVAL_MILLIS);
+    runner.plainMillis(PLAIN_DURATION_MILLIS);
+    allRunners.add(runner);
     return runner;
   }
 
   private void addRunner(String service, String model) throws Exception {
-    StandinRunner runner = runner(service, model);
+    StandinRunner runner = createRunner(service, model);
     runners.add(runner);
     runnerProxies.add(new FaultProxy(runner.address()));
-    publish(runners.size() - 1, "ready");
+    publishRunner(runners.size() - 1, "ready");
   }
 
-  private void publish(int index, String state) {
+  private void publishRunner(int index, String state) {
     StandinRunner runner = runners.get(index);
     store.put(
         StoredKeys.RUNNER_PREFIX + runner.id(),
@@ -130,45 +135,48 @@
   }
 
   /** Plays the run and returns what was broken, a line each. */
-  List<String> play(long faultMillis) throws Exception {
+  List<String> run(long faultMillis) throws Exception {
     for (HostProcess host : hosts) {
       host.start();
     }
     await(this::isEveryHostReady);
     Callers callers =
         new Callers(http, hosts, ports.get(0), new Random(random.nextLong()), "s" + seed);
-    later.scheduleAtFixedRate(callers::send, 0, REQUEST_MILLIS, TimeUnit.MILLISECONDS);
-    Faults faults = new Faults(this, random, later);
+    scheduler.scheduleAtFixedRate(callers::send, 0, REQUEST_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+    FaultInjector faults = new FaultInjector(this, random, scheduler);
     long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(faultMillis);
     while (System.nanoTime() < end) {
-      faults.next();
+      faults.injectNext();
       TimeUnit.MILLISECONDS.sleep(50 + random.nextInt(900));
     }
     faults.undoAll();
     boolean recovered = await(this::isEveryHostReady);
-    final boolean served = recovered && await(() -> isServed(callers));
-    later.shutdown();
-    await(() -> callers.open() == 0);
+    final boolean served = recovered && await(() -> isServingAgain(callers));
+    scheduler.shutdown();
+    await(() -> callers.inProgress() == 0);
     Map<String, HostProcess> byName = new HashMap<>();
     hosts.forEach(host -> byName.put(host.name(), host));
     List<String> broken =
         new ArrayList<>(
-            new Promises(everyRunner, byName, EVENTS).broken(List.copyOf(callers.asked())));
+            new GuaranteeChecker(allRunners, byName, EVENTS_PER_STREAM)
+                .violations(List.copyOf(callers.results())));
     if (!served) {
       broken.add("requests are not served again after the last fault");
     }
-    killedAtStop.forEach(name -> broken.add(name + " was still there after the grace time"));
-    long good = callers.asked().stream().filter(request -> request.status() == 200).count();
+    hostsKilledAtStop.forEach(name -> broken.add(name + " was still there after the grace time"));
+    long good = callers.results().stream().filter(request -> request.status() == 200).count();
     System.out.printf(
         "event=soak seed=%d requests=%d good=%d faults=%d broken=%d%n",
-        seed, callers.asked().size(), good, faults.count(), broken.size());
+        seed, callers.results().size(), good, faults.count(), broken.size());
     return broken;
   }
 
-  private boolean isServed(Callers callers) {
-    List<Asked> all = List.copyOf(callers.asked());
-    List<Asked> last = all.subList(Math.max(0, all.size() - LAST_REQUESTS), all.size());
-    return last.stream().filter(request -> request.status() == 200).count() >= SERVED_AT_LAST;
+  private boolean isServingAgain(Callers callers) {
+    List<RequestResult> all = List.copyOf(callers.results());
+    List<RequestResult> last =
+        all.subList(Math.max(0, all.size() - RECOVERY_SAMPLE_REQUESTS), all.size());
+    return last.stream().filter(request -> request.status() == 200).count()
+        >= MIN_SERVED_AFTER_RECOVERY;
   }
 
   private boolean isEveryHostReady() {
@@ -216,33 +224,33 @@
   }
 
   /** Writes the configuration again under a new version. */
-  void changeConfiguration() {
-    configure();
+  void rewriteConfiguration() {
+    writeConfiguration();
   }
 
   /** Notes that a process did not end by itself when asked to. */
-  synchronized void killedAtStop(HostProcess host) {
-    killedAtStop.add(host.name());
+  synchronized void recordKilledAtStop(HostProcess host) {
+    hostsKilledAtStop.add(host.name());
   }
 
   /** Replaces a runner by a new one at its address; it tells before if it is asked to leave. */
   void replaceRunner(int index, boolean announced) throws Exception {
     StandinRunner old = runners.get(index);
     if (announced) {
-      publish(index, "draining");
+      publishRunner(index, "draining");
       TimeUnit.SECONDS.sleep(2);
     }
     store.delete(StoredKeys.RUNNER_PREFIX + old.id());
-    StandinRunner fresh = runner(index % 2 == 0 ? "plain" : "llm", index % 2 == 0 ? "" : "m");
+    StandinRunner fresh = createRunner(index % 2 == 0 ? "plain" : "llm", index % 2 == 0 ? "" : "m");
     runners.set(index, fresh);
     runnerProxies.get(index).target(fresh.address());
-    runnerProxies.get(index).reset();
-    publish(index, "ready");
+    runnerProxies.get(index).resetConnections();
+    publishRunner(index, "ready");
   }
 
   @Override
   public void close() throws Exception {
-    later.shutdownNow();
+    scheduler.shutdownNow();
     for (HostProcess host : hosts) {
       host.close();
     }
@@ -253,7 +261,7 @@
     for (FaultProxy proxy : runnerProxies) {
       proxy.close();
     }
-    for (StandinRunner runner : everyRunner) {
+    for (StandinRunner runner : allRunners) {
       runner.close();
     }
     try {
--- a/sequoia-soak/src/main/java/org/sequoiahub/soak/SoakMain.java
+++ b/sequoia-soak/src/main/java/org/sequoiahub/soak/SoakMain.java
@@ -11,9 +11,9 @@
 /** The command {@code bin/soak}: plays seeds one after the other; exits 1 if a promise broke. */
 public final class SoakMain {
 
-  private static final int BAD_FLAGS = 2;
-  private static final int BROKEN = 1;
-  private static final int MILLIS = 1_000;
+  private static final int EXIT_BAD_FLAGS = 2;
+  private static final int EXIT_VIOLATION = 1;
+  private static final int MILLIS_PER_SECOND = 1_000;
 
   private SoakMain() {}
 
@@ -28,17 +28,17 @@
             .addOption(null, "jar", true, "the host's program");
     try {
       CommandLine flags = new DefaultParser().parse(options, arguments);
-      System.exit(play(flags) ? 0 : BROKEN);
+      System.exit(runSeeds(flags) ? 0 : EXIT_VIOLATION);
     } catch (ParseException | NumberFormatException e) {
       System.err.println("soak: " + e.getMessage());
-      System.exit(BAD_FLAGS);
+      System.exit(EXIT_BAD_FLAGS);
     }
   }
 
-  private static boolean play(CommandLine flags) throws Exception {
+  private static boolean runSeeds(CommandLine flags) throws Exception {
     long first = Long.parseLong(flags.getOptionValue("seed", "1"));
     int seeds = Integer.parseInt(flags.getOptionValue("seeds", "1"));
-    long faultMillis = Long.parseLong(flags.getOptionValue("seconds", "15")) * MILLIS;
+    long faultMillis = Long.parseLong(flags.getOptionValue("seconds", "15")) * MILLIS_PER_SECOND;
     int hosts = Integer.parseInt(flags.getOptionValue("hosts", "4"));
     Path jar =
         Path.of(flags.getOptionValue("jar", "sequoia-node/target/sequoia-node-0.1.0-all.jar"));
@@ -46,7 +46,7 @@
     for (long seed = first; seed < first + seeds; seed++) {
       Path directory = Files.createTempDirectory("soak-" + seed + "-");
       try (Soak soak = new Soak(seed, hosts, jar.toAbsolutePath(), directory)) {
-        List<String> broken = soak.play(faultMillis);
+        List<String> broken = soak.run(faultMillis);
         broken.forEach(line -> System.out.println("event=broken " + line));
         if (!broken.isEmpty()) {
           kept = false;
--- a/sequoia-soak/src/test/java/org/sequoiahub/soak/PauseInGraceSoakTest.java
+++ b/sequoia-soak/src/test/java/org/sequoiahub/soak/PauseInGraceSoakTest.java
@@ -31,11 +31,11 @@
    * time between the pause and the kill.
    */
   @Test
-  void hostPausedInItsGraceTimeEndsInTime() throws Exception {
+  void hostPausedDuringGracePeriodStopsByItself() throws Exception {
     Path jar = Path.of("..", "sequoia-node", "target", "sequoia-node-0.1.0-all.jar");
     assertWithMessage("the host's program is built").that(Files.exists(jar)).isTrue();
     try (Soak soak = new Soak(SEED, HOSTS, jar.toAbsolutePath(), directory)) {
-      assertThat(soak.play(FAULT_MILLIS)).isEmpty();
+      assertThat(soak.run(FAULT_MILLIS)).isEmpty();
     }
   }
 }
--- a/sequoia-soak/src/test/java/org/sequoiahub/soak/RunningTimeTest.java
+++ b/sequoia-soak/src/test/java/org/sequoiahub/soak/RunningTimeTest.java
@@ -13,8 +13,8 @@
   class OfProcessThatIsNeverPaused {
 
     @Test
-    void goesOnWithTheClock() {
-      assertThat(time.nanos(500) - time.nanos(100)).isEqualTo(400);
+    void advancesWithClock() {
+      assertThat(time.runningNanos(500) - time.runningNanos(100)).isEqualTo(400);
     }
   }
 
@@ -22,21 +22,21 @@
   class OfPausedProcess {
 
     @Test
-    void standsStill() {
-      long before = time.nanos(100);
-      time.paused(150);
-      assertThat(time.nanos(200) - before).isEqualTo(50);
-      assertThat(time.nanos(9_000) - before).isEqualTo(50);
+    void doesNotAdvance() {
+      long before = time.runningNanos(100);
+      time.markPaused(150);
+      assertThat(time.runningNanos(200) - before).isEqualTo(50);
+      assertThat(time.runningNanos(9_000) - before).isEqualTo(50);
     }
 
     @Test
-    void goesOnAfterThePause() {
-      time.paused(150);
-      time.paused(160);
-      time.resumed(1_150);
-      time.resumed(1_160);
-      assertThat(time.nanos(1_200) - time.nanos(1_150)).isEqualTo(50);
-      assertThat(time.nanos(1_200)).isEqualTo(200);
+    void advancesAfterResume() {
+      time.markPaused(150);
+      time.markPaused(160);
+      time.markResumed(1_150);
+      time.markResumed(1_160);
+      assertThat(time.runningNanos(1_200) - time.runningNanos(1_150)).isEqualTo(50);
+      assertThat(time.runningNanos(1_200)).isEqualTo(200);
     }
   }
 }
--- a/sequoia-soak/src/test/java/org/sequoiahub/soak/SoakTest.java
+++ b/sequoia-soak/src/test/java/org/sequoiahub/soak/SoakTest.java
@@ -26,11 +26,11 @@
    * <p>Cause looked for: any.
    */
   @Test
-  void promisesHoldUnderFaults() throws Exception {
+  void guaranteesHoldUnderFaults() throws Exception {
     Path jar = Path.of("..", "sequoia-node", "target", "sequoia-node-0.1.0-all.jar");
     assertWithMessage("the host's program is built").that(Files.exists(jar)).isTrue();
     try (Soak soak = new Soak(SEED, 3, jar.toAbsolutePath(), directory)) {
-      assertThat(soak.play(FAULT_MILLIS)).isEmpty();
+      assertThat(soak.run(FAULT_MILLIS)).isEmpty();
     }
   }
 }
