--- a/sequoia-soak/src/main/java/org/sequoiahub/soak/Callers.java
+++ b/sequoia-soak/src/main/java/org/sequoiahub/soak/Callers.java
@@ -14,10 +14,10 @@
 import org.sequoiahub.soak.RequestResult.Kind;
 import org.sequoiahub.usersplatform.Headers;
 
-/** Callers that send requests to hosts drawn at random and note what comes of each. */
+/** Sends requests to randomly chosen hosts, as callers do, and records the result of each. */
 final class Callers {
 
-  /** How long a caller waits for its whole answer (ms). */
+  /** How long a caller waits for the complete response (ms). */
   static final long DEADLINE_MILLIS = 4_000;
 
   private static final int ADAPTERS = 12;
@@ -34,27 +34,28 @@
   /**
    * Creates callers.
    *
-   * @param run goes into each request's id, so that runs do not share any
+   * @param port the port on which each host serves callers
+   * @param runId the prefix of each request id, which keeps the ids of different runs distinct
    */
-  Callers(HttpClient http, List<HostProcess> hosts, int port, Random random, String run) {
+  Callers(HttpClient http, List<HostProcess> hosts, int port, Random random, String runId) {
     this.http = http;
     this.hosts = hosts;
     this.port = port;
     this.random = random;
-    this.runId = run;
+    this.runId = runId;
   }
 
-  /** Returns the requests that have ended. */
+  /** Returns the results of the requests that have ended. */
   Queue<RequestResult> results() {
     return results;
   }
 
-  /** Returns how many requests have not ended. */
+  /** Returns the number of requests that have not ended. */
   int inProgress() {
     return inProgress.get();
   }
 
-  /** Sends one request. */
+  /** Sends one request of a random kind to a random host, without waiting for its response. */
   void send() {
     Kind kind = Kind.values()[random.nextInt(Kind.values().length)];
     String id = runId + "-" + sentCount.incrementAndGet();
--- a/sequoia-soak/src/main/java/org/sequoiahub/soak/FaultInjector.java
+++ b/sequoia-soak/src/main/java/org/sequoiahub/soak/FaultInjector.java
@@ -6,7 +6,7 @@
 import java.util.concurrent.ScheduledExecutorService;
 import java.util.concurrent.TimeUnit;
 
-/** Draws faults and undoes each after a while; they overlap and come in series. */
+/** Injects random faults and undoes each one after a random time; faults may overlap. */
 final class FaultInjector {
 
   private static final int MAX_FAULT_MILLIS = 3_000;
@@ -17,7 +17,7 @@
   private final ScheduledExecutorService scheduler;
   private int count;
 
-  /** What can fail with an exception, as most faults can. */
+  /** Injects or undoes a fault; may throw any exception. */
   @FunctionalInterface
   private interface FaultAction {
     void run() throws Exception;
@@ -29,12 +29,12 @@
     this.scheduler = later;
   }
 
-  /** Returns how many faults there were. */
+  /** Returns the number of injected faults. */
   int count() {
     return count;
   }
 
-  /** Injects the next fault. */
+  /** Injects one random fault and schedules its end. */
   void injectNext() {
     count++;
     HostProcess host = pickRandom(soak.hosts());
@@ -71,7 +71,7 @@
       case 0 ->
           inject(
               "store down", () -> soak.store().down(true), millis, () -> soak.store().down(false));
-      case 1 -> inject("store forgets", () -> soak.store().compact(), 0, () -> {});
+      case 1 -> inject("store compacts its history", () -> soak.store().compact(), 0, () -> {});
       default -> inject("configuration", soak::rewriteConfiguration, 0, () -> {});
     }
   }
@@ -93,13 +93,16 @@
     }
   }
 
-  private void inject(String what, FaultAction harm, long millis, FaultAction undo) {
-    System.out.printf("event=fault what=\"%s\" for_ms=%d%n", what, millis);
-    scheduler.execute(() -> run(harm));
+  private void inject(String fault, FaultAction action, long millis, FaultAction undo) {
+    System.out.printf("event=fault what=\"%s\" for_ms=%d%n", fault, millis);
+    scheduler.execute(() -> run(action));
     scheduler.schedule(() -> run(undo), millis, TimeUnit.MILLISECONDS);
   }
 
-  /** Ends all harm that is still done, and starts the processes that do not run. */
+  /**
+   * Undoes all faults that are still in effect, and schedules the resumption of all paused host
+   * processes and the start of those that are not running.
+   */
   void undoAll() {
     soak.store().down(false);
     List<FaultProxy> proxies = new ArrayList<>(soak.storeProxies());
@@ -120,15 +123,15 @@
   }
 
   @SuppressWarnings("CatchAndPrintStackTrace")
-  private static void run(FaultAction harm) {
+  private static void run(FaultAction action) {
     try {
-      harm.run();
+      action.run();
     } catch (Exception e) {
       System.out.println("event=fault-failed why=\"" + e + "\"");
     }
   }
 
-  private <T> T pickRandom(List<T> from) {
-    return from.get(random.nextInt(from.size()));
+  private <T> T pickRandom(List<T> elements) {
+    return elements.get(random.nextInt(elements.size()));
   }
 }
--- a/sequoia-soak/src/main/java/org/sequoiahub/soak/FaultProxy.java
+++ b/sequoia-soak/src/main/java/org/sequoiahub/soak/FaultProxy.java
@@ -11,19 +11,19 @@
 import java.util.concurrent.ConcurrentHashMap;
 import java.util.concurrent.TimeUnit;
 
-/** Passes bytes on between a port of its own and another, and harms them as it is told. */
+/** A TCP proxy that forwards bytes to a target and can delay, discard or reset the traffic. */
 final class FaultProxy implements AutoCloseable {
 
   private static final int BUFFER_BYTES = 16_384;
-  private static final int CONNECT_MILLIS = 500;
+  private static final int CONNECT_TIMEOUT_MILLIS = 500;
 
-  /** What happens to bytes. */
+  /** How bytes are handled. */
   enum Mode {
-    /** They are passed on. */
+    /** Bytes are forwarded in both directions. */
     PASS,
-    /** Bytes towards the target are lost: its answers still come. */
+    /** Bytes to the target are discarded; its responses are still forwarded. */
     LOSE_REQUESTS,
-    /** Bytes from the target are lost: it runs what nobody hears of. */
+    /** Bytes from the target are discarded: it runs requests whose responses are never received. */
     LOSE_ANSWERS
   }
 
@@ -33,6 +33,11 @@
   private volatile Mode mode = Mode.PASS;
   private volatile long delayMillis;
 
+  /**
+   * Creates a proxy that listens on a free loopback port.
+   *
+   * @param address the target's host:port
+   */
   FaultProxy(String address) throws IOException {
     server = new ServerSocket(0, 256, InetAddress.getByName("127.0.0.1"));
     target(address);
@@ -44,7 +49,7 @@
     return "127.0.0.1:" + server.getLocalPort();
   }
 
-  /** Leads new connections elsewhere, as when an address is used again. */
+  /** Sets the target (host:port) of new connections, as when its address is reused. */
   void target(String address) {
     int colon = address.lastIndexOf(':');
     target =
@@ -52,12 +57,12 @@
             address.substring(0, colon), Integer.parseInt(address.substring(colon + 1)));
   }
 
-  /** Sets what happens to bytes from now on, on open connections too. */
-  void mode(Mode now) {
-    mode = now;
+  /** Sets how bytes are handled from now on, also on open connections. */
+  void mode(Mode newMode) {
+    mode = newMode;
   }
 
-  /** Holds each piece of bytes up for this long (ms). */
+  /** Sets the delay before each chunk of bytes is forwarded (ms). */
   void delay(long millis) {
     delayMillis = millis;
   }
@@ -72,10 +77,10 @@
   private void acceptConnections() {
     while (!server.isClosed()) {
       try {
-        Socket from = server.accept();
-        startDaemon(() -> connect(from), "proxy-connect");
+        Socket client = server.accept();
+        startDaemon(() -> connect(client), "proxy-connect");
       } catch (IOException e) {
-        // The port was closed: the loop ends.
+        // The server socket was closed, which ends the loop.
       }
     }
   }
@@ -85,9 +90,9 @@
     openSockets.add(from);
     openSockets.add(to);
     try {
-      to.connect(target, CONNECT_MILLIS);
+      to.connect(target, CONNECT_TIMEOUT_MILLIS);
     } catch (IOException e) {
-      // The target is down, as a fault may want it; the caller sees a reset.
+      // The target may be down because of a fault; the client's connection is reset.
       abort(from);
       abort(to);
       return;
@@ -96,22 +101,22 @@
     startDaemon(() -> forward(to, from, Mode.LOSE_ANSWERS), "proxy-down");
   }
 
-  private void forward(Socket from, Socket to, Mode losing) {
+  private void forward(Socket from, Socket to, Mode discardMode) {
     byte[] buffer = new byte[BUFFER_BYTES];
-    boolean lost = false;
+    boolean discarding = false;
     try (InputStream in = from.getInputStream();
         OutputStream out = to.getOutputStream()) {
       for (int read = in.read(buffer); read >= 0; read = in.read(buffer)) {
         TimeUnit.MILLISECONDS.sleep(delayMillis);
-        // Once bytes are lost the connection is silent for good: what came later would not fit.
-        lost |= mode == losing;
-        if (!lost) {
+        // Once bytes are discarded nothing more is forwarded: later bytes would leave a gap.
+        discarding |= mode == discardMode;
+        if (!discarding) {
           out.write(buffer, 0, read);
           out.flush();
         }
       }
     } catch (IOException e) {
-      // One side has gone; the other learns it below.
+      // One side closed its connection; the other one is closed below.
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
     }
@@ -127,12 +132,12 @@
       }
       socket.close();
     } catch (IOException e) {
-      // It was closed by the other pump.
+      // The other forwarding thread closed the socket.
     }
   }
 
-  private static void startDaemon(Runnable work, String name) {
-    Thread thread = new Thread(work, name);
+  private static void startDaemon(Runnable task, String name) {
+    Thread thread = new Thread(task, name);
     thread.setDaemon(true);
     thread.start();
   }
--- a/sequoia-soak/src/main/java/org/sequoiahub/soak/GuaranteeChecker.java
+++ b/sequoia-soak/src/main/java/org/sequoiahub/soak/GuaranteeChecker.java
@@ -9,13 +9,16 @@
 import org.sequoiahub.usersplatform.standin.StandinRunner;
 import org.sequoiahub.usersplatform.standin.StandinRunner.GivenOrder;
 
-/** What must hold of every request and of every runner, whatever failed. */
+/** Checks the guarantees that must hold for every request and runner, whatever faults occurred. */
 final class GuaranteeChecker {
 
-  /** Orders of two hosts to one runner are at least this far apart. */
+  /** The duration of a lease: orders of two hosts to one runner are at least this far apart. */
   private static final long LEASE_NANOS = TimeUnit.MILLISECONDS.toNanos(3_000);
 
-  /** An order that was on its way in a process that was paused does not count. */
+  /**
+   * The time after a host resumes in which its orders are not checked: such an order may have been
+   * in flight when the process was paused.
+   */
   private static final long RESUME_TOLERANCE_NANOS = TimeUnit.MILLISECONDS.toNanos(300);
 
   private final Collection<StandinRunner> runners;
@@ -23,88 +26,96 @@
   private final int eventsPerStream;
 
   /**
-   * Creates the promises of one run.
+   * Creates a checker for one run.
    *
-   * @param runners all that ever ran
-   * @param events how many events a whole stream has
+   * @param runners every runner of the run, including replaced ones
+   * @param hostsByName the host processes by host name
+   * @param eventsPerStream the number of events in a complete stream
    */
-  GuaranteeChecker(Collection<StandinRunner> runners, Map<String, HostProcess> hosts, int events) {
+  GuaranteeChecker(
+      Collection<StandinRunner> runners,
+      Map<String, HostProcess> hostsByName,
+      int eventsPerStream) {
     this.runners = runners;
-    this.hostsByName = hosts;
-    this.eventsPerStream = events;
+    this.hostsByName = hostsByName;
+    this.eventsPerStream = eventsPerStream;
   }
 
-  /** Returns what was broken, a line each. */
-  List<String> violations(Collection<RequestResult> asked) {
-    List<String> broken = new ArrayList<>();
-    for (RequestResult request : asked) {
-      checkRequest(request, broken);
+  /** Returns a description of each violated guarantee; empty if all of them held. */
+  List<String> violations(Collection<RequestResult> results) {
+    List<String> violations = new ArrayList<>();
+    for (RequestResult request : results) {
+      checkRequest(request, violations);
     }
     for (StandinRunner runner : runners) {
       if (runner.overloads() > 0) {
-        broken.add(runner.id() + " was ordered to hold too much");
+        violations.add(runner.id() + " was ordered to hold more adapters than it has slots for");
       }
-      checkOrders(runner, broken);
+      checkOrders(runner, violations);
     }
-    return broken;
+    return violations;
   }
 
-  private void checkRequest(RequestResult request, List<String> broken) {
+  private void checkRequest(RequestResult request, List<String> violations) {
     int runs = runCount(request.id());
-    String what = request.id() + " (" + request.kind() + ", status " + request.status() + ")";
+    String description =
+        request.id() + " (" + request.kind() + ", status " + request.status() + ")";
     if (request.kind().runsAtMostOnce() && runs > 1) {
-      broken.add(what + " ran " + runs + " times");
+      violations.add(description + " ran " + runs + " times");
     }
     if (request.kind().runsAtMostOnce() && request.guaranteesNotRun() && runs > 0) {
-      broken.add(what + " was told that it had not run, and had");
+      violations.add(description + " was reported as not run, but had run");
     }
-    boolean ours = request.status() >= 400 && request.status() < 500 && !request.guaranteesNotRun();
-    if (ours) {
-      broken.add(what + " was denied");
+    // Callers send valid requests only, so any other 4xx status is a fault.
+    boolean rejectedAsInvalid =
+        request.status() >= 400 && request.status() < 500 && !request.guaranteesNotRun();
+    if (rejectedAsInvalid) {
+      violations.add(description + " was rejected as a client error");
     }
     String body = request.body();
-    if (request.status() == 200 && body != null && !isCompleteBody(request, body)) {
-      broken.add(what + " got a wrong or partial answer: " + body.replace("\n", "|"));
+    if (request.status() == 200 && body != null && !isExpectedBody(request, body)) {
+      violations.add(
+          description + " received a wrong or partial response: " + body.replace("\n", "|"));
     }
   }
 
-  private boolean isCompleteBody(RequestResult request, String body) {
+  private boolean isExpectedBody(RequestResult request, String body) {
     if (!request.kind().isStream()) {
       return body.endsWith(
           request.kind().prefix() + "x?id=" + request.id() + " body of " + request.id());
     }
-    StringBuilder whole = new StringBuilder();
+    StringBuilder expected = new StringBuilder();
     for (int number = 1; number <= eventsPerStream; number++) {
-      whole.append("id: ").append(number).append("\ndata: words ").append(number).append("\n\n");
+      expected.append("id: ").append(number).append("\ndata: words ").append(number).append("\n\n");
     }
-    return body.contentEquals(whole);
+    return body.contentEquals(expected);
   }
 
   private int runCount(String id) {
     int runs = 0;
     for (StandinRunner runner : runners) {
-      AtomicInteger here = runner.runs().get(id);
-      runs += here == null ? 0 : here.get();
+      AtomicInteger runnerRuns = runner.runs().get(id);
+      runs += runnerRuns == null ? 0 : runnerRuns.get();
     }
     return runs;
   }
 
-  private void checkOrders(StandinRunner runner, List<String> broken) {
-    GivenOrder before = null;
+  private void checkOrders(StandinRunner runner, List<String> violations) {
+    GivenOrder previous = null;
     for (GivenOrder order : runner.orders()) {
       HostProcess host = hostsByName.get(order.holder());
-      boolean thawed =
+      boolean justResumed =
           host != null && order.atNanos() - host.lastResumedNanos() < RESUME_TOLERANCE_NANOS;
-      if (before != null
-          && !thawed
-          && !before.holder().equals(order.holder())
-          && order.atNanos() - before.atNanos() < LEASE_NANOS) {
-        long gap = TimeUnit.NANOSECONDS.toMillis(order.atNanos() - before.atNanos());
-        broken.add(
-            "%s was ordered by %s %d ms after %s"
-                .formatted(runner.id(), order.holder(), gap, before.holder()));
+      if (previous != null
+          && !justResumed
+          && !previous.holder().equals(order.holder())
+          && order.atNanos() - previous.atNanos() < LEASE_NANOS) {
+        long gap = TimeUnit.NANOSECONDS.toMillis(order.atNanos() - previous.atNanos());
+        violations.add(
+            "%s accepted an order of %s %d ms after an order of %s"
+                .formatted(runner.id(), order.holder(), gap, previous.holder()));
       }
-      before = order;
+      previous = order;
     }
   }
 }
--- a/sequoia-soak/src/main/java/org/sequoiahub/soak/HostProcess.java
+++ b/sequoia-soak/src/main/java/org/sequoiahub/soak/HostProcess.java
@@ -9,14 +9,14 @@
 import org.jspecify.annotations.Nullable;
 import org.sequoiahub.usersplatform.SettingsFile;
 
-/** The program of one host as a process of its own, through all its starts. */
+/** Runs the program of one host in a separate process, which can be restarted. */
 final class HostProcess implements AutoCloseable {
 
   private static final int GRACE_SECONDS = 4;
 
   /**
-   * A process that is still there after the grace time is killed. Only time in which it can run is
-   * counted: a process that is paused when the time is over cannot end itself.
+   * The grace period after which a process that has not exited is killed (ms). Only running time
+   * counts, because a process that is paused when the period ends cannot exit by itself.
    */
   static final long GRACE_MILLIS = GRACE_SECONDS * 1_000L;
 
@@ -33,9 +33,13 @@
   private final RunningTime runningTime = new RunningTime();
 
   /**
-   * Creates a host whose process does not run yet.
+   * Creates a host whose process is not started yet.
    *
-   * @param settings the text of the settings file, given whether this is the first start of all
+   * @param name the host's name, which also names its settings and log files
+   * @param ip the host's loopback address
+   * @param jar the host program
+   * @param directory where the settings and log files are written
+   * @param settings returns the text of the settings file; its argument is true for the first start
    */
   HostProcess(
       String name, String ip, Path jar, Path directory, Function<Boolean, String> settings) {
@@ -54,12 +58,12 @@
     return ip;
   }
 
-  /** Returns when the process last began to run again, on the steady clock. */
+  /** Returns when the process was last started or resumed, in {@link System#nanoTime()}. */
   long lastResumedNanos() {
     return lastResumedNanos;
   }
 
-  /** Starts the process unless it runs. */
+  /** Starts the process unless it is running. */
   synchronized void start() throws IOException {
     Process current = process;
     if (current != null && current.isAlive()) {
@@ -86,7 +90,11 @@
     runningTime.markResumed(lastResumedNanos);
   }
 
-  /** Sends the process a signal by its name, such as STOP. */
+  /**
+   * Sends a signal to the process if it is running.
+   *
+   * @param signal the signal's name without its prefix, such as STOP
+   */
   synchronized void signal(String signal) throws IOException, InterruptedException {
     Process current = process;
     if (current != null && current.isAlive()) {
@@ -101,26 +109,35 @@
     }
   }
 
-  /** Kills the process and waits until it has gone. */
+  /** Kills the process and waits for it to exit. */
   void kill() throws IOException, InterruptedException {
     signal("KILL");
-    // A killed process ends also while it is paused, after which no time counts as running.
+    // SIGKILL also ends a paused process, so the wait for its exit must count time again.
     runningTime.markResumed(System.nanoTime());
     awaitTermination(GRACE_MILLIS);
   }
 
-  /** Asks the process to stop, and kills it after the grace time; returns whether it had to. */
+  /**
+   * Asks the process to stop, and kills it if it has not exited after {@link #GRACE_MILLIS} of
+   * running time.
+   *
+   * @return whether the process had to be killed
+   */
   boolean stop() throws IOException, InterruptedException {
     signal("CONT");
     signal("TERM");
-    boolean gone = awaitTermination(GRACE_MILLIS);
-    if (!gone) {
+    boolean exited = awaitTermination(GRACE_MILLIS);
+    if (!exited) {
       kill();
     }
-    return !gone;
+    return !exited;
   }
 
-  /** Waits until the process has gone, or has had this much time to run in. */
+  /**
+   * Waits until the process has exited or has had the given running time.
+   *
+   * @return whether the process has exited
+   */
   private boolean awaitTermination(long millis) throws InterruptedException {
     Process current;
     synchronized (this) {
--- a/sequoia-soak/src/main/java/org/sequoiahub/soak/RequestResult.java
+++ b/sequoia-soak/src/main/java/org/sequoiahub/soak/RequestResult.java
@@ -3,24 +3,24 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * One request of a caller and what came of it.
+ * The outcome of one request that a caller sent.
  *
  * @param id the request's id
- * @param kind what it asks for
- * @param status the answer's status; 0 if there was no whole answer
- * @param body the answer's body; null if there was no whole answer
+ * @param kind the kind of request, which decides its route
+ * @param status the response status; 0 if no complete response was received
+ * @param body the response body; null if no complete response was received
  */
 record RequestResult(String id, Kind kind, int status, @Nullable String body) {
 
-  /** What a request asks for. */
+  /** A kind of request, with the route that serves it and whether it may run more than once. */
   enum Kind {
-    /** A plain request that may run twice. */
+    /** A plain request that may run more than once. */
     PLAIN("/safe/", false, false),
-    /** A plain request that runs once at most. */
+    /** A plain request that runs at most once. */
     PLAIN_ONCE("/unsafe/", false, true),
-    /** A stream that another runner may go on with. */
+    /** A stream that another runner may resume. */
     STREAM("/stream/", true, false),
-    /** A stream that runs once at most. */
+    /** A stream that runs at most once. */
     STREAM_ONCE("/once/", true, true);
 
     private final String prefix;
@@ -46,7 +46,7 @@
     }
   }
 
-  /** Returns whether the answer says that the request has not run and never will. */
+  /** Returns whether the response status states that the request has not run and never will. */
   boolean guaranteesNotRun() {
     return status == 503 || status == 429 || status == 408 || status == 421;
   }
--- a/sequoia-soak/src/main/java/org/sequoiahub/soak/RunningTime.java
+++ b/sequoia-soak/src/main/java/org/sequoiahub/soak/RunningTime.java
@@ -1,6 +1,6 @@
 package org.sequoiahub.soak;
 
-/** How long a process was able to run, without the time in which it was paused. */
+/** Measures how long a process was able to run, excluding the time in which it was paused. */
 final class RunningTime {
 
   private static final long NOT_PAUSED = -1;
@@ -8,14 +8,14 @@
   private long pausedNanos;
   private long pauseStartNanos = NOT_PAUSED;
 
-  /** Notes that the process stands still from now on; a second pause changes nothing. */
+  /** Records that the process is paused; has no effect if it is already paused. */
   synchronized void markPaused(long nowNanos) {
     if (pauseStartNanos == NOT_PAUSED) {
       pauseStartNanos = nowNanos;
     }
   }
 
-  /** Notes that the process runs from now on. */
+  /** Records that the process is resumed; has no effect if it is not paused. */
   synchronized void markResumed(long nowNanos) {
     if (pauseStartNanos != NOT_PAUSED) {
       pausedNanos += nowNanos - pauseStartNanos;
@@ -23,7 +23,10 @@
     }
   }
 
-  /** Returns a clock of the process's own (ns) that stands still while it is paused. */
+  /**
+   * Returns the reading of a clock that stops while the process is paused (ns). Only differences
+   * between two readings are meaningful.
+   */
   synchronized long runningNanos(long nowNanos) {
     long end = pauseStartNanos == NOT_PAUSED ? nowNanos : pauseStartNanos;
     return end - pausedNanos;
--- a/sequoia-soak/src/main/java/org/sequoiahub/soak/Soak.java
+++ b/sequoia-soak/src/main/java/org/sequoiahub/soak/Soak.java
@@ -23,21 +23,27 @@
 import org.sequoiahub.usersplatform.standin.StandinSettings;
 import org.sequoiahub.usersplatform.standin.StandinStore;
 
-/** One run: hosts, runners and a store on loopback, callers, and faults drawn from a seed. */
+/**
+ * One run of the soak test: host processes, runners and a store on loopback, callers that send
+ * requests, and faults drawn at random from a seed.
+ */
 final class Soak implements AutoCloseable {
 
   private static final int PORTS_PER_HOST = 5;
   private static final int RUNNERS_OF_EACH_KIND = 3;
-  private static final int PLACES = 4;
+  private static final int ADAPTERS_PER_RUNNER = 4;
   private static final int EVENTS_PER_STREAM = 12;
   private static final int EVENT_INTERVAL_MILLIS = 25;
   private static final int PLAIN_DURATION_MILLIS = 15;
   private static final long REQUEST_INTERVAL_MILLIS = 25;
 
-  /** How long all may take to serve again once nothing is harmed any more (ms). */
+  /** How long each condition is awaited, such as the recovery after the last fault (ms). */
   private static final long RECOVERY_MILLIS = 20_000;
 
-  /** Requests that must be served after the recovery, out of {@link #RECOVERY_SAMPLE_REQUESTS}. */
+  /**
+   * How many of the last {@link #RECOVERY_SAMPLE_REQUESTS} requests must succeed for the hosts to
+   * count as recovered.
+   */
   private static final int MIN_SERVED_AFTER_RECOVERY = 15;
 
   private static final int RECOVERY_SAMPLE_REQUESTS = 20;
@@ -61,8 +67,10 @@
   /**
    * Creates a run.
    *
-   * @param jar the host's program
-   * @param directory where logs and settings go
+   * @param seed the seed of the random choice of faults and requests
+   * @param hostCount the number of hosts, 3 or more
+   * @param jar the host program
+   * @param directory where log and settings files are written
    */
   Soak(long seed, int hostCount, Path jar, Path directory) throws Exception {
     this.seed = seed;
@@ -113,7 +121,8 @@
 
   private StandinRunner createRunner(String service, String model) throws Exception {
     StandinRunner runner =
-        new StandinRunner("i-" + seed + "-" + nextRunnerNumber++, service, model, PLACES);
+        new StandinRunner(
+            "i-" + seed + "-" + nextRunnerNumber++, service, model, ADAPTERS_PER_RUNNER);
     runner.streams(EVENTS_PER_STREAM, EVENT_INTERVAL_MILLIS);
     runner.plainMillis(PLAIN_DURATION_MILLIS);
     allRunners.add(runner);
@@ -134,7 +143,12 @@
         runner.entry(state, runnerProxies.get(index).address()));
   }
 
-  /** Plays the run and returns what was broken, a line each. */
+  /**
+   * Runs the test.
+   *
+   * @param faultMillis how long faults are injected (ms)
+   * @return a description of each violated guarantee; empty if all of them held
+   */
   List<String> run(long faultMillis) throws Exception {
     for (HostProcess host : hosts) {
       host.start();
@@ -151,31 +165,32 @@
     }
     faults.undoAll();
     boolean recovered = await(this::isEveryHostReady);
-    final boolean served = recovered && await(() -> isServingAgain(callers));
+    final boolean servingAgain = recovered && await(() -> isServingAgain(callers));
     scheduler.shutdown();
     await(() -> callers.inProgress() == 0);
-    Map<String, HostProcess> byName = new HashMap<>();
-    hosts.forEach(host -> byName.put(host.name(), host));
-    List<String> broken =
+    Map<String, HostProcess> hostsByName = new HashMap<>();
+    hosts.forEach(host -> hostsByName.put(host.name(), host));
+    List<String> violations =
         new ArrayList<>(
-            new GuaranteeChecker(allRunners, byName, EVENTS_PER_STREAM)
+            new GuaranteeChecker(allRunners, hostsByName, EVENTS_PER_STREAM)
                 .violations(List.copyOf(callers.results())));
-    if (!served) {
-      broken.add("requests are not served again after the last fault");
+    if (!servingAgain) {
+      violations.add("requests are not served again after the last fault: see the host logs");
     }
-    hostsKilledAtStop.forEach(name -> broken.add(name + " was still there after the grace time"));
-    long good = callers.results().stream().filter(request -> request.status() == 200).count();
+    hostsKilledAtStop.forEach(
+        name -> violations.add(name + " did not stop within the grace period and was killed"));
+    long succeeded = callers.results().stream().filter(request -> request.status() == 200).count();
     System.out.printf(
         "event=soak seed=%d requests=%d good=%d faults=%d broken=%d%n",
-        seed, callers.results().size(), good, faults.count(), broken.size());
-    return broken;
+        seed, callers.results().size(), succeeded, faults.count(), violations.size());
+    return violations;
   }
 
   private boolean isServingAgain(Callers callers) {
     List<RequestResult> all = List.copyOf(callers.results());
-    List<RequestResult> last =
+    List<RequestResult> sample =
         all.subList(Math.max(0, all.size() - RECOVERY_SAMPLE_REQUESTS), all.size());
-    return last.stream().filter(request -> request.status() == 200).count()
+    return sample.stream().filter(request -> request.status() == 200).count()
         >= MIN_SERVED_AFTER_RECOVERY;
   }
 
@@ -191,7 +206,7 @@
       Thread.currentThread().interrupt();
       return false;
     } catch (Exception e) {
-      // The process is not up yet: asked again.
+      // The process does not accept connections yet; the caller polls again.
       return false;
     }
   }
@@ -223,17 +238,22 @@
     return store;
   }
 
-  /** Writes the configuration again under a new version. */
+  /** Rewrites the configuration with the same routes under a new version. */
   void rewriteConfiguration() {
     writeConfiguration();
   }
 
-  /** Notes that a process did not end by itself when asked to. */
+  /** Records that a host did not stop within the grace period and was killed. */
   synchronized void recordKilledAtStop(HostProcess host) {
     hostsKilledAtStop.add(host.name());
   }
 
-  /** Replaces a runner by a new one at its address; it tells before if it is asked to leave. */
+  /**
+   * Replaces a runner by a new one at the same address.
+   *
+   * @param index the index of the runner
+   * @param announced whether the old runner is published as draining before its record is deleted
+   */
   void replaceRunner(int index, boolean announced) throws Exception {
     StandinRunner old = runners.get(index);
     if (announced) {
@@ -241,9 +261,10 @@
       TimeUnit.SECONDS.sleep(2);
     }
     store.delete(StoredKeys.RUNNER_PREFIX + old.id());
-    StandinRunner fresh = createRunner(index % 2 == 0 ? "plain" : "llm", index % 2 == 0 ? "" : "m");
-    runners.set(index, fresh);
-    runnerProxies.get(index).target(fresh.address());
+    StandinRunner replacement =
+        createRunner(index % 2 == 0 ? "plain" : "llm", index % 2 == 0 ? "" : "m");
+    runners.set(index, replacement);
+    runnerProxies.get(index).target(replacement.address());
     runnerProxies.get(index).resetConnections();
     publishRunner(index, "ready");
   }
@@ -267,7 +288,7 @@
     try {
       store.close();
     } catch (IOException e) {
-      // A watch that still waits is cut; nothing is lost with it.
+      // A watch request that is still waiting is interrupted, which loses no data.
     }
   }
 }
--- a/sequoia-soak/src/main/java/org/sequoiahub/soak/SoakMain.java
+++ b/sequoia-soak/src/main/java/org/sequoiahub/soak/SoakMain.java
@@ -8,7 +8,10 @@
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
 
-/** The command {@code bin/soak}: plays seeds one after the other; exits 1 if a promise broke. */
+/**
+ * The command {@code bin/soak}: runs the soak test with one seed after the other. Exits with 1 if a
+ * guarantee was violated, and with 2 if a flag is invalid.
+ */
 public final class SoakMain {
 
   private static final int EXIT_BAD_FLAGS = 2;
@@ -21,11 +24,13 @@
   public static void main(String[] arguments) throws Exception {
     Options options =
         new Options()
-            .addOption(null, "seed", true, "first seed; 1 if not given")
-            .addOption(null, "seeds", true, "how many seeds; 1 if not given")
-            .addOption(null, "seconds", true, "how long faults come in each run; 15 if not given")
-            .addOption(null, "hosts", true, "hosts in each run, 3 or more; 4 if not given")
-            .addOption(null, "jar", true, "the host's program");
+            .addOption(null, "seed", true, "the first seed (default: 1)")
+            .addOption(null, "seeds", true, "the number of seeds to run (default: 1)")
+            .addOption(
+                null, "seconds", true, "how long faults are injected in each run (default: 15)")
+            .addOption(
+                null, "hosts", true, "the number of hosts in each run, 3 or more (default: 4)")
+            .addOption(null, "jar", true, "the path of the host program");
     try {
       CommandLine flags = new DefaultParser().parse(options, arguments);
       System.exit(runSeeds(flags) ? 0 : EXIT_VIOLATION);
@@ -42,18 +47,18 @@
     int hosts = Integer.parseInt(flags.getOptionValue("hosts", "4"));
     Path jar =
         Path.of(flags.getOptionValue("jar", "sequoia-node/target/sequoia-node-0.1.0-all.jar"));
-    boolean kept = true;
+    boolean allHeld = true;
     for (long seed = first; seed < first + seeds; seed++) {
       Path directory = Files.createTempDirectory("soak-" + seed + "-");
       try (Soak soak = new Soak(seed, hosts, jar.toAbsolutePath(), directory)) {
-        List<String> broken = soak.run(faultMillis);
-        broken.forEach(line -> System.out.println("event=broken " + line));
-        if (!broken.isEmpty()) {
-          kept = false;
+        List<String> violations = soak.run(faultMillis);
+        violations.forEach(line -> System.out.println("event=broken " + line));
+        if (!violations.isEmpty()) {
+          allHeld = false;
           System.out.println("event=logs-kept directory=" + directory);
         }
       }
     }
-    return kept;
+    return allHeld;
   }
 }
--- a/sequoia-soak/src/main/java/org/sequoiahub/soak/package-info.java
+++ b/sequoia-soak/src/main/java/org/sequoiahub/soak/package-info.java
@@ -1,6 +1,6 @@
 /**
- * A randomized soak: the real program of a host as several processes, faults injected from outside,
- * and the promises to callers checked from what callers and runners see.
+ * A randomized soak test: runs the real host program as several processes, injects faults from
+ * outside, and checks the guarantees to callers against what callers and runners observe.
  */
 @NullMarked
 package org.sequoiahub.soak;
--- a/sequoia-soak/src/test/java/org/sequoiahub/soak/PauseInGraceSoakTest.java
+++ b/sequoia-soak/src/test/java/org/sequoiahub/soak/PauseInGraceSoakTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** The fault soak with a seed that pauses a host across the end of its grace time. */
+/** Runs the soak test with a seed that pauses a host across the end of its grace period. */
 class PauseInGraceSoakTest {
 
   private static final long SEED = 101;
@@ -18,22 +18,20 @@
   @TempDir private Path directory;
 
   /**
-   * Symptom: a host that was asked to stop is still there after the grace time, and is killed.
+   * Guards against reporting a host that was paused while it stopped as one that failed to stop.
+   * The seed asks a host to stop, pauses it 1.7 s later for 2.6 s, and resumes it 0.3 s after the
+   * end of its grace period of 4 s. A paused process cannot exit by itself, so only running time
+   * may count towards the grace period; a host that does not exit after its pause is still found.
    *
-   * <p>Events: the host is asked to stop; 1.7 s later it is paused for 2.6 s, until 0.3 s after the
-   * end of its 4 s of grace.
-   *
-   * <p>Cause: no fault of the host. The soak counted time in which the host could not run, and a
-   * paused process cannot end itself. It counts running time only now, so that a host that does not
-   * end after its pause is still found.
-   *
-   * <p>Evidence: the host's log ends 1.7 s after its line of the stop, and none of its lines has a
-   * time between the pause and the kill.
+   * <p>When the pause is counted, the host is killed although its log ends 1.7 s after the line of
+   * the stop and has no line between the pause and the kill.
    */
   @Test
   void hostPausedDuringGracePeriodStopsByItself() throws Exception {
     Path jar = Path.of("..", "sequoia-node", "target", "sequoia-node-0.1.0-all.jar");
-    assertWithMessage("the host's program is built").that(Files.exists(jar)).isTrue();
+    assertWithMessage("the host program exists; build sequoia-node first")
+        .that(Files.exists(jar))
+        .isTrue();
     try (Soak soak = new Soak(SEED, HOSTS, jar.toAbsolutePath(), directory)) {
       assertThat(soak.run(FAULT_MILLIS)).isEmpty();
     }
--- a/sequoia-soak/src/test/java/org/sequoiahub/soak/SoakTest.java
+++ b/sequoia-soak/src/test/java/org/sequoiahub/soak/SoakTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.io.TempDir;
 
-/** A short run with a fixed seed; nothing is judged by how long it took. */
+/** Runs the soak test briefly with a fixed seed; no check depends on how long a request took. */
 class SoakTest {
 
   private static final long SEED = 1;
@@ -17,18 +17,18 @@
   @TempDir private Path directory;
 
   /**
-   * Symptom: a booking runs twice, a refusal is false, an answer is partial, or two hosts order one
-   * runner.
+   * Guards against any defect by which a request that may run at most once runs twice, a request
+   * reported as not run has run, a response is partial, or two hosts give orders to one runner.
    *
-   * <p>Events: hosts are killed, stopped and paused, connections are reset and silenced, runners
-   * are replaced at their addresses, the store is down or forgets.
-   *
-   * <p>Cause looked for: any.
+   * <p>Hosts are killed, stopped and paused, connections are reset or stop forwarding, runners are
+   * replaced at their addresses, and the store is down or compacts its history.
    */
   @Test
   void guaranteesHoldUnderFaults() throws Exception {
     Path jar = Path.of("..", "sequoia-node", "target", "sequoia-node-0.1.0-all.jar");
-    assertWithMessage("the host's program is built").that(Files.exists(jar)).isTrue();
+    assertWithMessage("the host program exists; build sequoia-node first")
+        .that(Files.exists(jar))
+        .isTrue();
     try (Soak soak = new Soak(SEED, 3, jar.toAbsolutePath(), directory)) {
       assertThat(soak.run(FAULT_MILLIS)).isEmpty();
     }
