--- a/sequoia-cli/src/main/java/org/sequoiahub/cli/ExplainCommand.java
+++ b/sequoia-cli/src/main/java/org/sequoiahub/cli/ExplainCommand.java
@@ -20,7 +20,7 @@
     try (AdminReader reader = new AdminReader()) {
       for (String admin : arguments.subList(1, arguments.size())) {
         try {
-          found += explain(adapter, reader.read(admin, "/status"), out);
+          found += printSlots(adapter, reader.read(admin, "/status"), out);
         } catch (IOException e) {
           unread++;
           out.println("admin=" + admin + " error=\"" + e.getMessage() + "\"");
@@ -34,7 +34,7 @@
     return unread == 0 ? 0 : 1;
   }
 
-  private static int explain(String adapter, JsonNode status, PrintStream out) {
+  private static int printSlots(String adapter, JsonNode status, PrintStream out) {
     int found = 0;
     for (JsonNode runner : status.path("runners")) {
       for (Map.Entry<String, JsonNode> slot : runner.path("slots").properties()) {
--- a/sequoia-cli/src/main/java/org/sequoiahub/cli/SequoiaMain.java
+++ b/sequoia-cli/src/main/java/org/sequoiahub/cli/SequoiaMain.java
@@ -10,8 +10,8 @@
 /** The binary {@code sequoia}. */
 public final class SequoiaMain {
 
-  private static final int USAGE = 2;
-  private static final int FAILED = 70;
+  private static final int EXIT_USAGE = 2;
+  private static final int EXIT_FAILURE = 70;
   private static final String HELP =
       """
       usage: sequoia VERB ...
@@ -47,7 +47,7 @@
             "bench", new BenchCommand());
     if (arguments.isEmpty() || arguments.get(0).equals("--help")) {
       out.print(HELP);
-      return arguments.isEmpty() ? USAGE : 0;
+      return arguments.isEmpty() ? EXIT_USAGE : 0;
     }
     if (arguments.get(0).equals("--version")) {
       out.println("sequoia " + ProcessMain.version());
@@ -56,16 +56,16 @@
     Command command = verbs.get(arguments.get(0));
     if (command == null) {
       err.println("sequoia: no verb '" + arguments.get(0) + "' (see --help)");
-      return USAGE;
+      return EXIT_USAGE;
     }
     try {
       return command.run(arguments.subList(1, arguments.size()), out);
     } catch (UsageException e) {
       err.println("sequoia " + arguments.get(0) + ": " + e.getMessage());
-      return USAGE;
+      return EXIT_USAGE;
     } catch (Exception e) {
       err.println("sequoia " + arguments.get(0) + ": " + e);
-      return FAILED;
+      return EXIT_FAILURE;
     }
   }
 }
--- a/sequoia-cli/src/main/java/org/sequoiahub/cli/StatusCommand.java
+++ b/sequoia-cli/src/main/java/org/sequoiahub/cli/StatusCommand.java
@@ -18,7 +18,7 @@
     try (AdminReader reader = new AdminReader()) {
       for (String admin : arguments) {
         try {
-          print(admin, reader.read(admin, "/status"), out);
+          printStatus(admin, reader.read(admin, "/status"), out);
         } catch (IOException e) {
           unread++;
           out.println("admin=" + admin + " error=\"" + e.getMessage() + "\"");
@@ -28,10 +28,10 @@
     return unread == 0 ? 0 : 1;
   }
 
-  private static void print(String admin, JsonNode status, PrintStream out) {
-    out.println("admin=" + admin + " " + pairs(status));
+  private static void printStatus(String admin, JsonNode status, PrintStream out) {
+    out.println("admin=" + admin + " " + formatValueFields(status));
     for (JsonNode runner : status.path("runners")) {
-      out.println("  " + pairs(runner));
+      out.println("  " + formatValueFields(runner));
       runner
           .path("slots")
           .fields()
@@ -45,7 +45,7 @@
     }
   }
 
-  static String pairs(JsonNode object) {
+  static String formatValueFields(JsonNode object) {
     StringJoiner line = new StringJoiner(" ");
     object
         .fields()
--- a/sequoia-cli/src/main/java/org/sequoiahub/cli/ValidateCommand.java
+++ b/sequoia-cli/src/main/java/org/sequoiahub/cli/ValidateCommand.java
@@ -26,7 +26,7 @@
     if (arguments.size() != 1) {
       throw new UsageException("one FILE is wanted");
     }
-    Map<String, JsonNode> records = read(Path.of(arguments.get(0)));
+    Map<String, JsonNode> records = readRecords(Path.of(arguments.get(0)));
     int refused = 0;
     for (Map.Entry<String, JsonNode> record : records.entrySet()) {
       byte[] value = record.getValue().toString().getBytes(StandardCharsets.UTF_8);
@@ -49,7 +49,7 @@
     return refused == 0 ? 0 : 1;
   }
 
-  private Map<String, JsonNode> read(Path file) throws IOException {
+  private Map<String, JsonNode> readRecords(Path file) throws IOException {
     if (!Files.isReadable(file)) {
       throw new UsageException("cannot read '" + file + "'");
     }
--- a/sequoia-cli/src/main/java/org/sequoiahub/cli/bench/Deployment.java
+++ b/sequoia-cli/src/main/java/org/sequoiahub/cli/bench/Deployment.java
@@ -46,7 +46,7 @@
       double requestsPerSecond,
       double serviceMillis) {}
 
-  static Deployment named(String name) {
+  static Deployment forName(String name) {
     return switch (name.toLowerCase(Locale.ROOT)) {
       case "ashcombe" ->
           new Deployment(
--- a/sequoia-cli/src/main/java/org/sequoiahub/cli/bench/PolicyCommand.java
+++ b/sequoia-cli/src/main/java/org/sequoiahub/cli/bench/PolicyCommand.java
@@ -28,12 +28,13 @@
     Set<String> without =
         line.hasOption("without") ? Set.of(line.getOptionValue("without").split(",")) : Set.of();
     List<PolicyReport.Row> rows = new ArrayList<>();
-    for (String deployment : list(line, "deployment", "ashcombe,dhuwaan")) {
-      for (String trace : list(line, "trace", "zipf,shift,wake,brownout")) {
-        for (String policy : list(line, "policy", "random-lru,rendezvous-lru,sequoia")) {
-          for (String seed : list(line, "seed", "1")) {
-            PolicyReport.Row row = one(deployment, trace, Variant.named(policy, without), seed);
-            out.println(row.line());
+    for (String deployment : optionValues(line, "deployment", "ashcombe,dhuwaan")) {
+      for (String trace : optionValues(line, "trace", "zipf,shift,wake,brownout")) {
+        for (String policy : optionValues(line, "policy", "random-lru,rendezvous-lru,sequoia")) {
+          for (String seed : optionValues(line, "seed", "1")) {
+            PolicyReport.Row row =
+                simulate(deployment, trace, Variant.forName(policy, without), seed);
+            out.println(row.formatLine());
             rows.add(row);
           }
         }
@@ -45,9 +46,9 @@
     }
   }
 
-  private static PolicyReport.Row one(
+  private static PolicyReport.Row simulate(
       String deploymentName, String trace, Variant variant, String seedText) {
-    Deployment deployment = Deployment.named(deploymentName);
+    Deployment deployment = Deployment.forName(deploymentName);
     Trace.Kind kind;
     try {
       kind = Trace.Kind.valueOf(trace.toUpperCase(Locale.ROOT));
@@ -57,11 +58,12 @@
     }
     long seed = Long.parseLong(seedText);
     PolicyFigures figures =
-        new PolicySimulation(deployment, variant, kind, seed).run(Trace.of(deployment, kind, seed));
+        new PolicySimulation(deployment, variant, kind, seed)
+            .run(Trace.generate(deployment, kind, seed));
     return new PolicyReport.Row(variant.name(), deployment.name(), trace, seed, figures);
   }
 
-  private static List<String> list(CommandLine line, String option, String absent) {
+  private static List<String> optionValues(CommandLine line, String option, String absent) {
     return List.of(line.getOptionValue(option, absent).split(","));
   }
 
--- a/sequoia-cli/src/main/java/org/sequoiahub/cli/bench/PolicyFigures.java
+++ b/sequoia-cli/src/main/java/org/sequoiahub/cli/bench/PolicyFigures.java
@@ -14,19 +14,19 @@
   private final Histogram briefs = new Histogram(MAX_MILLIS, 3);
   private long requests;
   private long stalled;
-  private long refused;
+  private long refusedRequests;
   private long loads;
   private long loadsWasted;
-  private double runningTime;
-  private double batchTime;
-  private double boundTime;
+  private double requestMillis;
+  private double busyBatchMillis;
+  private double leastBatchMillis;
 
-  void refused() {
+  void recordRefused() {
     requests++;
-    refused++;
+    refusedRequests++;
   }
 
-  void started(Priority priority, long waitMillis, long stallMillis) {
+  void recordStarted(Priority priority, long waitMillis, long stallMillis) {
     requests++;
     stalls.recordValue(Math.min(MAX_MILLIS, stallMillis));
     if (stallMillis > 0) {
@@ -36,11 +36,11 @@
         .recordValue(Math.min(MAX_MILLIS, waitMillis));
   }
 
-  void load() {
+  void recordLoad() {
     loads++;
   }
 
-  void wastedLoad() {
+  void recordWastedLoad() {
     loadsWasted++;
   }
 
@@ -51,10 +51,10 @@
    * @param busyBatch the batches' places on runners that run anything
    * @param leastBatch the places on the fewest runners that could hold the same requests
    */
-  void time(long millis, int running, int busyBatch, int leastBatch) {
-    runningTime += (double) millis * running;
-    batchTime += (double) millis * busyBatch;
-    boundTime += (double) millis * leastBatch;
+  void recordUtilization(long millis, int running, int busyBatch, int leastBatch) {
+    requestMillis += (double) millis * running;
+    busyBatchMillis += (double) millis * busyBatch;
+    leastBatchMillis += (double) millis * leastBatch;
   }
 
   double stallMeanMillis() {
@@ -62,18 +62,18 @@
   }
 
   double batchEfficiency() {
-    return batchTime == 0 ? 0 : runningTime / batchTime;
+    return busyBatchMillis == 0 ? 0 : requestMillis / busyBatchMillis;
   }
 
-  double batchBound() {
-    return boundTime == 0 ? 0 : runningTime / boundTime;
+  double batchEfficiencyBound() {
+    return leastBatchMillis == 0 ? 0 : requestMillis / leastBatchMillis;
   }
 
   long refusedCount() {
-    return refused;
+    return refusedRequests;
   }
 
-  String line() {
+  String formatLine() {
     return String.format(
         Locale.ROOT,
         "requests=%d load_stall_mean_ms=%.1f load_stall_p99_ms=%d stalled_share=%.4f"
@@ -84,10 +84,10 @@
         stalls.getValueAtPercentile(99),
         requests == 0 ? 0 : (double) stalled / requests,
         batchEfficiency(),
-        batchBound(),
+        batchEfficiencyBound(),
         loads,
         loadsWasted,
-        refused,
+        refusedRequests,
         interactive.getValueAtPercentile(99),
         briefs.getValueAtPercentile(99));
   }
--- a/sequoia-cli/src/main/java/org/sequoiahub/cli/bench/PolicyReport.java
+++ b/sequoia-cli/src/main/java/org/sequoiahub/cli/bench/PolicyReport.java
@@ -24,7 +24,7 @@
 
   /** One run and its figures. */
   record Row(String policy, String deployment, String trace, long seed, PolicyFigures figures) {
-    String line() {
+    String formatLine() {
       return "policy="
           + policy
           + " deployment="
@@ -34,7 +34,7 @@
           + " seed="
           + seed
           + " "
-          + figures.line();
+          + figures.formatLine();
     }
   }
 
@@ -43,17 +43,17 @@
     try (PrintWriter table =
         new PrintWriter(
             Files.newBufferedWriter(directory.resolve("policy.txt"), StandardCharsets.UTF_8))) {
-      rows.forEach(row -> table.println(row.line()));
+      rows.forEach(row -> table.println(row.formatLine()));
     }
     for (String deployment : rows.stream().map(Row::deployment).distinct().toList()) {
       List<Row> own = rows.stream().filter(r -> r.deployment().equals(deployment)).toList();
-      plot(
+      writePlot(
           directory,
           deployment + "-load-stall",
           "mean load stall (ms), " + deployment,
           own,
           row -> row.figures().stallMeanMillis());
-      plot(
+      writePlot(
           directory,
           deployment + "-batch-efficiency",
           "batch efficiency, " + deployment,
@@ -62,7 +62,7 @@
     }
   }
 
-  private static void plot(
+  private static void writePlot(
       Path directory, String file, String title, List<Row> rows, ToDoubleFunction<Row> figure)
       throws IOException {
     CategoryChart chart =
--- a/sequoia-cli/src/main/java/org/sequoiahub/cli/bench/PolicySimulation.java
+++ b/sequoia-cli/src/main/java/org/sequoiahub/cli/bench/PolicySimulation.java
@@ -33,15 +33,15 @@
 /** Runs one policy over one trace in virtual time. */
 final class PolicySimulation {
 
-  private static final int ENTRIES = 8;
+  private static final int ENTRY_COUNT = 8;
   private static final long HOP_MILLIS = 1;
   private static final long UNLOAD_MILLIS = 20;
   private static final long TICK_MILLIS = 50;
   private static final long DEADLINE_MILLIS = 120_000;
-  private static final long BROWNOUT_FROM = 360_000;
-  private static final long BROWNOUT_UNTIL = 480_000;
-  private static final double BROWNOUT_SLOWNESS = 3;
-  private static final Rights SOLE = new Rights(true, 1, Long.MIN_VALUE / 2);
+  private static final long BROWNOUT_START_MILLIS = 360_000;
+  private static final long BROWNOUT_END_MILLIS = 480_000;
+  private static final double BROWNOUT_SLOWDOWN_FACTOR = 3;
+  private static final Rights SOLE_OWNER = new Rights(true, 1, Long.MIN_VALUE / 2);
   private static final String[] DOMAINS = {"d1", "d2", "d3", "d4"};
 
   private final Deployment deployment;
@@ -54,15 +54,15 @@
           Comparator.comparingLong(Event::atMillis).thenComparingLong(Event::sequence));
   private final Map<String, SimulatedRunner> runners = new LinkedHashMap<>();
   private final Map<String, List<Runner>> pools = new HashMap<>();
-  private final Map<String, Waiting> waiting = new HashMap<>();
+  private final Map<String, PendingRequest> pendingRequests = new HashMap<>();
   private final List<RunnerHints> hints = new ArrayList<>();
   private final Map<String, ActivePool> activePools = new HashMap<>();
   private final RouteSettings routing;
   private final RunnerChooser chooser;
   private final LoadTurns<TurnKey> turns;
   private long sequence;
-  private long now;
-  private long accountedUntil;
+  private long nowMillis;
+  private long utilizationRecordedUntilMillis;
 
   PolicySimulation(Deployment deployment, Variant variant, Trace.Kind kind, long seed) {
     this.deployment = deployment;
@@ -72,25 +72,25 @@
     this.routing = variant.routing(deployment.routing());
     this.chooser = new RunnerChooser(routing);
     this.turns = new LoadTurns<>(deployment.loadsPerSecond(), 1, 60_000);
-    for (int i = 0; i < ENTRIES; i++) {
+    for (int i = 0; i < ENTRY_COUNT; i++) {
       hints.add(new RunnerHints());
     }
     deployment.pools().forEach(this::addPool);
   }
 
   PolicyFigures run(List<Arrival> arrivals) {
-    arrivals.forEach(arrival -> at(arrival.atMillis(), () -> arrive(arrival)));
+    arrivals.forEach(arrival -> schedule(arrival.atMillis(), () -> handleArrival(arrival)));
     for (long t = 0; t < Trace.DURATION_MILLIS; t += TICK_MILLIS) {
-      at(t, this::tick);
+      schedule(t, this::tick);
     }
     if (kind == Trace.Kind.BROWNOUT) {
-      at(BROWNOUT_FROM, () -> coldRestart(runners.values().iterator().next()));
+      schedule(BROWNOUT_START_MILLIS, () -> coldRestart(runners.values().iterator().next()));
     }
     for (Event event = events.poll();
         event != null && event.atMillis <= Trace.DURATION_MILLIS;
         event = events.poll()) {
-      account(event.atMillis);
-      now = event.atMillis;
+      recordUtilization(event.atMillis);
+      nowMillis = event.atMillis;
       event.work.run();
     }
     return figures;
@@ -120,48 +120,50 @@
     pools.put(pool.baseModel(), list);
   }
 
-  private void arrive(Arrival arrival) {
-    int entry = random.nextInt(ENTRIES);
-    offer(new Waiting(arrival, entry, now), new HashSet<>());
+  private void handleArrival(Arrival arrival) {
+    int entry = random.nextInt(ENTRY_COUNT);
+    offerRequest(new PendingRequest(arrival, entry, nowMillis), new HashSet<>());
   }
 
-  private void offer(Waiting request, Set<String> excluded) {
-    Optional<Runner> chosen = choose(request, excluded);
+  private void offerRequest(PendingRequest request, Set<String> excluded) {
+    Optional<Runner> chosen = chooseRunner(request, excluded);
     if (chosen.isEmpty()) {
       if (request.arrivedMillis >= Trace.WARM_UP_MILLIS) {
-        figures.refused();
+        figures.recordRefused();
       }
       return;
     }
     Runner runner = chosen.get();
     RunnerHints own = hints.get(request.entry);
     own.sent(runner.id());
-    at(
-        now + HOP_MILLIS,
+    schedule(
+        nowMillis + HOP_MILLIS,
         () -> {
-          SimulatedRunner target = target(runner.id());
+          SimulatedRunner target = requireRunner(runner.id());
           String id = "r" + ++sequence;
           AdapterVersion adapter = request.arrival.adapter();
           Admission admission =
               target.controller.offer(
                   new RunnerRequest(
-                      id, adapter, request.arrival.pool().priority(), now + DEADLINE_MILLIS),
-                  now);
+                      id, adapter, request.arrival.pool().priority(), nowMillis + DEADLINE_MILLIS),
+                  nowMillis);
           if (admission instanceof Admission.Admitted admitted) {
-            waiting.put(id, request);
+            pendingRequests.put(id, request);
             long wait = admitted.expectedWaitMillis();
             boolean resident = admitted.resident();
-            at(now + HOP_MILLIS, () -> own.heard(runner.id(), adapter, wait, resident, now));
-            settle(target);
+            schedule(
+                nowMillis + HOP_MILLIS,
+                () -> own.heard(runner.id(), adapter, wait, resident, nowMillis));
+            applyDecisions(target);
           } else {
             own.ended(runner.id());
             excluded.add(runner.id());
-            offer(request, excluded);
+            offerRequest(request, excluded);
           }
         });
   }
 
-  private Optional<Runner> choose(Waiting request, Set<String> excluded) {
+  private Optional<Runner> chooseRunner(PendingRequest request, Set<String> excluded) {
     Pool pool = request.arrival.pool();
     List<Runner> all = pools.getOrDefault(pool.baseModel(), List.of());
     AdapterVersion adapter = request.arrival.adapter();
@@ -175,61 +177,61 @@
       case CHEAPEST ->
           chooser.choose(
               adapter,
-              Placement.candidates(adapter, active(request, all), routing.candidates()),
+              Placement.candidates(adapter, activeRunners(request, all), routing.candidates()),
               excluded,
               hints.get(request.entry),
-              now);
+              nowMillis);
     };
   }
 
-  private List<Runner> active(Waiting request, List<Runner> all) {
+  private List<Runner> activeRunners(PendingRequest request, List<Runner> all) {
     RunnerHints own = hints.get(request.entry);
     int here = own.inFlight(all);
     String baseModel = request.arrival.pool().baseModel();
     return activePools
         .computeIfAbsent(request.entry + baseModel, k -> new ActivePool(routing.leastShare()))
-        .active(baseModel, all, (double) here * ENTRIES, now);
+        .active(baseModel, all, (double) here * ENTRY_COUNT, nowMillis);
   }
 
-  private void settle(SimulatedRunner runner) {
-    for (RunnerAction action : runner.controller.decide(SOLE, now)) {
+  private void applyDecisions(SimulatedRunner runner) {
+    for (RunnerAction action : runner.controller.decide(SOLE_OWNER, nowMillis)) {
       perform(runner, action);
     }
   }
 
   private void perform(SimulatedRunner runner, RunnerAction action) {
     if (action instanceof RunnerAction.Start start) {
-      start(runner, start.request());
+      startRequest(runner, start.request());
     } else if (action instanceof RunnerAction.Refuse refuse) {
-      Waiting gone = waiting.remove(refuse.request().id());
+      PendingRequest gone = pendingRequests.remove(refuse.request().id());
       if (gone != null && gone.arrivedMillis >= Trace.WARM_UP_MILLIS) {
-        figures.refused();
+        figures.recordRefused();
       }
     } else if (action instanceof RunnerAction.AskTurn ask) {
       TurnKey key = new TurnKey(runner.runner.id(), ask.adapter());
-      turns.ask(key, ask.waiting(), ask.interactive(), now);
+      turns.ask(key, ask.waiting(), ask.interactive(), nowMillis);
       grantTurns();
     } else if (action instanceof RunnerAction.ReturnTurn back) {
       turns.done(new TurnKey(runner.runner.id(), back.adapter()));
       grantTurns();
     } else if (action instanceof RunnerAction.Load load) {
-      load(runner, load.adapter());
+      startLoad(runner, load.adapter());
     } else if (action instanceof RunnerAction.Unload unload) {
-      if (!runner.used.remove(unload.adapter()) && now >= Trace.WARM_UP_MILLIS) {
-        figures.wastedLoad();
+      if (!runner.used.remove(unload.adapter()) && nowMillis >= Trace.WARM_UP_MILLIS) {
+        figures.recordWastedLoad();
       }
-      at(
-          now + UNLOAD_MILLIS,
+      schedule(
+          nowMillis + UNLOAD_MILLIS,
           () -> {
-            runner.controller.unloadAnswered(unload.adapter(), OrderResult.DONE, now);
-            runner.readySince.remove(unload.adapter());
-            settle(runner);
+            runner.controller.unloadAnswered(unload.adapter(), OrderResult.DONE, nowMillis);
+            runner.readySinceMillis.remove(unload.adapter());
+            applyDecisions(runner);
           });
     }
   }
 
-  private void start(SimulatedRunner runner, RunnerRequest request) {
-    Waiting begun = waiting.get(request.id());
+  private void startRequest(SimulatedRunner runner, RunnerRequest request) {
+    PendingRequest begun = pendingRequests.get(request.id());
     if (begun == null) {
       return;
     }
@@ -237,95 +239,98 @@
     runner.used.add(adapter);
     runner.running.put(request.id(), adapter);
     if (begun.arrivedMillis >= Trace.WARM_UP_MILLIS) {
-      long wait = now - begun.arrivedMillis;
-      long ready = runner.readySince.getOrDefault(adapter, now);
+      long wait = nowMillis - begun.arrivedMillis;
+      long ready = runner.readySinceMillis.getOrDefault(adapter, nowMillis);
       long stall = Math.max(0, Math.min(wait, ready - begun.arrivedMillis));
-      figures.started(request.priority(), wait, stall);
+      figures.recordStarted(request.priority(), wait, stall);
     }
-    long restarts = runner.restarts;
-    at(
-        now + begun.arrival.serviceMillis(),
+    long restarts = runner.restartCount;
+    schedule(
+        nowMillis + begun.arrival.serviceMillis(),
         () -> {
-          if (runner.restarts == restarts) {
-            end(runner, request.id());
-            settle(runner);
+          if (runner.restartCount == restarts) {
+            endRequest(runner, request.id());
+            applyDecisions(runner);
           }
         });
   }
 
-  private void end(SimulatedRunner runner, String id) {
+  private void endRequest(SimulatedRunner runner, String id) {
     runner.running.remove(id);
-    runner.controller.ended(id, now);
-    Waiting ended = waiting.remove(id);
+    runner.controller.ended(id, nowMillis);
+    PendingRequest ended = pendingRequests.remove(id);
     if (ended != null) {
       RunnerHints own = hints.get(ended.entry);
       AdapterVersion adapter = ended.arrival.adapter();
-      long wait = runner.controller.expectedWaitMillis(adapter, now);
-      at(
-          now + HOP_MILLIS,
+      long wait = runner.controller.expectedWaitMillis(adapter, nowMillis);
+      schedule(
+          nowMillis + HOP_MILLIS,
           () -> {
             own.ended(runner.runner.id());
-            own.heard(runner.runner.id(), adapter, wait, true, now);
+            own.heard(runner.runner.id(), adapter, wait, true, nowMillis);
           });
     }
   }
 
-  private void load(SimulatedRunner runner, AdapterVersion adapter) {
-    if (now >= Trace.WARM_UP_MILLIS) {
-      figures.load();
+  private void startLoad(SimulatedRunner runner, AdapterVersion adapter) {
+    if (nowMillis >= Trace.WARM_UP_MILLIS) {
+      figures.recordLoad();
     }
-    boolean slow = kind == Trace.Kind.BROWNOUT && now >= BROWNOUT_FROM && now < BROWNOUT_UNTIL;
+    boolean slow =
+        kind == Trace.Kind.BROWNOUT
+            && nowMillis >= BROWNOUT_START_MILLIS
+            && nowMillis < BROWNOUT_END_MILLIS;
     double fullSpeed = 1_000.0 / deployment.loadsPerSecond();
-    long restarts = runner.restarts;
-    at(
-        now + Math.round(fullSpeed * (slow ? BROWNOUT_SLOWNESS : 1)),
+    long restarts = runner.restartCount;
+    schedule(
+        nowMillis + Math.round(fullSpeed * (slow ? BROWNOUT_SLOWDOWN_FACTOR : 1)),
         () -> {
-          boolean done = runner.restarts == restarts;
+          boolean done = runner.restartCount == restarts;
           if (done) {
-            runner.readySince.put(adapter, now);
+            runner.readySinceMillis.put(adapter, nowMillis);
           }
           runner.controller.loadAnswered(
-              adapter, done ? OrderResult.DONE : OrderResult.FAILED, now);
-          settle(runner);
+              adapter, done ? OrderResult.DONE : OrderResult.FAILED, nowMillis);
+          applyDecisions(runner);
         });
   }
 
   /** The engine forgets everything: what ran there is run again, and its report shows it empty. */
   private void coldRestart(SimulatedRunner runner) {
-    runner.restarts++;
-    List<Waiting> again = new ArrayList<>();
+    runner.restartCount++;
+    List<PendingRequest> again = new ArrayList<>();
     for (String id : List.copyOf(runner.running.keySet())) {
-      Waiting lost = waiting.get(id);
-      end(runner, id);
+      PendingRequest lost = pendingRequests.get(id);
+      endRequest(runner, id);
       if (lost != null) {
-        again.add(new Waiting(lost.arrival, lost.entry, now));
+        again.add(new PendingRequest(lost.arrival, lost.entry, nowMillis));
       }
     }
-    runner.readySince.clear();
-    at(
-        now + 1,
+    runner.readySinceMillis.clear();
+    schedule(
+        nowMillis + 1,
         () -> {
           runner.controller.reported(
-              new EngineReport(now, Set.of(), Set.of(), Map.of()), SOLE, now);
-          settle(runner);
-          again.forEach(request -> offer(request, new HashSet<>()));
+              new EngineReport(nowMillis, Set.of(), Set.of(), Map.of()), SOLE_OWNER, nowMillis);
+          applyDecisions(runner);
+          again.forEach(request -> offerRequest(request, new HashSet<>()));
         });
   }
 
   private void tick() {
     grantTurns();
-    runners.values().forEach(this::settle);
+    runners.values().forEach(this::applyDecisions);
   }
 
   private void grantTurns() {
-    for (TurnKey key : turns.grant(now)) {
-      SimulatedRunner runner = target(key.runner);
+    for (TurnKey key : turns.grant(nowMillis)) {
+      SimulatedRunner runner = requireRunner(key.runner);
       runner.controller.turnGranted(key.adapter);
-      at(now, () -> settle(runner));
+      schedule(nowMillis, () -> applyDecisions(runner));
     }
   }
 
-  private SimulatedRunner target(String id) {
+  private SimulatedRunner requireRunner(String id) {
     SimulatedRunner runner = runners.get(id);
     if (runner == null) {
       throw new IllegalArgumentException("id must name a runner, was '" + id + "'");
@@ -334,9 +339,9 @@
   }
 
   /** Adds up how the batches were used until {@code until}. */
-  private void account(long until) {
-    long from = Math.max(accountedUntil, Trace.WARM_UP_MILLIS);
-    accountedUntil = until;
+  private void recordUtilization(long until) {
+    long from = Math.max(utilizationRecordedUntilMillis, Trace.WARM_UP_MILLIS);
+    utilizationRecordedUntilMillis = until;
     if (until <= from) {
       return;
     }
@@ -345,14 +350,15 @@
       int busy = 0;
       Set<AdapterVersion> distinct = new HashSet<>();
       for (Runner listed : pool) {
-        SimulatedRunner runner = target(listed.id());
+        SimulatedRunner runner = requireRunner(listed.id());
         running += runner.running.size();
         busy += runner.running.isEmpty() ? 0 : 1;
         distinct.addAll(runner.running.values());
       }
       int least =
           Math.max(ceilDiv(running, Deployment.BATCH), ceilDiv(distinct.size(), Deployment.SLOTS));
-      figures.time(until - from, running, busy * Deployment.BATCH, least * Deployment.BATCH);
+      figures.recordUtilization(
+          until - from, running, busy * Deployment.BATCH, least * Deployment.BATCH);
     }
   }
 
@@ -360,7 +366,7 @@
     return (value + by - 1) / by;
   }
 
-  private void at(long millis, Runnable work) {
+  private void schedule(long millis, Runnable work) {
     events.add(new Event(millis, ++sequence, work));
   }
 
@@ -368,15 +374,15 @@
 
   private record TurnKey(String runner, AdapterVersion adapter) {}
 
-  private record Waiting(Arrival arrival, int entry, long arrivedMillis) {}
+  private record PendingRequest(Arrival arrival, int entry, long arrivedMillis) {}
 
   private static final class SimulatedRunner {
     private final Runner runner;
     private final RunnerController controller;
     private final Map<String, AdapterVersion> running = new HashMap<>();
-    private final Map<AdapterVersion, Long> readySince = new HashMap<>();
+    private final Map<AdapterVersion, Long> readySinceMillis = new HashMap<>();
     private final Set<AdapterVersion> used = new HashSet<>();
-    private long restarts;
+    private long restartCount;
 
     SimulatedRunner(Runner runner, RunnerController controller) {
       this.runner = runner;
--- a/sequoia-cli/src/main/java/org/sequoiahub/cli/bench/SlopesCommand.java
+++ b/sequoia-cli/src/main/java/org/sequoiahub/cli/bench/SlopesCommand.java
@@ -45,42 +45,42 @@
 /** {@code sequoia bench slopes}: what each piece of state and each message costs. */
 public final class SlopesCommand {
 
-  private static final int[] RECORD_SIZES = {3_000, 20_000, 77_000};
-  private static final int[] RUNNER_SIZES = {16, 260, 2_100};
-  private static final int[] STREAM_SIZES = {100, 1_000, 10_000};
-  private static final int FRAME_BYTES = 4;
-  private static final Rights SOLE = new Rights(true, 1, Long.MIN_VALUE / 2);
+  private static final int[] RECORD_COUNTS = {3_000, 20_000, 77_000};
+  private static final int[] RUNNER_COUNTS = {16, 260, 2_100};
+  private static final int[] STREAM_COUNTS = {100, 1_000, 10_000};
+  private static final int FRAME_HEADER_BYTES = 4;
+  private static final Rights SOLE_OWNER = new Rights(true, 1, Long.MIN_VALUE / 2);
 
   private SlopesCommand() {}
 
   /** Prints one line a figure and size. */
   public static void run(PrintStream out) {
-    for (int size : RECORD_SIZES) {
-      records(size, out);
+    for (int size : RECORD_COUNTS) {
+      measureRecords(size, out);
     }
-    for (int size : RUNNER_SIZES) {
-      runners(size, out);
-      route(size, out);
+    for (int size : RUNNER_COUNTS) {
+      measureRunners(size, out);
+      measureRouting(size, out);
     }
-    for (int size : STREAM_SIZES) {
-      streams(size, out);
+    for (int size : STREAM_COUNTS) {
+      measureStreams(size, out);
     }
-    messages(out);
+    measureMessages(out);
   }
 
-  private static void records(int size, PrintStream out) {
-    double stored = heapOf(() -> filled(size, AcceptedRecords.Keep.VALUES)) / size;
-    double parsed = heapOf(() -> filled(size, AcceptedRecords.Keep.PARSED)) / size;
-    AcceptedRecords records = filled(size, AcceptedRecords.Keep.PARSED);
-    double offer = microsOf(20_000, i -> records.offer(record(i % size, size + 1L + i)));
+  private static void measureRecords(int size, PrintStream out) {
+    double stored = measureHeapBytes(() -> createRecords(size, AcceptedRecords.Keep.VALUES)) / size;
+    double parsed = measureHeapBytes(() -> createRecords(size, AcceptedRecords.Keep.PARSED)) / size;
+    AcceptedRecords records = createRecords(size, AcceptedRecords.Keep.PARSED);
+    double offer = measureMicros(20_000, i -> records.offer(createRecord(i % size, size + 1L + i)));
     double resolve =
-        microsOf(200_000, i -> ModelResolver.resolve("adapter-" + i % size, records, 0.5));
-    AcceptedRecords watched = filled(size, AcceptedRecords.Keep.VALUES);
+        measureMicros(200_000, i -> ModelResolver.resolve("adapter-" + i % size, records, 0.5));
+    AcceptedRecords watched = createRecords(size, AcceptedRecords.Keep.VALUES);
     long[] digest = watched.digest();
-    double equal = microsOf(2_000, i -> watched.heldWhereDifferent(digest));
-    watched.offer(record(0, 2L * size));
-    double oneDiffers = microsOf(50, i -> watched.heldWhereDifferent(digest));
-    line(
+    double equal = measureMicros(2_000, i -> watched.heldWhereDifferent(digest));
+    watched.offer(createRecord(0, 2L * size));
+    double oneDiffers = measureMicros(50, i -> watched.heldWhereDifferent(digest));
+    printLine(
         out,
         "record",
         size,
@@ -98,31 +98,31 @@
         oneDiffers);
   }
 
-  private static AcceptedRecords filled(int size, AcceptedRecords.Keep keep) {
+  private static AcceptedRecords createRecords(int size, AcceptedRecords.Keep keep) {
     AcceptedRecords records = new AcceptedRecords(new DefaultRecordParser(), keep);
     for (int i = 0; i < size; i++) {
-      records.offer(record(i, i + 1));
+      records.offer(createRecord(i, i + 1));
     }
     return records;
   }
 
-  private static void runners(int size, PrintStream out) {
+  private static void measureRunners(int size, PrintStream out) {
     Supplier<List<RunnerController>> fill =
         () -> {
           List<RunnerController> controllers = new ArrayList<>();
           for (int i = 0; i < size; i++) {
-            controllers.add(controller());
+            controllers.add(createController());
           }
           return controllers;
         };
-    double bytes = heapOf(fill) / size;
+    double bytes = measureHeapBytes(fill) / size;
     List<RunnerController> controllers = fill.get();
     EngineReport[] reports = new EngineReport[2];
     for (int i = 0; i < reports.length; i++) {
-      reports[i] = report();
+      reports[i] = createReport();
     }
     double reported =
-        microsOf(
+        measureMicros(
             50_000,
             i -> {
               EngineReport one = reports[i % 2];
@@ -130,27 +130,27 @@
                   .get(i % size)
                   .reported(
                       new EngineReport(i + 10, one.resident(), one.loading(), one.active()),
-                      SOLE,
+                      SOLE_OWNER,
                       i + 10);
             });
     double admit =
-        microsOf(
+        measureMicros(
             50_000,
             i -> {
               RunnerController controller = controllers.get(i % size);
               String id = "q" + i;
               controller.offer(
-                  new RunnerRequest(id, adapter(i % 8), Priority.INTERACTIVE, i + 900_000L),
+                  new RunnerRequest(id, createAdapter(i % 8), Priority.INTERACTIVE, i + 900_000L),
                   i + 100L);
-              controller.decide(SOLE, i + 100L);
+              controller.decide(SOLE_OWNER, i + 100L);
               controller.ended(id, i + 101L);
-              controller.decide(SOLE, i + 101L);
+              controller.decide(SOLE_OWNER, i + 101L);
             });
-    line(
+    printLine(
         out, "runner", size, "heap_bytes", bytes, "report_us", reported, "admit_and_end_us", admit);
   }
 
-  private static void route(int size, PrintStream out) {
+  private static void measureRouting(int size, PrintStream out) {
     List<Runner> pool = new ArrayList<>();
     for (int i = 0; i < size; i++) {
       pool.add(
@@ -159,17 +159,17 @@
     RunnerChooser chooser = new RunnerChooser(RouteSettings.ashcombe());
     RunnerHints hints = new RunnerHints();
     double route =
-        microsOf(
+        measureMicros(
             2_000,
             i -> {
-              AdapterVersion adapter = adapter(i);
+              AdapterVersion adapter = createAdapter(i);
               List<Runner> candidates = Placement.candidates(adapter, pool, 4);
               chooser.choose(adapter, candidates, Set.of(), hints, i);
             });
-    line(out, "route_in_pool", size, "route_us", route);
+    printLine(out, "route_in_pool", size, "route_us", route);
   }
 
-  private static void streams(int size, PrintStream out) {
+  private static void measureStreams(int size, PrintStream out) {
     Supplier<List<ChunkSequencer>> sequencers =
         () -> {
           List<ChunkSequencer> list = new ArrayList<>();
@@ -178,7 +178,7 @@
           }
           return list;
         };
-    double bytes = heapOf(sequencers) / size;
+    double bytes = measureHeapBytes(sequencers) / size;
     Supplier<OperationTable<String>> operations =
         () -> {
           OperationTable<String> table = new OperationTable<>("host", 1, 600_000, 1_000_000);
@@ -191,11 +191,11 @@
                   });
           return table;
         };
-    double operation = heapOf(operations) / size;
+    double operation = measureHeapBytes(operations) / size;
     ChunkSequencer sequencer = new ChunkSequencer(0, 1_024);
     byte[] data = new byte[200];
-    double chunk = microsOf(500_000, i -> sequencer.accept(i + 1, data));
-    line(
+    double chunk = measureMicros(500_000, i -> sequencer.accept(i + 1, data));
+    printLine(
         out,
         "stream",
         size,
@@ -207,7 +207,7 @@
         chunk);
   }
 
-  private static void messages(PrintStream out) {
+  private static void measureMessages(PrintStream out) {
     Envelope call =
         Envelope.newBuilder()
             .setCall(1_000)
@@ -249,7 +249,7 @@
     Envelope update =
         Envelope.newBuilder()
             .setCall(1_000)
-            .setUpdate(Update.newBuilder().addRecords(WireRecords.toWire(record(1, 1))))
+            .setUpdate(Update.newBuilder().addRecords(WireRecords.toWire(createRecord(1, 1))))
             .build();
     Map<String, Envelope> all = new HashMap<>();
     all.put("inference_call_without_body", call);
@@ -261,7 +261,7 @@
     all.forEach(
         (name, message) -> {
           double micros =
-              microsOf(
+              measureMicros(
                   100_000,
                   i -> {
                     try {
@@ -270,18 +270,18 @@
                       throw new IllegalStateException("a written message must parse", e);
                     }
                   });
-          line(
+          printLine(
               out,
               "message_" + name,
               1,
               "bytes",
-              message.getSerializedSize() + FRAME_BYTES,
+              message.getSerializedSize() + FRAME_HEADER_BYTES,
               "write_and_parse_us",
               micros);
         });
   }
 
-  private static StoredRecord record(int number, long revision) {
+  private static StoredRecord createRecord(int number, long revision) {
     String json =
         "{\"schema\":2,\"name\":\"adapter-"
             + number
@@ -293,39 +293,39 @@
     return new StoredRecord("adapters/adapter-" + number, revision, false, json.getBytes(UTF_8));
   }
 
-  private static AdapterVersion adapter(int number) {
+  private static AdapterVersion createAdapter(int number) {
     return new AdapterVersion("adapter-" + number, "1");
   }
 
-  private static RunnerController controller() {
+  private static RunnerController createController() {
     RunnerController controller = new RunnerController(8, 16, PolicySettings.ashcombe());
-    controller.reported(report(), SOLE, 2);
+    controller.reported(createReport(), SOLE_OWNER, 2);
     return controller;
   }
 
-  private static EngineReport report() {
+  private static EngineReport createReport() {
     Set<AdapterVersion> resident = new HashSet<>();
     Map<String, AdapterVersion> active = new HashMap<>();
     for (int i = 0; i < 8; i++) {
-      resident.add(adapter(i));
-      active.put("request-" + i, adapter(i));
+      resident.add(createAdapter(i));
+      active.put("request-" + i, createAdapter(i));
     }
     return new EngineReport(1, resident, Set.of(), active);
   }
 
   /** Returns the bytes that stay reachable from what {@code make} makes. */
-  private static double heapOf(Supplier<?> make) {
+  private static double measureHeapBytes(Supplier<?> make) {
     Object first = make.get();
-    long withOne = used();
+    long withOne = usedHeapBytes();
     Object second = make.get();
-    long withTwo = used();
+    long withTwo = usedHeapBytes();
     Reference.reachabilityFence(first);
     Reference.reachabilityFence(second);
     return Math.max(0, withTwo - withOne);
   }
 
   @SuppressWarnings("ThreadPriorityCheck")
-  private static long used() {
+  private static long usedHeapBytes() {
     for (int i = 0; i < 3; i++) {
       System.gc();
     }
@@ -333,18 +333,18 @@
   }
 
   /** Returns the microseconds of one call, after a warm-up of as many calls. */
-  private static double microsOf(int calls, Work work) {
+  private static double measureMicros(int calls, MeasuredCall work) {
     for (int i = 0; i < calls; i++) {
-      work.call(i);
+      work.invoke(i);
     }
     long begin = System.nanoTime();
     for (int i = calls; i < 2 * calls; i++) {
-      work.call(i);
+      work.invoke(i);
     }
     return (System.nanoTime() - begin) / 1e3 / calls;
   }
 
-  private static void line(PrintStream out, String what, int size, Object... figures) {
+  private static void printLine(PrintStream out, String what, int size, Object... figures) {
     StringBuilder line = new StringBuilder("slope=" + what + " size=" + size);
     for (int i = 0; i < figures.length; i += 2) {
       double value = ((Number) figures[i + 1]).doubleValue();
@@ -354,7 +354,7 @@
   }
 
   @FunctionalInterface
-  private interface Work {
-    void call(int number);
+  private interface MeasuredCall {
+    void invoke(int number);
   }
 }
--- a/sequoia-cli/src/main/java/org/sequoiahub/cli/bench/Trace.java
+++ b/sequoia-cli/src/main/java/org/sequoiahub/cli/bench/Trace.java
@@ -14,8 +14,8 @@
   static final long DURATION_MILLIS = 900_000;
   static final long WARM_UP_MILLIS = 180_000;
 
-  private static final double SKEW = 1.3;
-  private static final double AWAKE_CHANGE_PER_HOUR = 0.23;
+  private static final double ZIPF_EXPONENT = 1.3;
+  private static final double ACTIVITY_CHANGE_SHARE_PER_HOUR = 0.23;
   private static final double MILLIS_PER_HOUR = 3_600_000;
 
   /** The kinds of trace. */
@@ -42,22 +42,23 @@
 
   private Trace() {}
 
-  static List<Arrival> of(Deployment deployment, Kind kind, long seed) {
+  static List<Arrival> generate(Deployment deployment, Kind kind, long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     List<Arrival> arrivals = new ArrayList<>();
     for (Pool pool : deployment.pools()) {
-      add(pool, kind, random.split(), arrivals);
+      addArrivals(pool, kind, random.split(), arrivals);
     }
     arrivals.sort(Comparator.comparingLong(Arrival::atMillis));
     return arrivals;
   }
 
-  private static void add(Pool pool, Kind kind, SplittableRandom random, List<Arrival> arrivals) {
-    double[] cumulative = skew(pool.adapters());
-    int[] adapterOfRank = shuffled(pool.adapters(), random);
+  private static void addArrivals(
+      Pool pool, Kind kind, SplittableRandom random, List<Arrival> arrivals) {
+    double[] cumulative = cumulativeZipf(pool.adapters());
+    int[] adapterOfRank = randomPermutation(pool.adapters(), random);
     boolean shifted = false;
     double nextSwap = Double.POSITIVE_INFINITY;
-    double swapMillis = MILLIS_PER_HOUR / (AWAKE_CHANGE_PER_HOUR * pool.adapters());
+    double swapMillis = MILLIS_PER_HOUR / (ACTIVITY_CHANGE_SHARE_PER_HOUR * pool.adapters());
     if (kind == Kind.WAKE) {
       nextSwap = exponential(random, swapMillis);
     }
@@ -68,13 +69,13 @@
         return;
       }
       if (kind == Kind.SHIFT && !shifted && at >= DURATION_MILLIS / 2.0) {
-        adapterOfRank = shuffled(pool.adapters(), random);
+        adapterOfRank = randomPermutation(pool.adapters(), random);
         shifted = true;
       }
       for (; at >= nextSwap; nextSwap += exponential(random, swapMillis)) {
-        swap(adapterOfRank, random);
+        swapRandomPair(adapterOfRank, random);
       }
-      int adapter = adapterOfRank[rank(cumulative, random.nextDouble())];
+      int adapter = adapterOfRank[sampleRank(cumulative, random.nextDouble())];
       AdapterVersion name = new AdapterVersion(pool.baseModel() + "-" + adapter, "1");
       long service = Math.max(20, Math.round(exponential(random, pool.serviceMillis())));
       arrivals.add(new Arrival(Math.round(at), pool, name, service));
@@ -85,11 +86,11 @@
     return -mean * Math.log(1 - random.nextDouble());
   }
 
-  private static double[] skew(int adapters) {
+  private static double[] cumulativeZipf(int adapters) {
     double[] cumulative = new double[adapters];
     double sum = 0;
     for (int i = 0; i < adapters; i++) {
-      sum += Math.pow(i + 1, -SKEW);
+      sum += Math.pow(i + 1, -ZIPF_EXPONENT);
       cumulative[i] = sum;
     }
     for (int i = 0; i < adapters; i++) {
@@ -98,12 +99,12 @@
     return cumulative;
   }
 
-  private static int rank(double[] cumulative, double draw) {
+  private static int sampleRank(double[] cumulative, double draw) {
     int at = Arrays.binarySearch(cumulative, draw);
     return Math.min(cumulative.length - 1, at < 0 ? -at - 1 : at);
   }
 
-  private static int[] shuffled(int count, SplittableRandom random) {
+  private static int[] randomPermutation(int count, SplittableRandom random) {
     int[] order = new int[count];
     for (int i = 0; i < count; i++) {
       int j = random.nextInt(i + 1);
@@ -113,7 +114,7 @@
     return order;
   }
 
-  private static void swap(int[] order, SplittableRandom random) {
+  private static void swapRandomPair(int[] order, SplittableRandom random) {
     int a = random.nextInt(order.length);
     int b = random.nextInt(order.length);
     int moved = order[a];
--- a/sequoia-cli/src/main/java/org/sequoiahub/cli/bench/Variant.java
+++ b/sequoia-cli/src/main/java/org/sequoiahub/cli/bench/Variant.java
@@ -25,7 +25,7 @@
     CHEAPEST
   }
 
-  static Variant named(String name, Set<String> without) {
+  static Variant forName(String name, Set<String> without) {
     for (String mechanism : without) {
       if (!MECHANISMS.contains(mechanism)) {
         throw new IllegalArgumentException(
--- a/sequoia-cli/src/test/java/org/sequoiahub/cli/bench/HotDecisionBenchmark.java
+++ b/sequoia-cli/src/test/java/org/sequoiahub/cli/bench/HotDecisionBenchmark.java
@@ -46,7 +46,7 @@
   private static final int MODELS = 8;
   private static final int SLOTS = 8;
   private static final int BATCH = 16;
-  private static final Rights SOLE = new Rights(true, 1, Long.MIN_VALUE / 2);
+  private static final Rights SOLE_OWNER = new Rights(true, 1, Long.MIN_VALUE / 2);
 
   /** How many adapters there are. */
   @Param({"3000", "77000"})
@@ -56,19 +56,19 @@
   @Param({"16", "2100"})
   int runners;
 
-  private AdapterVersion[] names = new AdapterVersion[0];
+  private AdapterVersion[] adapterVersions = new AdapterVersion[0];
   private List<Runner> pool = List.of();
   private List<RunnerController> controllers = List.of();
   private RunnerChooser chooser = new RunnerChooser(RouteSettings.ashcombe());
   private RunnerHints hints = new RunnerHints();
-  private long number;
+  private long invocations;
 
   /** Fills the state. */
   @Setup
-  public void fill() {
-    names = new AdapterVersion[adapters];
+  public void setUp() {
+    adapterVersions = new AdapterVersion[adapters];
     for (int i = 0; i < adapters; i++) {
-      names[i] = new AdapterVersion("adapter-" + i, "1");
+      adapterVersions[i] = new AdapterVersion("adapter-" + i, "1");
     }
     List<Runner> listed = new ArrayList<>();
     for (int i = 0; i < Math.max(2, runners / MODELS); i++) {
@@ -80,7 +80,9 @@
     for (int i = 0; i < runners; i++) {
       RunnerController controller = new RunnerController(SLOTS, BATCH, PolicySettings.ashcombe());
       controller.reported(
-          new EngineReport(1, Set.of(names[0], names[1]), Set.of(), Map.of()), SOLE, 2);
+          new EngineReport(1, Set.of(adapterVersions[0], adapterVersions[1]), Set.of(), Map.of()),
+          SOLE_OWNER,
+          2);
       controllers.add(controller);
     }
   }
@@ -88,18 +90,20 @@
   /** Ranks an adapter's candidates and chooses one. */
   @Benchmark
   public Object route() {
-    AdapterVersion adapter = names[(int) (number++ % adapters)];
-    return chooser.choose(adapter, Placement.candidates(adapter, pool, 4), Set.of(), hints, number);
+    AdapterVersion adapter = adapterVersions[(int) (invocations++ % adapters)];
+    return chooser.choose(
+        adapter, Placement.candidates(adapter, pool, 4), Set.of(), hints, invocations);
   }
 
   /** Admits, starts and ends a request for a loaded adapter. */
   @Benchmark
   public Object admit() {
-    long now = 10 + number++;
-    RunnerController controller = controllers.get((int) (number % runners));
-    String id = "r" + number;
-    controller.offer(new RunnerRequest(id, names[0], Priority.INTERACTIVE, now + 60_000), now);
-    List<RunnerAction> started = controller.decide(SOLE, now);
+    long now = 10 + invocations++;
+    RunnerController controller = controllers.get((int) (invocations % runners));
+    String id = "r" + invocations;
+    controller.offer(
+        new RunnerRequest(id, adapterVersions[0], Priority.INTERACTIVE, now + 60_000), now);
+    List<RunnerAction> started = controller.decide(SOLE_OWNER, now);
     controller.ended(id, now + 1);
     return started;
   }
@@ -109,15 +113,15 @@
    */
   @Benchmark
   public Object evict() {
-    long now = 10 + number++ * 10;
-    RunnerController controller = controllers.get((int) (number % runners));
-    AdapterVersion adapter = names[(int) (number % adapters)];
-    String id = "r" + number;
+    long now = 10 + invocations++ * 10;
+    RunnerController controller = controllers.get((int) (invocations % runners));
+    AdapterVersion adapter = adapterVersions[(int) (invocations % adapters)];
+    String id = "r" + invocations;
     controller.offer(new RunnerRequest(id, adapter, Priority.INTERACTIVE, now + 60_000), now);
     int steps = 0;
-    for (List<RunnerAction> actions = controller.decide(SOLE, now);
+    for (List<RunnerAction> actions = controller.decide(SOLE_OWNER, now);
         !actions.isEmpty();
-        actions = controller.decide(SOLE, now)) {
+        actions = controller.decide(SOLE_OWNER, now)) {
       for (RunnerAction action : actions) {
         perform(controller, action, now);
         steps++;
