--- a/sequoia-cli/src/main/java/org/sequoiahub/cli/AdminReader.java
+++ b/sequoia-cli/src/main/java/org/sequoiahub/cli/AdminReader.java
@@ -9,7 +9,7 @@
 import org.eclipse.jetty.client.HttpClient;
 import org.sequoiahub.runtime.settings.Endpoint;
 
-/** Reads processes' administration interfaces. */
+/** HTTP client that reads JSON from the administration interfaces of Sequoia processes. */
 final class AdminReader implements AutoCloseable {
 
   private static final long TIMEOUT_SECONDS = 3;
@@ -22,9 +22,12 @@
   }
 
   /**
-   * Reads a path of a process.
+   * Returns the JSON that a process serves at a path.
    *
-   * @throws IOException if it cannot be read
+   * @param admin the process's administration address, {@code host:port}
+   * @param path the path to read, beginning with a slash
+   * @throws UsageException if {@code admin} is not a valid address
+   * @throws IOException if the request fails or times out, or if the response is not JSON
    */
   JsonNode read(String admin, String path) throws IOException {
     if (Endpoint.parse(admin).isEmpty()) {
@@ -40,7 +43,7 @@
       Thread.currentThread().interrupt();
       throw new IOException("interrupted", e);
     } catch (ExecutionException | TimeoutException e) {
-      throw new IOException(admin + " cannot be read: " + e.getMessage(), e);
+      throw new IOException(admin + ": HTTP request failed: " + e.getMessage(), e);
     }
   }
 
--- a/sequoia-cli/src/main/java/org/sequoiahub/cli/BenchCommand.java
+++ b/sequoia-cli/src/main/java/org/sequoiahub/cli/BenchCommand.java
@@ -6,18 +6,18 @@
 import org.sequoiahub.cli.bench.PolicyCommand;
 import org.sequoiahub.cli.bench.SlopesCommand;
 
-/** Measures the decision code on this machine. */
+/** Runs one of the benchmarks of the decision code. */
 final class BenchCommand implements Command {
 
   @Override
   public int run(List<String> arguments, PrintStream out) throws IOException {
-    String what = arguments.isEmpty() ? "" : arguments.get(0);
-    List<String> rest = arguments.isEmpty() ? List.of() : arguments.subList(1, arguments.size());
+    String benchmark = arguments.isEmpty() ? "" : arguments.get(0);
+    List<String> options = arguments.isEmpty() ? List.of() : arguments.subList(1, arguments.size());
     try {
-      switch (what) {
-        case "policy" -> PolicyCommand.run(rest, out);
+      switch (benchmark) {
+        case "policy" -> PolicyCommand.run(options, out);
         case "slopes" -> SlopesCommand.run(out);
-        default -> throw new UsageException("what to bench must be policy or slopes");
+        default -> throw new UsageException("the benchmark must be 'policy' or 'slopes'");
       }
     } catch (IllegalArgumentException e) {
       throw new UsageException(String.valueOf(e.getMessage()));
--- a/sequoia-cli/src/main/java/org/sequoiahub/cli/Command.java
+++ b/sequoia-cli/src/main/java/org/sequoiahub/cli/Command.java
@@ -3,16 +3,16 @@
 import java.io.PrintStream;
 import java.util.List;
 
-/** One verb of the command line. */
+/** A subcommand of {@code sequoia}. */
 @FunctionalInterface
 interface Command {
 
   /**
-   * Runs the verb.
+   * Runs the subcommand.
    *
-   * @param arguments what follows the verb
-   * @param out where its answer goes
-   * @return the exit code
+   * @param arguments the arguments that follow the subcommand's name
+   * @param out receives the output
+   * @return the exit code of the process
    * @throws UsageException if the arguments are not valid
    */
   int run(List<String> arguments, PrintStream out) throws Exception;
--- a/sequoia-cli/src/main/java/org/sequoiahub/cli/ExplainCommand.java
+++ b/sequoia-cli/src/main/java/org/sequoiahub/cli/ExplainCommand.java
@@ -6,32 +6,39 @@
 import java.util.List;
 import java.util.Map;
 
-/** Prints where an adapter's versions are loaded, as the dispatchers that own the runners tell. */
+/**
+ * Prints on which runners an adapter's versions occupy a slot, as reported by the dispatchers that
+ * own the runners.
+ */
 final class ExplainCommand implements Command {
 
   @Override
   public int run(List<String> arguments, PrintStream out) throws Exception {
     if (arguments.size() < 2) {
-      throw new UsageException("an ADAPTER and at least one dispatcher's ADMIN are wanted");
+      throw new UsageException(
+          "expected an ADAPTER and the ADMIN address of at least one dispatcher");
     }
     String adapter = arguments.get(0);
-    int unread = 0;
+    int unreadable = 0;
     int found = 0;
     try (AdminReader reader = new AdminReader()) {
       for (String admin : arguments.subList(1, arguments.size())) {
         try {
           found += printSlots(adapter, reader.read(admin, "/status"), out);
         } catch (IOException e) {
-          unread++;
+          unreadable++;
           out.println("admin=" + admin + " error=\"" + e.getMessage() + "\"");
         }
       }
     }
     if (found == 0) {
-      out.println("adapter=" + adapter + " is loaded nowhere that was asked: its next request");
-      out.println("  loads it at its first candidate runner");
+      out.println(
+          "adapter="
+              + adapter
+              + " is not loaded on any runner that these dispatchers report: its next request");
+      out.println("  loads it on its first candidate runner");
     }
-    return unread == 0 ? 0 : 1;
+    return unreadable == 0 ? 0 : 1;
   }
 
   private static int printSlots(String adapter, JsonNode status, PrintStream out) {
--- a/sequoia-cli/src/main/java/org/sequoiahub/cli/StatusCommand.java
+++ b/sequoia-cli/src/main/java/org/sequoiahub/cli/StatusCommand.java
@@ -6,26 +6,29 @@
 import java.util.List;
 import java.util.StringJoiner;
 
-/** Prints the state of processes, one line each, and what they own. */
+/**
+ * Prints the state of processes, one line each, followed by the runners, slots and refused records
+ * that the process reports.
+ */
 final class StatusCommand implements Command {
 
   @Override
   public int run(List<String> arguments, PrintStream out) throws Exception {
     if (arguments.isEmpty()) {
-      throw new UsageException("at least one ADMIN is wanted");
+      throw new UsageException("expected at least one ADMIN address");
     }
-    int unread = 0;
+    int unreadable = 0;
     try (AdminReader reader = new AdminReader()) {
       for (String admin : arguments) {
         try {
           printStatus(admin, reader.read(admin, "/status"), out);
         } catch (IOException e) {
-          unread++;
+          unreadable++;
           out.println("admin=" + admin + " error=\"" + e.getMessage() + "\"");
         }
       }
     }
-    return unread == 0 ? 0 : 1;
+    return unreadable == 0 ? 0 : 1;
   }
 
   private static void printStatus(String admin, JsonNode status, PrintStream out) {
@@ -45,6 +48,7 @@
     }
   }
 
+  /** Returns the scalar fields of an object as {@code name=value} pairs. */
   static String formatValueFields(JsonNode object) {
     StringJoiner line = new StringJoiner(" ");
     object
--- a/sequoia-cli/src/main/java/org/sequoiahub/cli/UsageException.java
+++ b/sequoia-cli/src/main/java/org/sequoiahub/cli/UsageException.java
@@ -1,6 +1,6 @@
 package org.sequoiahub.cli;
 
-/** The arguments are not valid; the message says what is. */
+/** Thrown if the command line is not valid; the message says what was expected. */
 final class UsageException extends RuntimeException {
 
   private static final long serialVersionUID = 1L;
--- a/sequoia-cli/src/main/java/org/sequoiahub/cli/ValidateCommand.java
+++ b/sequoia-cli/src/main/java/org/sequoiahub/cli/ValidateCommand.java
@@ -15,7 +15,10 @@
 import org.sequoiahub.core.record.RecordParser;
 import org.sequoiahub.core.record.RecordProblem;
 
-/** Says which records of a file would be accepted, by the code that accepts them. */
+/**
+ * Checks which records of a file would be accepted, with the same parser that the processes use,
+ * and prints the problems of those that would be refused.
+ */
 final class ValidateCommand implements Command {
 
   private final RecordParser parser = new DefaultRecordParser();
@@ -24,7 +27,7 @@
   @Override
   public int run(List<String> arguments, PrintStream out) throws IOException {
     if (arguments.size() != 1) {
-      throw new UsageException("one FILE is wanted");
+      throw new UsageException("expected exactly one FILE");
     }
     Map<String, JsonNode> records = readRecords(Path.of(arguments.get(0)));
     int refused = 0;
@@ -51,13 +54,13 @@
 
   private Map<String, JsonNode> readRecords(Path file) throws IOException {
     if (!Files.isReadable(file)) {
-      throw new UsageException("cannot read '" + file + "'");
+      throw new UsageException("FILE does not exist or is not readable: '" + file + "'");
     }
     JsonNode root;
     try {
       root = mapper.readTree(Files.readAllBytes(file));
     } catch (JsonProcessingException e) {
-      throw new UsageException("FILE must be JSON: " + e.getOriginalMessage());
+      throw new UsageException("FILE is not valid JSON: " + e.getOriginalMessage());
     }
     Map<String, JsonNode> records = new LinkedHashMap<>();
     if (root.isObject()) {
@@ -65,13 +68,14 @@
     } else {
       for (JsonNode item : root) {
         if (!item.path("key").isTextual() || !item.has("value")) {
-          throw new UsageException("each item must have a key and a value, was " + item);
+          throw new UsageException(
+              "each array element must have a string 'key' and a 'value', was " + item);
         }
         records.put(item.get("key").textValue(), item.get("value"));
       }
     }
     if (records.isEmpty()) {
-      throw new UsageException("FILE holds no records");
+      throw new UsageException("FILE contains no records");
     }
     return records;
   }
