--- a/sequoia-cli/src/main/java/org/sequoiahub/cli/bench/Deployment.java
+++ b/sequoia-cli/src/main/java/org/sequoiahub/cli/bench/Deployment.java
@@ -7,13 +7,13 @@
 import org.sequoiahub.core.runner.PolicySettings;
 
 /**
- * The sizes of one of the brief's deployments.
+ * A deployment to simulate: its pools, load and settings.
  *
- * @param name its name
- * @param pools its pools of runners
- * @param loadsPerSecond what the weight store allows
- * @param policy the weights of the runners' decisions
- * @param routing the weights of the choice of a runner
+ * @param name the deployment's name
+ * @param pools the pools of runners, one for each base model
+ * @param loadsPerSecond the rate at which the weight store serves adapter loads
+ * @param policy the settings of the runners' decisions
+ * @param routing the settings of the choice of a runner
  */
 record Deployment(
     String name,
@@ -22,7 +22,7 @@
     PolicySettings policy,
     RouteSettings routing) {
 
-  /** Adapter versions that an engine holds at once; the brief says "a few". */
+  /** Adapter versions that an engine holds at once; the requirements only say "a few". */
   static final int SLOTS = 8;
 
   /** Requests that an engine runs at once. */
@@ -31,12 +31,12 @@
   /**
    * The runners of one base model.
    *
-   * @param baseModel its name
-   * @param runners how many
-   * @param adapters how many adapters share it
-   * @param priority the priority of its requests
-   * @param requestsPerSecond the offered load
-   * @param serviceMillis the mean time that a request runs
+   * @param baseModel the base model's name
+   * @param runners the number of runners
+   * @param adapters the number of adapters of the base model
+   * @param priority the priority of the pool's requests
+   * @param requestsPerSecond the mean arrival rate of requests
+   * @param serviceMillis the mean time that a request runs on an engine
    */
   record Pool(
       String baseModel,
@@ -46,6 +46,11 @@
       double requestsPerSecond,
       double serviceMillis) {}
 
+  /**
+   * Returns the deployment with the given name, ignoring case.
+   *
+   * @throws IllegalArgumentException if no deployment has this name
+   */
   static Deployment forName(String name) {
     return switch (name.toLowerCase(Locale.ROOT)) {
       case "ashcombe" ->
--- a/sequoia-cli/src/main/java/org/sequoiahub/cli/bench/PolicyCommand.java
+++ b/sequoia-cli/src/main/java/org/sequoiahub/cli/bench/PolicyCommand.java
@@ -13,13 +13,16 @@
 import org.apache.commons.cli.Options;
 import org.apache.commons.cli.ParseException;
 
-/** {@code sequoia bench policy}: one line of figures for each run. */
+/**
+ * {@code sequoia bench policy}: simulates policies in virtual time and prints one line of figures
+ * for each combination of deployment, trace, policy and seed.
+ */
 public final class PolicyCommand {
 
   private PolicyCommand() {}
 
   /**
-   * Runs the policies that the arguments name.
+   * Simulates the combinations that the arguments select.
    *
    * @throws IllegalArgumentException if an argument is not valid; the message names it
    */
@@ -63,8 +66,8 @@
     return new PolicyReport.Row(variant.name(), deployment.name(), trace, seed, figures);
   }
 
-  private static List<String> optionValues(CommandLine line, String option, String absent) {
-    return List.of(line.getOptionValue(option, absent).split(","));
+  private static List<String> optionValues(CommandLine line, String option, String defaultValue) {
+    return List.of(line.getOptionValue(option, defaultValue).split(","));
   }
 
   private static CommandLine parse(List<String> arguments) {
--- a/sequoia-cli/src/main/java/org/sequoiahub/cli/bench/PolicyFigures.java
+++ b/sequoia-cli/src/main/java/org/sequoiahub/cli/bench/PolicyFigures.java
@@ -4,7 +4,7 @@
 import org.HdrHistogram.Histogram;
 import org.sequoiahub.core.record.Priority;
 
-/** What one run of a policy came to. */
+/** Collects the figures of one simulation run: load stalls, waits, loads and batch efficiency. */
 final class PolicyFigures {
 
   private static final long MAX_MILLIS = 3_600_000;
@@ -26,6 +26,13 @@
     refusedRequests++;
   }
 
+  /**
+   * Counts a request that started.
+   *
+   * @param waitMillis the time from its arrival to its start
+   * @param stallMillis the part of the wait until its adapter was loaded; 0 if it was loaded
+   *     already
+   */
   void recordStarted(Priority priority, long waitMillis, long stallMillis) {
     requests++;
     stalls.recordValue(Math.min(MAX_MILLIS, stallMillis));
@@ -40,16 +47,18 @@
     loads++;
   }
 
+  /** Counts a load whose adapter was evicted before any request used it. */
   void recordWastedLoad() {
     loadsWasted++;
   }
 
   /**
-   * Adds a stretch of time of one pool.
+   * Adds the utilization of one pool during an interval.
    *
-   * @param running requests that run in the pool
-   * @param busyBatch the batches' places on runners that run anything
-   * @param leastBatch the places on the fewest runners that could hold the same requests
+   * @param millis the length of the interval
+   * @param running the number of requests that run in the pool
+   * @param busyBatch the batch capacity of the runners that run at least one request
+   * @param leastBatch the batch capacity of the fewest runners that could run the same requests
    */
   void recordUtilization(long millis, int running, int busyBatch, int leastBatch) {
     requestMillis += (double) millis * running;
@@ -61,10 +70,12 @@
     return stalls.getTotalCount() == 0 ? 0 : stalls.getMean();
   }
 
+  /** Returns the share of the busy runners' batch capacity that was used, from 0 to 1. */
   double batchEfficiency() {
     return busyBatchMillis == 0 ? 0 : requestMillis / busyBatchMillis;
   }
 
+  /** Returns the batch efficiency on the fewest runners that could run the same requests. */
   double batchEfficiencyBound() {
     return leastBatchMillis == 0 ? 0 : requestMillis / leastBatchMillis;
   }
@@ -73,6 +84,7 @@
     return refusedRequests;
   }
 
+  /** Returns the figures as {@code name=value} pairs on one line. */
   String formatLine() {
     return String.format(
         Locale.ROOT,
--- a/sequoia-cli/src/main/java/org/sequoiahub/cli/bench/PolicyReport.java
+++ b/sequoia-cli/src/main/java/org/sequoiahub/cli/bench/PolicyReport.java
@@ -14,7 +14,7 @@
 import org.knowm.xchart.CategoryChart;
 import org.knowm.xchart.CategoryChartBuilder;
 
-/** Writes the figures of many runs as a table and as plots. */
+/** Writes the figures of simulation runs as a text table and as PNG charts. */
 final class PolicyReport {
 
   private static final int WIDTH = 900;
@@ -22,7 +22,7 @@
 
   private PolicyReport() {}
 
-  /** One run and its figures. */
+  /** The parameters and figures of one simulation run. */
   record Row(String policy, String deployment, String trace, long seed, PolicyFigures figures) {
     String formatLine() {
       return "policy="
@@ -38,6 +38,10 @@
     }
   }
 
+  /**
+   * Writes {@code policy.txt} and, for each deployment, charts of the mean load stall and the batch
+   * efficiency into a directory, which is created if it doesn't exist.
+   */
   static void write(Path directory, List<Row> rows) throws IOException {
     Files.createDirectories(directory);
     try (PrintWriter table =
@@ -46,18 +50,19 @@
       rows.forEach(row -> table.println(row.formatLine()));
     }
     for (String deployment : rows.stream().map(Row::deployment).distinct().toList()) {
-      List<Row> own = rows.stream().filter(r -> r.deployment().equals(deployment)).toList();
+      List<Row> deploymentRows =
+          rows.stream().filter(r -> r.deployment().equals(deployment)).toList();
       writePlot(
           directory,
           deployment + "-load-stall",
           "mean load stall (ms), " + deployment,
-          own,
+          deploymentRows,
           row -> row.figures().stallMeanMillis());
       writePlot(
           directory,
           deployment + "-batch-efficiency",
           "batch efficiency, " + deployment,
-          own,
+          deploymentRows,
           row -> row.figures().batchEfficiency());
     }
   }
--- a/sequoia-cli/src/main/java/org/sequoiahub/cli/bench/PolicySimulation.java
+++ b/sequoia-cli/src/main/java/org/sequoiahub/cli/bench/PolicySimulation.java
@@ -30,10 +30,15 @@
 import org.sequoiahub.core.runner.RunnerController;
 import org.sequoiahub.core.runner.RunnerRequest;
 
-/** Runs one policy over one trace in virtual time. */
+/**
+ * Simulates one policy on one trace in virtual time: entries choose runners and runner controllers
+ * admit requests and load adapters, by the production decision code.
+ */
 final class PolicySimulation {
 
+  /** Number of simulated entries; each learns only from its own requests. */
   private static final int ENTRY_COUNT = 8;
+
   private static final long HOP_MILLIS = 1;
   private static final long UNLOAD_MILLIS = 20;
   private static final long TICK_MILLIS = 50;
@@ -41,7 +46,10 @@
   private static final long BROWNOUT_START_MILLIS = 360_000;
   private static final long BROWNOUT_END_MILLIS = 480_000;
   private static final double BROWNOUT_SLOWDOWN_FACTOR = 3;
+
+  /** Authority over a runner that no other dispatcher has ever used. */
   private static final Rights SOLE_OWNER = new Rights(true, 1, Long.MIN_VALUE / 2);
+
   private static final String[] DOMAINS = {"d1", "d2", "d3", "d4"};
 
   private final Deployment deployment;
@@ -78,6 +86,7 @@
     deployment.pools().forEach(this::addPool);
   }
 
+  /** Simulates the trace to its end and returns the figures from after the warm-up. */
   PolicyFigures run(List<Arrival> arrivals) {
     arrivals.forEach(arrival -> schedule(arrival.atMillis(), () -> handleArrival(arrival)));
     for (long t = 0; t < Trace.DURATION_MILLIS; t += TICK_MILLIS) {
@@ -125,6 +134,7 @@
     offerRequest(new PendingRequest(arrival, entry, nowMillis), new HashSet<>());
   }
 
+  /** Sends a request to a runner, and to another each time that one refuses it. */
   private void offerRequest(PendingRequest request, Set<String> excluded) {
     Optional<Runner> chosen = chooseRunner(request, excluded);
     if (chosen.isEmpty()) {
@@ -134,8 +144,8 @@
       return;
     }
     Runner runner = chosen.get();
-    RunnerHints own = hints.get(request.entry);
-    own.sent(runner.id());
+    RunnerHints entryHints = hints.get(request.entry);
+    entryHints.sent(runner.id());
     schedule(
         nowMillis + HOP_MILLIS,
         () -> {
@@ -153,10 +163,10 @@
             boolean resident = admitted.resident();
             schedule(
                 nowMillis + HOP_MILLIS,
-                () -> own.heard(runner.id(), adapter, wait, resident, nowMillis));
+                () -> entryHints.heard(runner.id(), adapter, wait, resident, nowMillis));
             applyDecisions(target);
           } else {
-            own.ended(runner.id());
+            entryHints.ended(runner.id());
             excluded.add(runner.id());
             offerRequest(request, excluded);
           }
@@ -185,12 +195,12 @@
   }
 
   private List<Runner> activeRunners(PendingRequest request, List<Runner> all) {
-    RunnerHints own = hints.get(request.entry);
-    int here = own.inFlight(all);
+    RunnerHints entryHints = hints.get(request.entry);
+    int inFlight = entryHints.inFlight(all);
     String baseModel = request.arrival.pool().baseModel();
     return activePools
         .computeIfAbsent(request.entry + baseModel, k -> new ActivePool(routing.leastShare()))
-        .active(baseModel, all, (double) here * ENTRY_COUNT, nowMillis);
+        .active(baseModel, all, (double) inFlight * ENTRY_COUNT, nowMillis);
   }
 
   private void applyDecisions(SimulatedRunner runner) {
@@ -203,16 +213,16 @@
     if (action instanceof RunnerAction.Start start) {
       startRequest(runner, start.request());
     } else if (action instanceof RunnerAction.Refuse refuse) {
-      PendingRequest gone = pendingRequests.remove(refuse.request().id());
-      if (gone != null && gone.arrivedMillis >= Trace.WARM_UP_MILLIS) {
+      PendingRequest refused = pendingRequests.remove(refuse.request().id());
+      if (refused != null && refused.arrivedMillis >= Trace.WARM_UP_MILLIS) {
         figures.recordRefused();
       }
     } else if (action instanceof RunnerAction.AskTurn ask) {
       TurnKey key = new TurnKey(runner.runner.id(), ask.adapter());
       turns.ask(key, ask.waiting(), ask.interactive(), nowMillis);
       grantTurns();
-    } else if (action instanceof RunnerAction.ReturnTurn back) {
-      turns.done(new TurnKey(runner.runner.id(), back.adapter()));
+    } else if (action instanceof RunnerAction.ReturnTurn returned) {
+      turns.done(new TurnKey(runner.runner.id(), returned.adapter()));
       grantTurns();
     } else if (action instanceof RunnerAction.Load load) {
       startLoad(runner, load.adapter());
@@ -231,22 +241,22 @@
   }
 
   private void startRequest(SimulatedRunner runner, RunnerRequest request) {
-    PendingRequest begun = pendingRequests.get(request.id());
-    if (begun == null) {
+    PendingRequest pending = pendingRequests.get(request.id());
+    if (pending == null) {
       return;
     }
     AdapterVersion adapter = request.adapter();
     runner.used.add(adapter);
     runner.running.put(request.id(), adapter);
-    if (begun.arrivedMillis >= Trace.WARM_UP_MILLIS) {
-      long wait = nowMillis - begun.arrivedMillis;
+    if (pending.arrivedMillis >= Trace.WARM_UP_MILLIS) {
+      long wait = nowMillis - pending.arrivedMillis;
       long ready = runner.readySinceMillis.getOrDefault(adapter, nowMillis);
-      long stall = Math.max(0, Math.min(wait, ready - begun.arrivedMillis));
+      long stall = Math.max(0, Math.min(wait, ready - pending.arrivedMillis));
       figures.recordStarted(request.priority(), wait, stall);
     }
     long restarts = runner.restartCount;
     schedule(
-        nowMillis + begun.arrival.serviceMillis(),
+        nowMillis + pending.arrival.serviceMillis(),
         () -> {
           if (runner.restartCount == restarts) {
             endRequest(runner, request.id());
@@ -258,16 +268,16 @@
   private void endRequest(SimulatedRunner runner, String id) {
     runner.running.remove(id);
     runner.controller.ended(id, nowMillis);
-    PendingRequest ended = pendingRequests.remove(id);
-    if (ended != null) {
-      RunnerHints own = hints.get(ended.entry);
-      AdapterVersion adapter = ended.arrival.adapter();
+    PendingRequest pending = pendingRequests.remove(id);
+    if (pending != null) {
+      RunnerHints entryHints = hints.get(pending.entry);
+      AdapterVersion adapter = pending.arrival.adapter();
       long wait = runner.controller.expectedWaitMillis(adapter, nowMillis);
       schedule(
           nowMillis + HOP_MILLIS,
           () -> {
-            own.ended(runner.runner.id());
-            own.heard(runner.runner.id(), adapter, wait, true, nowMillis);
+            entryHints.ended(runner.runner.id());
+            entryHints.heard(runner.runner.id(), adapter, wait, true, nowMillis);
           });
     }
   }
@@ -276,34 +286,37 @@
     if (nowMillis >= Trace.WARM_UP_MILLIS) {
       figures.recordLoad();
     }
-    boolean slow =
+    boolean brownout =
         kind == Trace.Kind.BROWNOUT
             && nowMillis >= BROWNOUT_START_MILLIS
             && nowMillis < BROWNOUT_END_MILLIS;
-    double fullSpeed = 1_000.0 / deployment.loadsPerSecond();
+    double loadMillis = 1_000.0 / deployment.loadsPerSecond();
     long restarts = runner.restartCount;
     schedule(
-        nowMillis + Math.round(fullSpeed * (slow ? BROWNOUT_SLOWDOWN_FACTOR : 1)),
+        nowMillis + Math.round(loadMillis * (brownout ? BROWNOUT_SLOWDOWN_FACTOR : 1)),
         () -> {
-          boolean done = runner.restartCount == restarts;
-          if (done) {
+          boolean loaded = runner.restartCount == restarts;
+          if (loaded) {
             runner.readySinceMillis.put(adapter, nowMillis);
           }
           runner.controller.loadAnswered(
-              adapter, done ? OrderResult.DONE : OrderResult.FAILED, nowMillis);
+              adapter, loaded ? OrderResult.DONE : OrderResult.FAILED, nowMillis);
           applyDecisions(runner);
         });
   }
 
-  /** The engine forgets everything: what ran there is run again, and its report shows it empty. */
+  /**
+   * Restarts an engine without its adapters: it reports empty slots, and its running requests are
+   * offered again.
+   */
   private void coldRestart(SimulatedRunner runner) {
     runner.restartCount++;
-    List<PendingRequest> again = new ArrayList<>();
+    List<PendingRequest> restarted = new ArrayList<>();
     for (String id : List.copyOf(runner.running.keySet())) {
-      PendingRequest lost = pendingRequests.get(id);
+      PendingRequest pending = pendingRequests.get(id);
       endRequest(runner, id);
-      if (lost != null) {
-        again.add(new PendingRequest(lost.arrival, lost.entry, nowMillis));
+      if (pending != null) {
+        restarted.add(new PendingRequest(pending.arrival, pending.entry, nowMillis));
       }
     }
     runner.readySinceMillis.clear();
@@ -313,7 +326,7 @@
           runner.controller.reported(
               new EngineReport(nowMillis, Set.of(), Set.of(), Map.of()), SOLE_OWNER, nowMillis);
           applyDecisions(runner);
-          again.forEach(request -> offerRequest(request, new HashSet<>()));
+          restarted.forEach(request -> offerRequest(request, new HashSet<>()));
         });
   }
 
@@ -338,27 +351,30 @@
     return runner;
   }
 
-  /** Adds up how the batches were used until {@code until}. */
-  private void recordUtilization(long until) {
-    long from = Math.max(utilizationRecordedUntilMillis, Trace.WARM_UP_MILLIS);
-    utilizationRecordedUntilMillis = until;
-    if (until <= from) {
+  /** Adds the utilization of all pools from the last call to {@code untilMillis} to the figures. */
+  private void recordUtilization(long untilMillis) {
+    long fromMillis = Math.max(utilizationRecordedUntilMillis, Trace.WARM_UP_MILLIS);
+    utilizationRecordedUntilMillis = untilMillis;
+    if (untilMillis <= fromMillis) {
       return;
     }
     for (List<Runner> pool : pools.values()) {
       int running = 0;
-      int busy = 0;
+      int busyRunners = 0;
       Set<AdapterVersion> distinct = new HashSet<>();
       for (Runner listed : pool) {
         SimulatedRunner runner = requireRunner(listed.id());
         running += runner.running.size();
-        busy += runner.running.isEmpty() ? 0 : 1;
+        busyRunners += runner.running.isEmpty() ? 0 : 1;
         distinct.addAll(runner.running.values());
       }
-      int least =
+      int leastRunners =
           Math.max(ceilDiv(running, Deployment.BATCH), ceilDiv(distinct.size(), Deployment.SLOTS));
       figures.recordUtilization(
-          until - from, running, busy * Deployment.BATCH, least * Deployment.BATCH);
+          untilMillis - fromMillis,
+          running,
+          busyRunners * Deployment.BATCH,
+          leastRunners * Deployment.BATCH);
     }
   }
 
--- a/sequoia-cli/src/main/java/org/sequoiahub/cli/bench/SlopesCommand.java
+++ b/sequoia-cli/src/main/java/org/sequoiahub/cli/bench/SlopesCommand.java
@@ -42,18 +42,23 @@
 import org.sequoiahub.schema.wire.Update;
 import org.sequoiahub.wire.WireRecords;
 
-/** {@code sequoia bench slopes}: what each piece of state and each message costs. */
+/**
+ * {@code sequoia bench slopes}: measures the heap and time that each kind of state and message
+ * takes, and how they grow with the number of records, runners and streams.
+ */
 public final class SlopesCommand {
 
   private static final int[] RECORD_COUNTS = {3_000, 20_000, 77_000};
   private static final int[] RUNNER_COUNTS = {16, 260, 2_100};
   private static final int[] STREAM_COUNTS = {100, 1_000, 10_000};
   private static final int FRAME_HEADER_BYTES = 4;
+
+  /** Authority over a runner that no other dispatcher has ever used. */
   private static final Rights SOLE_OWNER = new Rights(true, 1, Long.MIN_VALUE / 2);
 
   private SlopesCommand() {}
 
-  /** Prints one line a figure and size. */
+  /** Prints one line for each kind of state at each size, and one for each message. */
   public static void run(PrintStream out) {
     for (int size : RECORD_COUNTS) {
       measureRecords(size, out);
@@ -69,25 +74,27 @@
   }
 
   private static void measureRecords(int size, PrintStream out) {
-    double stored = measureHeapBytes(() -> createRecords(size, AcceptedRecords.Keep.VALUES)) / size;
-    double parsed = measureHeapBytes(() -> createRecords(size, AcceptedRecords.Keep.PARSED)) / size;
+    double watcherHeapBytes =
+        measureHeapBytes(() -> createRecords(size, AcceptedRecords.Keep.VALUES)) / size;
+    double entryHeapBytes =
+        measureHeapBytes(() -> createRecords(size, AcceptedRecords.Keep.PARSED)) / size;
     AcceptedRecords records = createRecords(size, AcceptedRecords.Keep.PARSED);
     double offer = measureMicros(20_000, i -> records.offer(createRecord(i % size, size + 1L + i)));
     double resolve =
         measureMicros(200_000, i -> ModelResolver.resolve("adapter-" + i % size, records, 0.5));
-    AcceptedRecords watched = createRecords(size, AcceptedRecords.Keep.VALUES);
-    long[] digest = watched.digest();
-    double equal = measureMicros(2_000, i -> watched.heldWhereDifferent(digest));
-    watched.offer(createRecord(0, 2L * size));
-    double oneDiffers = measureMicros(50, i -> watched.heldWhereDifferent(digest));
+    AcceptedRecords watcherRecords = createRecords(size, AcceptedRecords.Keep.VALUES);
+    long[] digest = watcherRecords.digest();
+    double equal = measureMicros(2_000, i -> watcherRecords.heldWhereDifferent(digest));
+    watcherRecords.offer(createRecord(0, 2L * size));
+    double oneDiffers = measureMicros(50, i -> watcherRecords.heldWhereDifferent(digest));
     printLine(
         out,
         "record",
         size,
         "watcher_heap_bytes",
-        stored,
+        watcherHeapBytes,
         "entry_heap_bytes",
-        parsed,
+        entryHeapBytes,
         "accept_us",
         offer,
         "resolve_us",
@@ -107,7 +114,7 @@
   }
 
   private static void measureRunners(int size, PrintStream out) {
-    Supplier<List<RunnerController>> fill =
+    Supplier<List<RunnerController>> factory =
         () -> {
           List<RunnerController> controllers = new ArrayList<>();
           for (int i = 0; i < size; i++) {
@@ -115,8 +122,8 @@
           }
           return controllers;
         };
-    double bytes = measureHeapBytes(fill) / size;
-    List<RunnerController> controllers = fill.get();
+    double bytes = measureHeapBytes(factory) / size;
+    List<RunnerController> controllers = factory.get();
     EngineReport[] reports = new EngineReport[2];
     for (int i = 0; i < reports.length; i++) {
       reports[i] = createReport();
@@ -125,11 +132,12 @@
         measureMicros(
             50_000,
             i -> {
-              EngineReport one = reports[i % 2];
+              EngineReport report = reports[i % 2];
               controllers
                   .get(i % size)
                   .reported(
-                      new EngineReport(i + 10, one.resident(), one.loading(), one.active()),
+                      new EngineReport(
+                          i + 10, report.resident(), report.loading(), report.active()),
                       SOLE_OWNER,
                       i + 10);
             });
@@ -267,7 +275,8 @@
                     try {
                       Envelope.parseFrom(message.toByteArray());
                     } catch (InvalidProtocolBufferException e) {
-                      throw new IllegalStateException("a written message must parse", e);
+                      throw new IllegalStateException(
+                          "a serialized message could not be parsed", e);
                     }
                   });
           printLine(
@@ -313,11 +322,14 @@
     return new EngineReport(1, resident, Set.of(), active);
   }
 
-  /** Returns the bytes that stay reachable from what {@code make} makes. */
-  private static double measureHeapBytes(Supplier<?> make) {
-    Object first = make.get();
+  /**
+   * Returns the heap bytes retained by an object that {@code factory} creates, measured on the
+   * second of two so that one-time allocations don't count.
+   */
+  private static double measureHeapBytes(Supplier<?> factory) {
+    Object first = factory.get();
     long withOne = usedHeapBytes();
-    Object second = make.get();
+    Object second = factory.get();
     long withTwo = usedHeapBytes();
     Reference.reachabilityFence(first);
     Reference.reachabilityFence(second);
@@ -332,20 +344,20 @@
     return Runtime.getRuntime().totalMemory() - Runtime.getRuntime().freeMemory();
   }
 
-  /** Returns the microseconds of one call, after a warm-up of as many calls. */
-  private static double measureMicros(int calls, MeasuredCall work) {
+  /** Returns the mean microseconds of a call, measured after as many warm-up calls. */
+  private static double measureMicros(int calls, MeasuredCall call) {
     for (int i = 0; i < calls; i++) {
-      work.invoke(i);
+      call.invoke(i);
     }
     long begin = System.nanoTime();
     for (int i = calls; i < 2 * calls; i++) {
-      work.invoke(i);
+      call.invoke(i);
     }
     return (System.nanoTime() - begin) / 1e3 / calls;
   }
 
-  private static void printLine(PrintStream out, String what, int size, Object... figures) {
-    StringBuilder line = new StringBuilder("slope=" + what + " size=" + size);
+  private static void printLine(PrintStream out, String subject, int size, Object... figures) {
+    StringBuilder line = new StringBuilder("slope=" + subject + " size=" + size);
     for (int i = 0; i < figures.length; i += 2) {
       double value = ((Number) figures[i + 1]).doubleValue();
       line.append(String.format(Locale.ROOT, " %s=%.2f", figures[i], value));
--- a/sequoia-cli/src/main/java/org/sequoiahub/cli/bench/Trace.java
+++ b/sequoia-cli/src/main/java/org/sequoiahub/cli/bench/Trace.java
@@ -8,10 +8,16 @@
 import org.sequoiahub.cli.bench.Deployment.Pool;
 import org.sequoiahub.core.record.AdapterVersion;
 
-/** Requests over time, the same for every policy that is given the same seed. */
+/**
+ * Generates the requests of a simulation. The same deployment, kind and seed give the same
+ * requests, so that policies are compared on equal load.
+ */
 final class Trace {
 
+  /** Virtual time that a trace covers. */
   static final long DURATION_MILLIS = 900_000;
+
+  /** Initial part of the trace that the figures leave out. */
   static final long WARM_UP_MILLIS = 180_000;
 
   private static final double ZIPF_EXPONENT = 1.3;
@@ -20,28 +26,29 @@
 
   /** The kinds of trace. */
   enum Kind {
-    /** Steady skew. */
+    /** Adapter popularity follows a fixed Zipf distribution. */
     ZIPF,
-    /** Half way, cold adapters become the hot ones, without warning. */
+    /** Halfway through, popularity is reassigned without warning: cold adapters become hot. */
     SHIFT,
-    /** Within an hour 23% of the adapters wake up or fall idle. */
+    /** Adapters become active or idle one by one, 23% of them within an hour. */
     WAKE,
-    /** The weight store slows to a third for a while, and an engine restarts cold. */
+    /** The weight store slows to a third of its rate for a while, and an engine restarts empty. */
     BROWNOUT
   }
 
   /**
-   * One request.
+   * A request and its arrival time.
    *
-   * @param atMillis when it arrives
-   * @param pool its pool
-   * @param adapter the adapter version that it names
-   * @param serviceMillis how long it runs
+   * @param atMillis when the request arrives, in virtual time
+   * @param pool the pool that serves the adapter's base model
+   * @param adapter the requested adapter version
+   * @param serviceMillis how long the request runs on the engine
    */
   record Arrival(long atMillis, Pool pool, AdapterVersion adapter, long serviceMillis) {}
 
   private Trace() {}
 
+  /** Returns the requests to all pools of a deployment, in order of arrival. */
   static List<Arrival> generate(Deployment deployment, Kind kind, long seed) {
     SplittableRandom random = new SplittableRandom(seed);
     List<Arrival> arrivals = new ArrayList<>();
@@ -57,35 +64,40 @@
     double[] cumulative = cumulativeZipf(pool.adapters());
     int[] adapterOfRank = randomPermutation(pool.adapters(), random);
     boolean shifted = false;
-    double nextSwap = Double.POSITIVE_INFINITY;
-    double swapMillis = MILLIS_PER_HOUR / (ACTIVITY_CHANGE_SHARE_PER_HOUR * pool.adapters());
+    double nextSwapMillis = Double.POSITIVE_INFINITY;
+    double meanSwapIntervalMillis =
+        MILLIS_PER_HOUR / (ACTIVITY_CHANGE_SHARE_PER_HOUR * pool.adapters());
     if (kind == Kind.WAKE) {
-      nextSwap = exponential(random, swapMillis);
+      nextSwapMillis = exponential(random, meanSwapIntervalMillis);
     }
-    double at = 0;
+    double atMillis = 0;
     while (true) {
-      at += exponential(random, 1_000 / pool.requestsPerSecond());
-      if (at >= DURATION_MILLIS) {
+      atMillis += exponential(random, 1_000 / pool.requestsPerSecond());
+      if (atMillis >= DURATION_MILLIS) {
         return;
       }
-      if (kind == Kind.SHIFT && !shifted && at >= DURATION_MILLIS / 2.0) {
+      if (kind == Kind.SHIFT && !shifted && atMillis >= DURATION_MILLIS / 2.0) {
         adapterOfRank = randomPermutation(pool.adapters(), random);
         shifted = true;
       }
-      for (; at >= nextSwap; nextSwap += exponential(random, swapMillis)) {
+      for (;
+          atMillis >= nextSwapMillis;
+          nextSwapMillis += exponential(random, meanSwapIntervalMillis)) {
         swapRandomPair(adapterOfRank, random);
       }
       int adapter = adapterOfRank[sampleRank(cumulative, random.nextDouble())];
-      AdapterVersion name = new AdapterVersion(pool.baseModel() + "-" + adapter, "1");
-      long service = Math.max(20, Math.round(exponential(random, pool.serviceMillis())));
-      arrivals.add(new Arrival(Math.round(at), pool, name, service));
+      AdapterVersion version = new AdapterVersion(pool.baseModel() + "-" + adapter, "1");
+      long serviceMillis = Math.max(20, Math.round(exponential(random, pool.serviceMillis())));
+      arrivals.add(new Arrival(Math.round(atMillis), pool, version, serviceMillis));
     }
   }
 
+  /** Draws from an exponential distribution. */
   private static double exponential(SplittableRandom random, double mean) {
     return -mean * Math.log(1 - random.nextDouble());
   }
 
+  /** Returns the cumulative distribution of popularity over the adapters' ranks. */
   private static double[] cumulativeZipf(int adapters) {
     double[] cumulative = new double[adapters];
     double sum = 0;
@@ -100,8 +112,8 @@
   }
 
   private static int sampleRank(double[] cumulative, double draw) {
-    int at = Arrays.binarySearch(cumulative, draw);
-    return Math.min(cumulative.length - 1, at < 0 ? -at - 1 : at);
+    int index = Arrays.binarySearch(cumulative, draw);
+    return Math.min(cumulative.length - 1, index < 0 ? -index - 1 : index);
   }
 
   private static int[] randomPermutation(int count, SplittableRandom random) {
@@ -117,8 +129,8 @@
   private static void swapRandomPair(int[] order, SplittableRandom random) {
     int a = random.nextInt(order.length);
     int b = random.nextInt(order.length);
-    int moved = order[a];
+    int swapped = order[a];
     order[a] = order[b];
-    order[b] = moved;
+    order[b] = swapped;
   }
 }
--- a/sequoia-cli/src/main/java/org/sequoiahub/cli/bench/Variant.java
+++ b/sequoia-cli/src/main/java/org/sequoiahub/cli/bench/Variant.java
@@ -6,30 +6,39 @@
 import org.sequoiahub.core.runner.PolicySettings;
 
 /**
- * A policy to measure, with some of its mechanisms switched off.
+ * A policy to simulate, with some of its mechanisms disabled.
  *
- * @param name what the result line calls it
+ * @param name the policy's name in the result line
  * @param routing how a runner is chosen
- * @param without the mechanisms that are off
+ * @param without the names of the disabled mechanisms
  */
 record Variant(String name, Routing routing, Set<String> without) {
 
-  /** The mechanisms that can be switched off. */
+  /** The names of the mechanisms that can be disabled. */
   static final Set<String> MECHANISMS =
       Set.of("value-eviction", "fill", "draining", "replicas", "packing");
 
   /** How a runner is chosen. */
   enum Routing {
+    /** Any runner of the pool, at random. */
     RANDOM,
+    /** The adapter's first placement candidate that has not refused the request. */
     FIRST_CANDIDATE,
+    /** The placement candidate where the request is expected to start soonest. */
     CHEAPEST
   }
 
+  /**
+   * Returns the policy with the given name.
+   *
+   * @param without the mechanisms to disable; only {@code sequoia} takes them into account
+   * @throws IllegalArgumentException if the name or a mechanism is unknown
+   */
   static Variant forName(String name, Set<String> without) {
     for (String mechanism : without) {
       if (!MECHANISMS.contains(mechanism)) {
         throw new IllegalArgumentException(
-            "--without must name some of "
+            "--without must contain only mechanisms of "
                 + new TreeSet<>(MECHANISMS)
                 + ", was '"
                 + mechanism
@@ -52,6 +61,7 @@
     };
   }
 
+  /** Returns {@code full} with the disabled mechanisms switched off. */
   PolicySettings policy(PolicySettings full) {
     return new PolicySettings(
         full.queueLimit(),
@@ -62,6 +72,7 @@
         !without.contains("value-eviction"));
   }
 
+  /** Returns {@code full} with the disabled mechanisms switched off. */
   RouteSettings routing(RouteSettings full) {
     return new RouteSettings(
         without.contains("replicas") ? 1 : full.candidates(),
--- a/sequoia-cli/src/main/java/org/sequoiahub/cli/bench/package-info.java
+++ b/sequoia-cli/src/main/java/org/sequoiahub/cli/bench/package-info.java
@@ -1,8 +1,9 @@
 /**
- * Measures the real decision code in virtual time, over fakes at its interfaces.
+ * Benchmarks of the production decision code: policies are simulated in virtual time, and the heap
+ * and time that state and messages take are measured.
  *
- * <p>It is a driver of decisions, not a model of a cluster: there are no processes and no network,
- * only runners that hold slots, a weight store that takes time, and requests.
+ * <p>The simulation drives the decisions and does not model a cluster: there are no processes and
+ * no network, only runners with slots, a weight store whose loads take time, and requests.
  */
 @NullMarked
 package org.sequoiahub.cli.bench;
--- a/sequoia-cli/src/test/java/org/sequoiahub/cli/bench/HotDecisionBenchmark.java
+++ b/sequoia-cli/src/test/java/org/sequoiahub/cli/bench/HotDecisionBenchmark.java
@@ -33,7 +33,8 @@
 import org.sequoiahub.core.runner.RunnerRequest;
 
 /**
- * Costs of the decisions that every request takes, by adapters and runners; see {@code bin/jmh}.
+ * Measures the time of the decisions that each request requires, by the number of adapters and
+ * runners. {@code bin/jmh} runs it.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -46,13 +47,15 @@
   private static final int MODELS = 8;
   private static final int SLOTS = 8;
   private static final int BATCH = 16;
+
+  /** Authority over a runner that no other dispatcher has ever used. */
   private static final Rights SOLE_OWNER = new Rights(true, 1, Long.MIN_VALUE / 2);
 
-  /** How many adapters there are. */
+  /** Number of adapters. */
   @Param({"3000", "77000"})
   int adapters;
 
-  /** How many runners the fleet has; a pool is an eighth of them, at least two. */
+  /** Number of runners in the fleet; a pool is an eighth of them, at least two. */
   @Param({"16", "2100"})
   int runners;
 
@@ -63,7 +66,7 @@
   private RunnerHints hints = new RunnerHints();
   private long invocations;
 
-  /** Fills the state. */
+  /** Creates the adapter versions, the pool and a controller for each runner. */
   @Setup
   public void setUp() {
     adapterVersions = new AdapterVersion[adapters];
@@ -109,7 +112,8 @@
   }
 
   /**
-   * Admits a request for an adapter that is not loaded: a load, an eviction once slots are full.
+   * Admits a request for an adapter that is not loaded, which causes a load and, once the slots are
+   * full, an eviction.
    */
   @Benchmark
   public Object evict() {
