--- a/sequoia-standins/src/main/java/org/sequoiahub/standins/ConfigurationStandin.java
+++ b/sequoia-standins/src/main/java/org/sequoiahub/standins/ConfigurationStandin.java
@@ -28,8 +28,8 @@
             thread.setDaemon(true);
             return thread;
           });
-  private final Map<String, Stored> records = new TreeMap<>();
-  private final List<Map<String, Stored>> replicas = new ArrayList<>();
+  private final Map<String, StoredRecord> records = new TreeMap<>();
+  private final List<Map<String, StoredRecord>> snapshots = new ArrayList<>();
   private final AtomicLong calls = new AtomicLong();
   private long revision;
   private boolean down;
@@ -44,36 +44,36 @@
   void handle(Exchange exchange) throws IOException {
     String path = exchange.path();
     if (path.startsWith("/operator/")) {
-      write(exchange, path.substring("/operator/".length()));
+      handleWrite(exchange, path.substring("/operator/".length()));
     } else if (path.equals("/faults")) {
       JsonNode wanted = exchange.json();
       synchronized (this) {
         down = wanted.path("down").asBoolean(down);
         staleRevision = wanted.path("stale_revision").asLong(staleRevision);
       }
-      exchange.answer(200, Map.of());
+      exchange.respond(200, Map.of());
     } else if (path.equals("/counters")) {
-      exchange.answer(200, Map.of("calls", calls.get()));
+      exchange.respond(200, Map.of("calls", calls.get()));
     } else if (isDown()) {
-      exchange.cut();
+      exchange.closeConnection();
     } else if (path.equals("/v1/records")) {
       calls.incrementAndGet();
-      exchange.answer(200, listing(0, true));
+      exchange.respond(200, listing(0, true));
     } else if (path.equals("/v1/watch")) {
       calls.incrementAndGet();
       long after = Long.parseLong(exchange.query("after", "0"));
       long wait = Long.parseLong(exchange.query("wait_ms", "0"));
       watch(exchange, after, System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(wait));
     } else {
-      exchange.error(404, "no such path");
+      exchange.respondWithError(404, "no such path");
     }
   }
 
   /** Writes a record, as an operator does; an empty value deletes it. Returns its revision. */
   public synchronized long put(String key, byte[] value) {
     revision++;
-    records.put(key, new Stored(revision, value.length == 0, value));
-    replicas.add(new TreeMap<>(records));
+    records.put(key, new StoredRecord(revision, value.length == 0, value));
+    snapshots.add(new TreeMap<>(records));
     return revision;
   }
 
@@ -83,27 +83,27 @@
     super.close();
   }
 
-  private void write(Exchange exchange, String key) throws IOException {
+  private void handleWrite(Exchange exchange, String key) throws IOException {
     byte[] value = exchange.method().equals("DELETE") ? new byte[0] : exchange.body();
     if (value.length > MAX_VALUE_BYTES) {
-      exchange.error(413, "a value is at most a megabyte");
+      exchange.respondWithError(413, "a value is at most a megabyte");
       return;
     }
-    exchange.answer(200, Map.of("revision", put(key, value)));
+    exchange.respond(200, Map.of("revision", put(key, value)));
   }
 
   private void watch(Exchange exchange, long after, long deadlineNanos) throws IOException {
     if (isDown()) {
-      exchange.cut();
+      exchange.closeConnection();
     } else if (servedRevision() != after || System.nanoTime() >= deadlineNanos) {
-      exchange.answer(200, listing(after, false));
+      exchange.respond(200, listing(after, false));
     } else {
       timer.schedule(
           () -> {
             try {
               watch(exchange, after, deadlineNanos);
             } catch (IOException e) {
-              exchange.cut();
+              exchange.closeConnection();
             }
           },
           POLL_MILLIS,
@@ -121,10 +121,10 @@
 
   private synchronized byte[] listing(long after, boolean complete) throws IOException {
     long served = servedRevision();
-    Map<String, Stored> replica = served == 0 ? Map.of() : replicas.get((int) served - 1);
+    Map<String, StoredRecord> replica = served == 0 ? Map.of() : snapshots.get((int) served - 1);
     List<Map<String, Object>> items = new ArrayList<>();
-    for (Map.Entry<String, Stored> entry : replica.entrySet()) {
-      Stored stored = entry.getValue();
+    for (Map.Entry<String, StoredRecord> entry : replica.entrySet()) {
+      StoredRecord stored = entry.getValue();
       if (stored.revision > after && !(complete && stored.deleted)) {
         Map<String, Object> item = new LinkedHashMap<>();
         item.put("key", entry.getKey());
@@ -144,5 +144,5 @@
   }
 
   @SuppressWarnings("ArrayRecordComponent") // never compared
-  private record Stored(long revision, boolean deleted, byte[] value) {}
+  private record StoredRecord(long revision, boolean deleted, byte[] value) {}
 }
--- a/sequoia-standins/src/main/java/org/sequoiahub/standins/DemoCaller.java
+++ b/sequoia-standins/src/main/java/org/sequoiahub/standins/DemoCaller.java
@@ -20,14 +20,14 @@
 /** Makes the demo's calls and checks every answer. */
 final class DemoCaller {
 
-  private static final String TRACE = "4bf92f3577b34da6a3ce929d0e0e4736";
+  private static final String TRACE_ID = "4bf92f3577b34da6a3ce929d0e0e4736";
   private static final int TOKENS = 6;
-  private static final int READY_TRIES = 200;
+  private static final int READY_ATTEMPTS = 200;
   private static final long READY_PAUSE_MILLIS = 100;
 
   private final HttpClient http;
   private final PrintStream out;
-  private int wrong;
+  private int wrongCount;
 
   DemoCaller(HttpClient http, PrintStream out) {
     this.http = http;
@@ -36,7 +36,7 @@
 
   /** Waits until an entry's administration interface says that it is ready. */
   void awaitReady(String admin) throws Exception {
-    for (int i = 0; i < READY_TRIES; i++) {
+    for (int i = 0; i < READY_ATTEMPTS; i++) {
       try {
         if (http.GET("http://" + admin + "/readyz").getStatus() == 200) {
           return;
@@ -58,20 +58,20 @@
     String target = address.path("address").asText();
     for (int i = 1; i <= adapters; i++) {
       String name = "adapter-" + i;
-      inference(target, name + "@1", i % 2 == 0, i == 1);
+      checkInference(target, name + "@1", i % 2 == 0, i == 1);
       if (i % 2 == 0) {
-        inference(target, name + "@2", i % 4 == 0, false);
-        inference(target, name, false, false);
+        checkInference(target, name + "@2", i % 4 == 0, false);
+        checkInference(target, name, false, false);
       }
     }
-    booking(target, address.path("operation_ids").get(0).asText());
-    refusals(target);
+    checkBooking(target, address.path("operation_ids").get(0).asText());
+    checkRefusals(target);
     Thread.sleep(500);
     printSpans(logs);
-    return wrong;
+    return wrongCount;
   }
 
-  private void inference(String target, String model, boolean stream, boolean traced)
+  private void checkInference(String target, String model, boolean stream, boolean traced)
       throws Exception {
     String body =
         String.format(
@@ -85,34 +85,34 @@
             .body(new StringRequestContent("application/json", body))
             .timeout(20, TimeUnit.SECONDS);
     if (traced) {
-      request.headers(h -> h.put("traceparent", "00-" + TRACE + "-00f067aa0ba902b7-01"));
+      request.headers(h -> h.put("traceparent", "00-" + TRACE_ID + "-00f067aa0ba902b7-01"));
     }
     ContentResponse response = request.send();
     String adapter = response.getHeaders().get("Sequoia-Adapter");
     String text = stream ? streamedText(response) : plainText(response);
     boolean named = adapter != null && (adapter.equals(model) || adapter.startsWith(model + "@"));
-    boolean right = response.getStatus() == 200 && named && text.equals(whole(adapter));
-    note(right, model, stream ? "streamed" : "plain", response);
+    boolean right = response.getStatus() == 200 && named && text.equals(expectedText(adapter));
+    recordResult(right, model, stream ? "streamed" : "plain", response);
   }
 
-  private void booking(String target, String operation) throws Exception {
+  private void checkBooking(String target, String operation) throws Exception {
     String url = "http://" + target + "/services/bookings/slots";
     String body = "{\"booking\":\"demo-1\"}";
     ContentResponse demanded = post(url, body, "");
-    note(demanded.getStatus() == 428, "bookings", "without operation id", demanded);
+    recordResult(demanded.getStatus() == 428, "bookings", "without operation id", demanded);
     ContentResponse first = post(url, body, operation);
-    note(first.getStatus() == 201, "bookings", "first", first);
+    recordResult(first.getStatus() == 201, "bookings", "first", first);
     ContentResponse repeat = post(url, body, operation);
     boolean same = repeat.getContentAsString().equals(first.getContentAsString());
-    note(same && json(repeat).path("times").asInt() == 1, "bookings", "repeat", repeat);
+    recordResult(same && json(repeat).path("times").asInt() == 1, "bookings", "repeat", repeat);
   }
 
-  private void refusals(String target) throws Exception {
+  private void checkRefusals(String target) throws Exception {
     String url = "http://" + target + "/v1/completions";
     ContentResponse unknown = post(url, "{\"model\":\"nobody\",\"prompt\":\"x\"}", "");
-    note(notRun(unknown, 404), "nobody", "unknown adapter", unknown);
+    recordResult(isNotRun(unknown, 404), "nobody", "unknown adapter", unknown);
     ContentResponse malformed = post(url, "{\"model\":", "");
-    note(notRun(malformed, 400), "-", "malformed body", malformed);
+    recordResult(isNotRun(malformed, 400), "-", "malformed body", malformed);
   }
 
   private ContentResponse post(String url, String body, String operation) throws Exception {
@@ -123,9 +123,9 @@
     return request.timeout(20, TimeUnit.SECONDS).send();
   }
 
-  private void note(boolean right, String model, String kind, ContentResponse response) {
+  private void recordResult(boolean right, String model, String kind, ContentResponse response) {
     if (!right) {
-      wrong++;
+      wrongCount++;
     }
     out.printf(
         "%-5s %-14s %-22s status=%d adapter=%s runner=%s verdict=%s%n",
@@ -138,12 +138,12 @@
         response.getHeaders().get("Sequoia-Verdict"));
   }
 
-  private static boolean notRun(ContentResponse response, int status) {
+  private static boolean isNotRun(ContentResponse response, int status) {
     return response.getStatus() == status
         && "not-run".equals(response.getHeaders().get("Sequoia-Verdict"));
   }
 
-  private static String whole(String adapter) {
+  private static String expectedText(String adapter) {
     StringBuilder text = new StringBuilder();
     for (int i = 1; i <= TOKENS; i++) {
       text.append('[').append(adapter).append(':').append(i).append('/').append(TOKENS).append(']');
@@ -178,7 +178,7 @@
     List<Map<String, String>> spans = new ArrayList<>();
     for (Path log : logs) {
       for (String line : Files.readAllLines(log, StandardCharsets.UTF_8)) {
-        if (line.contains("event=span") && line.contains("trace=" + TRACE)) {
+        if (line.contains("event=span") && line.contains("trace=" + TRACE_ID)) {
           spans.add(fields(line));
         }
       }
@@ -191,7 +191,7 @@
       }
     }
     if (spans.size() < 2) {
-      wrong++;
+      wrongCount++;
       out.println("WRONG: a span of each hop was expected");
     }
   }
--- a/sequoia-standins/src/main/java/org/sequoiahub/standins/EngineFaults.java
+++ b/sequoia-standins/src/main/java/org/sequoiahub/standins/EngineFaults.java
@@ -9,25 +9,25 @@
   private int silentLoads;
   private boolean down;
   private boolean frozen;
-  private boolean reorder;
-  private boolean duplicate;
-  private String answerAs = "";
+  private boolean reordersEvents;
+  private boolean duplicatesEvents;
+  private String reportedModel = "";
 
   synchronized void apply(JsonNode wanted) {
     loadFailures = wanted.path("load_failures").asInt(loadFailures);
     silentLoads = wanted.path("silent_loads").asInt(silentLoads);
     down = wanted.path("down").asBoolean(down);
     frozen = wanted.path("frozen").asBoolean(frozen);
-    reorder = wanted.path("reorder").asBoolean(reorder);
-    duplicate = wanted.path("duplicate").asBoolean(duplicate);
-    answerAs = wanted.path("answer_as").asText(answerAs);
+    reordersEvents = wanted.path("reorder").asBoolean(reordersEvents);
+    duplicatesEvents = wanted.path("duplicate").asBoolean(duplicatesEvents);
+    reportedModel = wanted.path("answer_as").asText(reportedModel);
   }
 
-  synchronized boolean takeLoadFailure() {
+  synchronized boolean consumeLoadFailure() {
     return loadFailures > 0 && loadFailures-- > 0;
   }
 
-  synchronized boolean takeSilentLoad() {
+  synchronized boolean consumeSilentLoad() {
     return silentLoads > 0 && silentLoads-- > 0;
   }
 
@@ -39,15 +39,15 @@
     return frozen;
   }
 
-  synchronized boolean reorders() {
-    return reorder;
+  synchronized boolean reordersEvents() {
+    return reordersEvents;
   }
 
-  synchronized boolean duplicates() {
-    return duplicate;
+  synchronized boolean duplicatesEvents() {
+    return duplicatesEvents;
   }
 
-  synchronized String answerAs(String model) {
-    return answerAs.isEmpty() ? model : answerAs;
+  synchronized String reportedModel(String model) {
+    return reportedModel.isEmpty() ? model : reportedModel;
   }
 }
--- a/sequoia-standins/src/main/java/org/sequoiahub/standins/EngineRequest.java
+++ b/sequoia-standins/src/main/java/org/sequoiahub/standins/EngineRequest.java
@@ -19,12 +19,12 @@
   private final String model;
   private final int tokens;
   private final boolean chat;
-  private final boolean urgent;
+  private final boolean highPriority;
   private final EngineFaults faults;
   private final List<Reader> readers = new ArrayList<>();
   private long nextTokenMillis = -1;
-  private int made;
-  private boolean over;
+  private int generatedTokens;
+  private boolean ended;
   private long endedMillis = Long.MAX_VALUE;
 
   EngineRequest(
@@ -33,7 +33,7 @@
     this.model = model;
     this.tokens = tokens;
     this.chat = chat;
-    this.urgent = urgent;
+    this.highPriority = urgent;
     this.faults = faults;
   }
 
@@ -45,90 +45,90 @@
     return model;
   }
 
-  boolean isUrgent() {
-    return urgent;
+  boolean isHighPriority() {
+    return highPriority;
   }
 
   boolean isActive() {
-    return !over;
+    return !ended;
   }
 
   boolean isRunning() {
     return nextTokenMillis >= 0;
   }
 
-  void run(long firstTokenMillis) {
+  void start(long firstTokenMillis) {
     nextTokenMillis = firstTokenMillis;
   }
 
   /** Makes the next token if it is due. */
-  void step(long nowMillis) {
-    if (over || nextTokenMillis < 0 || nowMillis < nextTokenMillis) {
+  void generateTokenIfDue(long nowMillis) {
+    if (ended || nextTokenMillis < 0 || nowMillis < nextTokenMillis) {
       return;
     }
-    made++;
-    if (made == tokens) {
-      over = true;
+    generatedTokens++;
+    if (generatedTokens == tokens) {
+      ended = true;
       endedMillis = nowMillis;
     }
-    readers.forEach(this::feed);
+    readers.forEach(this::sendPendingEvents);
   }
 
-  void attach(Exchange exchange, int after) {
+  void attachReader(Exchange exchange, int after) {
     exchange.response().setStatus(200);
     exchange.response().getHeaders().put(HttpHeader.CONTENT_TYPE, "text/event-stream");
     Reader reader = new Reader(new PieceWriter(exchange.response(), exchange.callback()), after);
     reader.writer.write(ByteBuffer.wrap(": open\n\n".getBytes(StandardCharsets.UTF_8)), false);
     readers.add(reader);
-    feed(reader);
+    sendPendingEvents(reader);
   }
 
   void cancel() {
-    if (!over) {
-      breakOff();
+    if (!ended) {
+      abort();
     }
   }
 
   /** Ends the request without its end marker. */
-  void breakOff() {
-    over = true;
+  void abort() {
+    ended = true;
     endedMillis = 0;
     readers.forEach(reader -> reader.writer.abort(new IOException("broken off")));
     readers.clear();
   }
 
   /** Lets every open connection go silent; later ones work. */
-  void silence() {
+  void detachReaders() {
     readers.clear();
   }
 
   boolean endedBefore(long millis) {
-    return over && endedMillis < millis;
+    return ended && endedMillis < millis;
   }
 
-  private void feed(Reader reader) {
+  private void sendPendingEvents(Reader reader) {
     List<Integer> due = new ArrayList<>();
-    for (int i = reader.sent + 1; i <= made; i++) {
+    for (int i = reader.lastSent + 1; i <= generatedTokens; i++) {
       due.add(i);
     }
-    reader.sent = Math.max(reader.sent, made);
-    if (faults.reorders() && due.size() > 1) {
+    reader.lastSent = Math.max(reader.lastSent, generatedTokens);
+    if (faults.reordersEvents() && due.size() > 1) {
       Collections.reverse(due);
     }
     for (int i : due) {
-      reader.writer.write(event(i), false);
-      if (faults.duplicates()) {
-        reader.writer.write(event(i), false);
+      reader.writer.write(tokenEvent(i), false);
+      if (faults.duplicatesEvents()) {
+        reader.writer.write(tokenEvent(i), false);
       }
     }
-    if (over && made == tokens && !reader.ended) {
+    if (ended && generatedTokens == tokens && !reader.ended) {
       reader.ended = true;
       reader.writer.write(sse("[DONE]"), true);
     }
   }
 
-  private ByteBuffer event(int sequence) {
-    String named = faults.answerAs(model);
+  private ByteBuffer tokenEvent(int sequence) {
+    String named = faults.reportedModel(model);
     final String text = "[" + named + ":" + sequence + "/" + tokens + "]";
     ObjectNode event = StandinServer.MAPPER.createObjectNode();
     event.put("id", id).put("model", named).put("seq", sequence);
@@ -154,12 +154,12 @@
 
   private static final class Reader {
     private final PieceWriter writer;
-    private int sent;
+    private int lastSent;
     private boolean ended;
 
     Reader(PieceWriter writer, int after) {
       this.writer = writer;
-      this.sent = after;
+      this.lastSent = after;
     }
   }
 }
--- a/sequoia-standins/src/main/java/org/sequoiahub/standins/EngineStandin.java
+++ b/sequoia-standins/src/main/java/org/sequoiahub/standins/EngineStandin.java
@@ -26,7 +26,7 @@
 public final class EngineStandin extends StandinServer {
 
   private static final int DEFAULT_TOKENS = 8;
-  private static final long KEEP_ENDED_MILLIS = 60_000;
+  private static final long ENDED_RETENTION_MILLIS = 60_000;
   private static final ScheduledExecutorService TIMER =
       Executors.newScheduledThreadPool(
           2,
@@ -37,18 +37,18 @@
           });
 
   private final EngineOptions options;
-  private final WeightStoreStandin weights;
+  private final WeightStoreStandin weightStore;
   private final Map<String, EngineRequest> requests = new LinkedHashMap<>();
   private final Set<String> resident = new HashSet<>();
   private final Set<String> loading = new HashSet<>();
-  private final AtomicLong starts = new AtomicLong();
-  private final AtomicLong loads = new AtomicLong();
-  private final AtomicLong evictions = new AtomicLong();
-  private final AtomicLong evictedRunning = new AtomicLong();
-  private final AtomicLong doubleStarts = new AtomicLong();
+  private final AtomicLong startCount = new AtomicLong();
+  private final AtomicLong loadCount = new AtomicLong();
+  private final AtomicLong evictionCount = new AtomicLong();
+  private final AtomicLong evictedRunningCount = new AtomicLong();
+  private final AtomicLong duplicateStartCount = new AtomicLong();
   private final EngineFaults faults = new EngineFaults();
-  private ScheduledFuture<?> ticking;
-  private ScheduledFuture<?> sampling;
+  private ScheduledFuture<?> tickTask;
+  private ScheduledFuture<?> sampleTask;
   private long highestFencing;
   private boolean checksFencing;
   private Map<String, Object> sample = Map.of();
@@ -59,7 +59,7 @@
   public EngineStandin(EngineOptions options, WeightStoreStandin weights) {
     super(options.port());
     this.options = options;
-    this.weights = weights;
+    this.weightStore = weights;
     this.checksFencing = options.checksFencing();
   }
 
@@ -67,17 +67,17 @@
   void start() throws Exception {
     takeSample();
     super.start();
-    ticking =
-        TIMER.scheduleAtFixedRate(this::tick, 0, options.tokenMillis(), TimeUnit.MILLISECONDS);
-    sampling =
+    tickTask =
+        TIMER.scheduleAtFixedRate(this::tick, 0, options.tokenIntervalMillis(), TimeUnit.MILLISECONDS);
+    sampleTask =
         TIMER.scheduleAtFixedRate(
-            this::takeSample, 0, options.reportMillis(), TimeUnit.MILLISECONDS);
+            this::takeSample, 0, options.sampleIntervalMillis(), TimeUnit.MILLISECONDS);
   }
 
   @Override
   public void close() throws Exception {
-    ticking.cancel(false);
-    sampling.cancel(false);
+    tickTask.cancel(false);
+    sampleTask.cancel(false);
     super.close();
   }
 
@@ -85,52 +85,52 @@
   void handle(Exchange exchange) throws Exception {
     String path = exchange.path();
     if (path.equals("/faults")) {
-      switchFaults(exchange);
+      applyFaults(exchange);
     } else if (path.equals("/counters")) {
-      exchange.answer(200, counters());
+      exchange.respond(200, counters());
     } else if (faults.isDown()) {
-      exchange.cut();
+      exchange.closeConnection();
     } else if (path.equals("/v1/completions") || path.equals("/v1/chat/completions")) {
-      begin(exchange, path.contains("chat"));
+      startCompletion(exchange, path.contains("chat"));
     } else if (path.equals("/v1/load")) {
-      report(exchange);
+      sendLoadReport(exchange);
     } else if (path.equals("/v1/load_lora_adapter")) {
-      load(exchange);
+      loadAdapter(exchange);
     } else if (path.equals("/v1/unload_lora_adapter")) {
-      unload(exchange);
+      unloadAdapter(exchange);
     } else if (path.equals("/v1/role")) {
-      if (passesFencing(exchange)) {
-        exchange.answer(200, Map.of("role", "serve"));
+      if (checkFencing(exchange)) {
+        exchange.respond(200, Map.of("role", "serve"));
       }
     } else if (path.startsWith("/v1/requests/")) {
-      onRequest(exchange, path.substring("/v1/requests/".length()));
+      resumeOrCancel(exchange, path.substring("/v1/requests/".length()));
     } else {
-      exchange.error(404, "no such path");
+      exchange.respondWithError(404, "no such path");
     }
   }
 
   /** Returns how many requests were started. */
-  public long starts() {
-    return starts.get();
+  public long startCount() {
+    return startCount.get();
   }
 
   /** Returns what happened so far. */
   synchronized Map<String, Object> counters() {
     Map<String, Object> counters = new LinkedHashMap<>();
     counters.put("runner", options.id());
-    counters.put("starts", starts.get());
-    counters.put("double_starts", doubleStarts.get());
-    counters.put("loads", loads.get());
-    counters.put("evictions", evictions.get());
-    counters.put("evicted_running", evictedRunning.get());
+    counters.put("starts", startCount.get());
+    counters.put("double_starts", duplicateStartCount.get());
+    counters.put("loads", loadCount.get());
+    counters.put("evictions", evictionCount.get());
+    counters.put("evicted_running", evictedRunningCount.get());
     counters.put("resident", List.copyOf(resident));
     counters.put("active", requests.values().stream().filter(EngineRequest::isActive).count());
     return counters;
   }
 
-  private void begin(Exchange exchange, boolean chat) throws IOException {
+  private void startCompletion(Exchange exchange, boolean chat) throws IOException {
     JsonNode body = exchange.json();
-    if (!passesFencing(exchange)) {
+    if (!checkFencing(exchange)) {
       return;
     }
     String id = exchange.header("X-Request-Id");
@@ -138,125 +138,125 @@
     int tokens = Math.max(1, body.path("max_tokens").asInt(DEFAULT_TOKENS));
     synchronized (this) {
       if (!resident.contains(model)) {
-        exchange.error(404, "model '" + model + "' is not loaded");
+        exchange.respondWithError(404, "model '" + model + "' is not loaded");
         return;
       }
       if (requests.containsKey(id)) {
-        doubleStarts.incrementAndGet();
-        exchange.error(409, "request '" + id + "' is here already");
+        duplicateStartCount.incrementAndGet();
+        exchange.respondWithError(409, "request '" + id + "' is here already");
         return;
       }
-      starts.incrementAndGet();
+      startCount.incrementAndGet();
       boolean urgent = !exchange.header("X-Priority").equals("10");
       EngineRequest request = new EngineRequest(id, model, tokens, chat, urgent, faults);
       requests.put(id, request);
-      request.attach(exchange, 0);
+      request.attachReader(exchange, 0);
     }
   }
 
-  private void onRequest(Exchange exchange, String rest) throws IOException {
+  private void resumeOrCancel(Exchange exchange, String rest) throws IOException {
     String id = rest.substring(0, Math.max(0, rest.indexOf('/')));
     synchronized (this) {
       EngineRequest request = requests.get(id);
       if (rest.endsWith("/cancel")) {
         if (request == null) {
-          exchange.error(404, "no request '" + id + "'");
+          exchange.respondWithError(404, "no request '" + id + "'");
           return;
         }
         request.cancel();
-        exchange.answer(200, Map.of("cancelled", true));
+        exchange.respond(200, Map.of("cancelled", true));
       } else if (request == null) {
-        exchange.error(404, "no request '" + id + "'");
+        exchange.respondWithError(404, "no request '" + id + "'");
       } else {
-        request.attach(exchange, Integer.parseInt(exchange.query("after", "0")));
+        request.attachReader(exchange, Integer.parseInt(exchange.query("after", "0")));
       }
     }
   }
 
-  private void load(Exchange exchange) throws IOException {
+  private void loadAdapter(Exchange exchange) throws IOException {
     String name = exchange.json().path("lora_name").asText();
-    if (!passesFencing(exchange)) {
+    if (!checkFencing(exchange)) {
       return;
     }
     synchronized (this) {
       if (resident.contains(name)) {
-        exchange.answer(200, Map.of("loaded", name));
+        exchange.respond(200, Map.of("loaded", name));
         return;
       }
       if (resident.size() + loading.size() >= options.slots() || !loading.add(name)) {
-        exchange.error(507, "no free slot");
+        exchange.respondWithError(507, "no free slot");
         return;
       }
     }
-    long millis = weights.begin(options.loadMillis());
-    TIMER.schedule(() -> loaded(exchange, name), millis, TimeUnit.MILLISECONDS);
+    long millis = weightStore.beginLoad(options.loadMillis());
+    TIMER.schedule(() -> finishLoad(exchange, name), millis, TimeUnit.MILLISECONDS);
   }
 
-  private void loaded(Exchange exchange, String name) {
-    weights.end();
+  private void finishLoad(Exchange exchange, String name) {
+    weightStore.endLoad();
     boolean failed;
     boolean silent;
     synchronized (this) {
       boolean known = loading.remove(name);
-      failed = faults.takeLoadFailure() || !known;
-      silent = faults.takeSilentLoad();
+      failed = faults.consumeLoadFailure() || !known;
+      silent = faults.consumeSilentLoad();
       if (!failed) {
         resident.add(name);
-        loads.incrementAndGet();
+        loadCount.incrementAndGet();
       }
     }
     try {
       if (silent) {
-        exchange.cut();
+        exchange.closeConnection();
       } else if (failed) {
-        exchange.error(500, "the load failed");
+        exchange.respondWithError(500, "the load failed");
       } else {
-        exchange.answer(200, Map.of("loaded", name));
+        exchange.respond(200, Map.of("loaded", name));
       }
     } catch (IOException e) {
-      exchange.cut();
+      exchange.closeConnection();
     }
   }
 
-  private void unload(Exchange exchange) throws IOException {
+  private void unloadAdapter(Exchange exchange) throws IOException {
     String name = exchange.json().path("lora_name").asText();
-    if (!passesFencing(exchange)) {
+    if (!checkFencing(exchange)) {
       return;
     }
     synchronized (this) {
       resident.remove(name);
-      evictions.incrementAndGet();
+      evictionCount.incrementAndGet();
       for (EngineRequest request : requests.values()) {
         if (request.isActive() && request.model().equals(name)) {
-          evictedRunning.incrementAndGet();
-          request.breakOff();
+          evictedRunningCount.incrementAndGet();
+          request.abort();
         }
       }
     }
-    exchange.answer(200, Map.of("unloaded", name));
+    exchange.respond(200, Map.of("unloaded", name));
   }
 
-  private synchronized boolean passesFencing(Exchange exchange) throws IOException {
+  private synchronized boolean checkFencing(Exchange exchange) throws IOException {
     String text = exchange.header("Sequoia-Fencing");
     if (!checksFencing || text.isEmpty()) {
       return true;
     }
     long number = Long.parseLong(text);
     if (number < highestFencing) {
-      exchange.answer(412, Map.of("highest", highestFencing));
+      exchange.respond(412, Map.of("highest", highestFencing));
       return false;
     }
     highestFencing = number;
     return true;
   }
 
-  private void report(Exchange exchange) throws IOException {
+  private void sendLoadReport(Exchange exchange) throws IOException {
     Map<String, Object> report;
     synchronized (this) {
       report = new LinkedHashMap<>(sample);
       report.put("sample_age_ms", now() - sampledMillis);
     }
-    exchange.answer(200, report);
+    exchange.respond(200, report);
   }
 
   private synchronized void takeSample() {
@@ -281,18 +281,18 @@
     List<EngineRequest> active =
         new ArrayList<>(requests.values().stream().filter(EngineRequest::isActive).toList());
     long running = active.stream().filter(EngineRequest::isRunning).count();
-    active.sort((a, b) -> Boolean.compare(b.isUrgent(), a.isUrgent()));
+    active.sort((a, b) -> Boolean.compare(b.isHighPriority(), a.isHighPriority()));
     for (EngineRequest request : active) {
-      if (!request.isRunning() && running < options.batch()) {
-        request.run(now + options.prefillMillis());
+      if (!request.isRunning() && running < options.batchSize()) {
+        request.start(now + options.prefillMillis());
         running++;
       }
-      request.step(now);
+      request.generateTokenIfDue(now);
     }
-    requests.values().removeIf(request -> request.endedBefore(now - KEEP_ENDED_MILLIS));
+    requests.values().removeIf(request -> request.endedBefore(now - ENDED_RETENTION_MILLIS));
   }
 
-  private void switchFaults(Exchange exchange) throws IOException {
+  private void applyFaults(Exchange exchange) throws IOException {
     JsonNode wanted = exchange.json();
     synchronized (this) {
       faults.apply(wanted);
@@ -300,17 +300,17 @@
         checksFencing = wanted.get("checks_fencing").booleanValue();
       }
       if (wanted.path("restart").booleanValue()) {
-        requests.values().forEach(EngineRequest::breakOff);
+        requests.values().forEach(EngineRequest::abort);
         requests.clear();
         resident.clear();
         loading.clear();
         highestFencing = 0;
       }
       if (wanted.path("silence").booleanValue()) {
-        requests.values().forEach(EngineRequest::silence);
+        requests.values().forEach(EngineRequest::detachReaders);
       }
     }
-    exchange.answer(200, new HashMap<>());
+    exchange.respond(200, new HashMap<>());
   }
 
   private static long now() {
--- a/sequoia-standins/src/main/java/org/sequoiahub/standins/HostListStandin.java
+++ b/sequoia-standins/src/main/java/org/sequoiahub/standins/HostListStandin.java
@@ -32,13 +32,13 @@
   @Override
   void handle(Exchange exchange) throws IOException {
     if (exchange.path().equals("/v1/hosts")) {
-      exchange.answer(200, visible());
+      exchange.respond(200, visibleJson());
     } else if (exchange.path().startsWith("/operator/state/")) {
       String id = exchange.path().substring("/operator/state/".length());
-      state(id, exchange.query("state", "leaving"));
-      exchange.answer(200, Map.of());
+      setState(id, exchange.query("state", "leaving"));
+      exchange.respond(200, Map.of());
     } else {
-      exchange.error(404, "no such path");
+      exchange.respondWithError(404, "no such path");
     }
   }
 
@@ -49,7 +49,7 @@
   }
 
   /** Sets the state of whatever is named {@code id}; {@code gone} removes it. */
-  synchronized void state(String id, String state) {
+  synchronized void setState(String id, String state) {
     for (JsonNode kind : latest) {
       if (kind instanceof ArrayNode items) {
         for (int i = items.size() - 1; i >= 0; i--) {
@@ -74,20 +74,20 @@
     latest = copy.deepCopy();
   }
 
-  private synchronized byte[] visible() {
-    while (versions.size() > 1 && secondIsVisible()) {
+  private synchronized byte[] visibleJson() {
+    while (versions.size() > 1 && isNextVersionVisible()) {
       versions.removeFirst();
     }
     return versions.getFirst().json.getBytes(UTF_8);
   }
 
-  private boolean secondIsVisible() {
-    return versions.stream().skip(1).findFirst().filter(v -> v.visibleMillis <= now()).isPresent();
+  private boolean isNextVersionVisible() {
+    return versions.stream().skip(1).findFirst().filter(v -> v.visibleFromMillis <= now()).isPresent();
   }
 
   private static long now() {
     return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
   }
 
-  private record Version(String json, long visibleMillis) {}
+  private record Version(String json, long visibleFromMillis) {}
 }
--- a/sequoia-standins/src/main/java/org/sequoiahub/standins/Load.java
+++ b/sequoia-standins/src/main/java/org/sequoiahub/standins/LoadGenerator.java
@@ -23,11 +23,11 @@
  * <p>A call that was refused as not run, or that an unreachable entry never took, goes to another
  * entry, as callers do; a booking keeps its operation id across all its tries.
  */
-final class Load {
+final class LoadGenerator {
 
   private static final long NANOS_PER_SECOND = 1_000_000_000L;
-  private static final int MAX_TRIES = 8;
-  private static final long RETRY_MILLIS = 250;
+  private static final int MAX_ATTEMPTS = 8;
+  private static final long RETRY_DELAY_MILLIS = 250;
   private static final int TIMEOUT_SECONDS = 60;
 
   private final List<String> entries;
@@ -36,13 +36,13 @@
   private final int seconds;
   private final int adapters;
   private final int tokens;
-  private final int bookings;
+  private final int bookingInterval;
   private final SplittableRandom random;
   private final LoadStats stats = new LoadStats();
-  private final Phaser open = new Phaser(1);
+  private final Phaser callsInProgress = new Phaser(1);
   private final HttpClient http = new HttpClient();
 
-  Load(
+  LoadGenerator(
       List<String> entries,
       boolean direct,
       double rate,
@@ -57,7 +57,7 @@
     this.seconds = seconds;
     this.adapters = adapters;
     this.tokens = tokens;
-    this.bookings = bookings;
+    this.bookingInterval = bookings;
     this.random = new SplittableRandom(seed);
   }
 
@@ -72,14 +72,14 @@
       while (System.nanoTime() < due) {
         LockSupport.parkNanos(Math.max(1, due - System.nanoTime()));
       }
-      open.register();
-      if (bookings > 0 && i % bookings == 0) {
-        new Booking("b" + i).begin();
+      callsInProgress.register();
+      if (bookingInterval > 0 && i % bookingInterval == 0) {
+        new Booking("b" + i).send();
       } else {
-        new Inference(skewedAdapter(), i).begin();
+        new Inference(skewedAdapter(), i).send();
       }
     }
-    open.arriveAndAwaitAdvance();
+    callsInProgress.arriveAndAwaitAdvance();
     http.stop();
     return stats;
   }
@@ -89,12 +89,12 @@
     return 1 + (int) (adapters * Math.pow(random.nextDouble(), 3));
   }
 
-  private String entry(int turn) {
+  private String entryForAttempt(int turn) {
     return entries.get(Math.floorMod(turn, entries.size()));
   }
 
-  private void later(Runnable work) {
-    http.getScheduler().schedule(work, RETRY_MILLIS, TimeUnit.MILLISECONDS);
+  private void scheduleRetry(Runnable work) {
+    http.getScheduler().schedule(work, RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   private static boolean isNotRun(Response response) {
@@ -105,18 +105,18 @@
   private final class Inference {
     private final String model;
     private final long number;
-    private final long beganNanos = System.nanoTime();
+    private final long startedNanos = System.nanoTime();
     private final StringBuilder text = new StringBuilder();
-    private long firstNanos;
-    private int tries;
+    private long firstByteNanos;
+    private int attempts;
 
     Inference(int adapter, long number) {
       this.model = "adapter-" + adapter + "@1";
       this.number = number;
     }
 
-    void begin() {
-      tries++;
+    void send() {
+      attempts++;
       text.setLength(0);
       String body =
           String.format(
@@ -125,43 +125,43 @@
               model,
               tokens);
       Request request =
-          http.POST("http://" + entry((int) number + tries) + "/v1/completions")
+          http.POST("http://" + entryForAttempt((int) number + attempts) + "/v1/completions")
               .body(new StringRequestContent("application/json", body))
               .timeout(TIMEOUT_SECONDS, TimeUnit.SECONDS);
       if (direct) {
         String id = "direct-" + ThreadLocalRandom.current().nextLong();
         request.headers(headers -> headers.put("X-Request-Id", id));
       }
-      request.onResponseContent((Response response, ByteBuffer content) -> content(content));
+      request.onResponseContent((Response response, ByteBuffer content) -> onContent(content));
       request.send(
-          result -> ended(result.getResponse(), result.isFailed() ? result.getFailure() : null));
+          result -> onComplete(result.getResponse(), result.isFailed() ? result.getFailure() : null));
     }
 
-    private void content(ByteBuffer content) {
-      if (firstNanos == 0) {
-        firstNanos = System.nanoTime();
+    private void onContent(ByteBuffer content) {
+      if (firstByteNanos == 0) {
+        firstByteNanos = System.nanoTime();
       }
       text.append(UTF_8.decode(content));
     }
 
-    private void ended(Response response, @Nullable Throwable failure) {
+    private void onComplete(Response response, @Nullable Throwable failure) {
       int status = response.getStatus();
       if (failure == null && status == 200) {
-        judge();
+        verifyText();
       } else if (isNotRun(response) || status == 0) {
         stats.count(status == 0 ? "unreachable" : "not_run");
-        if (tries < MAX_TRIES) {
-          later(this::begin);
+        if (attempts < MAX_ATTEMPTS) {
+          scheduleRetry(this::send);
           return;
         }
         stats.count("gave_up");
       } else {
         stats.count("verdict_" + response.getHeaders().get("Sequoia-Verdict"));
       }
-      open.arriveAndDeregister();
+      callsInProgress.arriveAndDeregister();
     }
 
-    private void judge() {
+    private void verifyText() {
       StringBuilder got = new StringBuilder();
       String marker = "\"text\":\"";
       for (int at = text.indexOf(marker); at >= 0; at = text.indexOf(marker, at + 1)) {
@@ -175,7 +175,7 @@
       if (!text.toString().endsWith("data: [DONE]\n\n")) {
         stats.count("told_not_whole");
       } else if (want.toString().contentEquals(got)) {
-        stats.whole(now - beganNanos, firstNanos - beganNanos, now);
+        stats.recordComplete(now - startedNanos, firstByteNanos - startedNanos, now);
       } else {
         stats.count("wrong");
       }
@@ -185,48 +185,48 @@
   /** One booking, which must not run twice. */
   private final class Booking {
     private final String name;
-    private String operation = "";
-    private int tries;
+    private String operationId = "";
+    private int attempts;
 
     Booking(String name) {
       this.name = name;
     }
 
-    void begin() {
-      tries++;
+    void send() {
+      attempts++;
       Request request =
-          http.POST("http://" + entry(name.hashCode() + tries) + "/services/bookings/slots")
+          http.POST("http://" + entryForAttempt(name.hashCode() + attempts) + "/services/bookings/slots")
               .body(new StringRequestContent("application/json", "{\"booking\":\"" + name + "\"}"))
               .timeout(TIMEOUT_SECONDS, TimeUnit.SECONDS);
-      if (!operation.isEmpty()) {
-        request.headers(headers -> headers.put("Sequoia-Operation", operation));
+      if (!operationId.isEmpty()) {
+        request.headers(headers -> headers.put("Sequoia-Operation", operationId));
       }
       new CompletableResponseListener(request)
           .send()
           .whenComplete(
               (response, failure) -> {
                 if (failure != null) {
-                  again("booking_unreachable");
+                  countAndRetry("booking_unreachable");
                 } else if (response.getStatus() == 428) {
-                  operation = response.getHeaders().get("Sequoia-Operation");
-                  begin();
+                  operationId = response.getHeaders().get("Sequoia-Operation");
+                  send();
                 } else if (response.getStatus() == 201) {
                   boolean own = response.getContentAsString().contains("\"" + name + "\"");
                   stats.count(own ? "booked" : "other_booking");
-                  open.arriveAndDeregister();
+                  callsInProgress.arriveAndDeregister();
                 } else {
-                  again("booking_" + response.getHeaders().get("Sequoia-Verdict"));
+                  countAndRetry("booking_" + response.getHeaders().get("Sequoia-Verdict"));
                 }
               });
     }
 
-    private void again(String why) {
+    private void countAndRetry(String why) {
       stats.count(why);
-      if (tries < MAX_TRIES) {
-        later(this::begin);
+      if (attempts < MAX_ATTEMPTS) {
+        scheduleRetry(this::send);
       } else {
         stats.count("booking_gave_up");
-        open.arriveAndDeregister();
+        callsInProgress.arriveAndDeregister();
       }
     }
   }
--- a/sequoia-standins/src/main/java/org/sequoiahub/standins/LoadMain.java
+++ b/sequoia-standins/src/main/java/org/sequoiahub/standins/LoadMain.java
@@ -23,8 +23,8 @@
     }
     options.addOption(Option.builder().longOpt("direct").desc("entries are engines").build());
     CommandLine line = new DefaultParser().parse(options, arguments);
-    Load load =
-        new Load(
+    LoadGenerator load =
+        new LoadGenerator(
             List.of(line.getOptionValue("entries").split(",")),
             line.hasOption("direct"),
             Double.parseDouble(line.getOptionValue("rate", "50")),
@@ -34,7 +34,7 @@
             Integer.parseInt(line.getOptionValue("bookings", "0")),
             Long.parseLong(line.getOptionValue("seed", "1")));
     LoadStats stats = load.run();
-    System.out.println("load=" + line.getOptionValue("label", "-") + " " + stats.line());
-    System.exit(stats.of("wrong") + stats.of("other_booking") == 0 ? 0 : 1);
+    System.out.println("load=" + line.getOptionValue("label", "-") + " " + stats.summary());
+    System.exit(stats.countOf("wrong") + stats.countOf("other_booking") == 0 ? 0 : 1);
   }
 }
--- a/sequoia-standins/src/main/java/org/sequoiahub/standins/LoadStats.java
+++ b/sequoia-standins/src/main/java/org/sequoiahub/standins/LoadStats.java
@@ -14,28 +14,28 @@
   private final Histogram total = new Histogram(MAX_MICROS, 3);
   private final Histogram firstByte = new Histogram(MAX_MICROS, 3);
   private final Map<String, Integer> counts = new TreeMap<>();
-  private long lastWholeNanos;
+  private long lastCompleteNanos;
   private long longestGapNanos;
 
   synchronized void count(String what) {
     counts.merge(what, 1, Integer::sum);
   }
 
-  synchronized void whole(long totalNanos, long firstNanos, long nowNanos) {
+  synchronized void recordComplete(long totalNanos, long firstNanos, long nowNanos) {
     count("whole");
     total.recordValue(Math.min(MAX_MICROS, totalNanos / 1_000));
     firstByte.recordValue(Math.min(MAX_MICROS, firstNanos / 1_000));
-    if (lastWholeNanos != 0) {
-      longestGapNanos = Math.max(longestGapNanos, nowNanos - lastWholeNanos);
+    if (lastCompleteNanos != 0) {
+      longestGapNanos = Math.max(longestGapNanos, nowNanos - lastCompleteNanos);
     }
-    lastWholeNanos = nowNanos;
+    lastCompleteNanos = nowNanos;
   }
 
-  synchronized int of(String what) {
+  synchronized int countOf(String what) {
     return counts.getOrDefault(what, 0);
   }
 
-  synchronized String line() {
+  synchronized String summary() {
     StringBuilder line = new StringBuilder();
     counts.forEach((what, n) -> line.append(what).append('=').append(n).append(' '));
     line.append(
--- a/sequoia-standins/src/main/java/org/sequoiahub/standins/ServiceStandin.java
+++ b/sequoia-standins/src/main/java/org/sequoiahub/standins/ServiceStandin.java
@@ -10,8 +10,8 @@
 
   private final String id;
   private final Map<String, Integer> bookings = new TreeMap<>();
-  private int dropAnswers;
-  private long slowMillis;
+  private int responsesToDrop;
+  private long delayMillis;
 
   /** Creates a service upstream on {@code port}. */
   public ServiceStandin(String id, int port) {
@@ -24,16 +24,16 @@
     if (exchange.path().equals("/faults")) {
       JsonNode wanted = exchange.json();
       synchronized (this) {
-        dropAnswers = wanted.path("drop_answers").asInt(dropAnswers);
-        slowMillis = wanted.path("slow_ms").asLong(slowMillis);
+        responsesToDrop = wanted.path("drop_answers").asInt(responsesToDrop);
+        delayMillis = wanted.path("slow_ms").asLong(delayMillis);
       }
-      exchange.answer(200, Map.of());
+      exchange.respond(200, Map.of());
     } else if (exchange.path().equals("/counters")) {
-      exchange.answer(200, counters());
+      exchange.respond(200, counters());
     } else if (exchange.method().equals("POST")) {
       book(exchange);
     } else {
-      exchange.answer(200, Map.of("upstream", id, "path", exchange.path()));
+      exchange.respond(200, Map.of("upstream", id, "path", exchange.path()));
     }
   }
 
@@ -44,8 +44,8 @@
     long pause;
     synchronized (this) {
       times = bookings.merge(booking, 1, Integer::sum);
-      drop = dropAnswers > 0 && dropAnswers-- > 0;
-      pause = slowMillis;
+      drop = responsesToDrop > 0 && responsesToDrop-- > 0;
+      pause = delayMillis;
     }
     if (pause > 0) {
       try {
@@ -55,9 +55,9 @@
       }
     }
     if (drop) {
-      exchange.cut();
+      exchange.closeConnection();
     } else {
-      exchange.answer(201, Map.of("booking", booking, "times", times, "upstream", id));
+      exchange.respond(201, Map.of("booking", booking, "times", times, "upstream", id));
     }
   }
 
--- a/sequoia-standins/src/main/java/org/sequoiahub/standins/StandinServer.java
+++ b/sequoia-standins/src/main/java/org/sequoiahub/standins/StandinServer.java
@@ -92,19 +92,19 @@
       return MAPPER.readTree(body());
     }
 
-    void answer(int status, Object body) throws IOException {
+    void respond(int status, Object body) throws IOException {
       response.setStatus(status);
       response.getHeaders().put(HttpHeader.CONTENT_TYPE, "application/json");
       byte[] bytes = body instanceof byte[] raw ? raw : MAPPER.writeValueAsBytes(body);
       response.write(true, ByteBuffer.wrap(bytes), callback);
     }
 
-    void error(int status, String message) throws IOException {
-      answer(status, Map.of("error", message));
+    void respondWithError(int status, String message) throws IOException {
+      respond(status, Map.of("error", message));
     }
 
     /** Cuts the connection without an answer. */
-    void cut() {
+    void closeConnection() {
       request.getConnectionMetaData().getConnection().getEndPoint().close();
       callback.failed(new IOException("cut"));
     }
--- a/sequoia-standins/src/main/java/org/sequoiahub/standins/StandinsMain.java
+++ b/sequoia-standins/src/main/java/org/sequoiahub/standins/StandinsMain.java
@@ -22,16 +22,16 @@
   /** Starts the stand-ins and runs until it is ended. */
   public static void main(String[] arguments) throws Exception {
     Options options = new Options();
-    option(options, "port-base", "first port; hosts start " + ENTRY_OFFSET + " above");
-    option(options, "hosts", "entry hosts to list");
-    option(options, "runners", "engines of base model m1");
-    option(options, "adapters", "adapters to configure");
-    option(options, "slots", "slots of each engine");
-    option(options, "batch", "batch of each engine");
-    option(options, "load-ms", "time of one load");
-    option(options, "prefill-ms", "time to the first token");
-    option(options, "token-ms", "time between tokens");
-    option(options, "unfenced", "how many engines do not check fencing numbers");
+    addOption(options, "port-base", "first port; hosts start " + ENTRY_OFFSET + " above");
+    addOption(options, "hosts", "entry hosts to list");
+    addOption(options, "runners", "engines of base model m1");
+    addOption(options, "adapters", "adapters to configure");
+    addOption(options, "slots", "slots of each engine");
+    addOption(options, "batch", "batch of each engine");
+    addOption(options, "load-ms", "time of one load");
+    addOption(options, "prefill-ms", "time to the first token");
+    addOption(options, "token-ms", "time between tokens");
+    addOption(options, "unfenced", "how many engines do not check fencing numbers");
     CommandLine line;
     try {
       line = new DefaultParser().parse(options, arguments);
@@ -47,32 +47,32 @@
   }
 
   private static void start(CommandLine line) throws Exception {
-    int base = number(line, "port-base", 18_000);
+    int base = intOption(line, "port-base", 18_000);
     Standins standins = new Standins(base, 1_000, 20);
-    int runners = number(line, "runners", 4);
-    int unfenced = number(line, "unfenced", 1);
+    int runners = intOption(line, "runners", 4);
+    int unfenced = intOption(line, "unfenced", 1);
     for (int i = 1; i <= runners; i++) {
-      standins.engine(
+      standins.startEngine(
           new EngineOptions(
               "runner-" + i,
               base + 10 + i,
-              number(line, "slots", 3),
-              number(line, "batch", 8),
-              number(line, "load-ms", 200),
-              number(line, "prefill-ms", 10),
-              number(line, "token-ms", 5),
+              intOption(line, "slots", 3),
+              intOption(line, "batch", 8),
+              intOption(line, "load-ms", 200),
+              intOption(line, "prefill-ms", 10),
+              intOption(line, "token-ms", 5),
               200,
               i > unfenced),
           "m1");
     }
-    standins.service("bookings-1", "bookings", base + 4);
-    standins.service("bookings-2", "bookings", base + 5);
-    int hosts = number(line, "hosts", 3);
+    standins.startService("bookings-1", "bookings", base + 4);
+    standins.startService("bookings-2", "bookings", base + 5);
+    int hosts = intOption(line, "hosts", 3);
     for (int i = 1; i <= hosts; i++) {
       int first = base + ENTRY_OFFSET + i * PORTS_PER_HOST;
-      standins.host("host-" + i, first, first + 1, first + 2, i);
+      standins.addHost("host-" + i, first, first + 1, first + 2, i);
     }
-    configure(standins, number(line, "adapters", 6));
+    configure(standins, intOption(line, "adapters", 6));
   }
 
   /** Configures adapters, in schema 1 and schema 2 in turn, and a booking service. */
@@ -93,11 +93,11 @@
     standins.configuration().put(key, value.getBytes(StandardCharsets.UTF_8));
   }
 
-  private static void option(Options options, String name, String help) {
+  private static void addOption(Options options, String name, String help) {
     options.addOption(Option.builder().longOpt(name).hasArg().desc(help).build());
   }
 
-  private static int number(CommandLine line, String name, int absent) {
+  private static int intOption(CommandLine line, String name, int absent) {
     return line.hasOption(name) ? Integer.parseInt(line.getOptionValue(name)) : absent;
   }
 }
--- a/sequoia-standins/src/main/java/org/sequoiahub/standins/WeightStoreStandin.java
+++ b/sequoia-standins/src/main/java/org/sequoiahub/standins/WeightStoreStandin.java
@@ -9,15 +9,15 @@
   private static final long MILLIS_PER_SECOND = 1_000;
   private static final long NANOS_PER_MILLI = 1_000_000;
 
-  private final long spacingMillis;
-  private int active;
+  private final long startIntervalMillis;
+  private int activeLoads;
   private long nextStartMillis = Long.MIN_VALUE;
-  private double slowness = 1;
+  private double slowdownFactor = 1;
 
   /** Creates a store on {@code port} that allows {@code loadsPerSecond}. */
   public WeightStoreStandin(int port, int loadsPerSecond) {
     super(port);
-    this.spacingMillis = MILLIS_PER_SECOND / loadsPerSecond;
+    this.startIntervalMillis = MILLIS_PER_SECOND / loadsPerSecond;
   }
 
   @Override
@@ -25,28 +25,28 @@
     if (exchange.path().equals("/faults")) {
       double wanted = exchange.json().path("slowness").asDouble(1);
       synchronized (this) {
-        slowness = wanted;
+        slowdownFactor = wanted;
       }
-      exchange.answer(200, Map.of());
+      exchange.respond(200, Map.of());
     } else {
-      exchange.answer(200, status());
+      exchange.respond(200, status());
     }
   }
 
   /** Begins a load and returns how long it takes: longer beside others and above the rate. */
-  synchronized long begin(long fullSpeedMillis) {
-    active++;
+  synchronized long beginLoad(long fullSpeedMillis) {
+    activeLoads++;
     long now = System.nanoTime() / NANOS_PER_MILLI;
     long start = Math.max(now, nextStartMillis);
-    nextStartMillis = start + spacingMillis;
-    return start - now + Math.round(fullSpeedMillis * active * slowness);
+    nextStartMillis = start + startIntervalMillis;
+    return start - now + Math.round(fullSpeedMillis * activeLoads * slowdownFactor);
   }
 
-  synchronized void end() {
-    active--;
+  synchronized void endLoad() {
+    activeLoads--;
   }
 
   private synchronized Map<String, Object> status() {
-    return Map.of("active", active);
+    return Map.of("active", activeLoads);
   }
 }
--- a/sequoia-standins/src/test/java/org/sequoiahub/standins/WholePathTest.java
+++ b/sequoia-standins/src/test/java/org/sequoiahub/standins/EndToEndTest.java
@@ -15,14 +15,14 @@
 import org.sequoiahub.platform.EngineClient;
 import org.sequoiahub.platform.HttpClients;
 
-class WholePathTest {
+class EndToEndTest {
 
   private static final ObjectMapper MAPPER = new ObjectMapper();
-  private static OneHost host;
+  private static SingleHostPlatform host;
 
   @BeforeAll
   static void start() throws Exception {
-    host = new OneHost();
+    host = new SingleHostPlatform();
   }
 
   @AfterAll
@@ -34,8 +34,8 @@
     return MAPPER.readTree(response.getContent()).path("choices").path(0).path("text").asText();
   }
 
-  private static long starts() {
-    return host.engine.starts();
+  private static long startCount() {
+    return host.engine.startCount();
   }
 
   private static String verdict(ContentResponse response) {
@@ -43,25 +43,25 @@
   }
 
   @Nested
-  class Answers {
+  class Responses {
 
     @Test
-    void plainAnswerIsWholeAndFromTheVersionNamed() throws Exception {
+    void plainResponseIsCompleteAndFromRequestedVersion() throws Exception {
       ContentResponse response =
           host.complete("{\"model\":\"booth@1\",\"prompt\":\"x\",\"max_tokens\":5}");
-      assertThat(text(response)).isEqualTo(OneHost.whole("booth@1", 5));
+      assertThat(text(response)).isEqualTo(SingleHostPlatform.expectedText("booth@1", 5));
       assertThat(response.getHeaders().get("Sequoia-Adapter")).isEqualTo("booth@1");
     }
 
     @Test
-    void trafficSplitChoosesTheVersionIfNoneIsNamed() throws Exception {
+    void trafficSplitSelectsVersionIfNoneIsRequested() throws Exception {
       ContentResponse response =
           host.complete("{\"model\":\"booth\",\"prompt\":\"x\",\"max_tokens\":2}");
-      assertThat(text(response)).isEqualTo(OneHost.whole("booth@2", 2));
+      assertThat(text(response)).isEqualTo(SingleHostPlatform.expectedText("booth@2", 2));
     }
 
     @Test
-    void streamedAnswerEndsWithTheMarker() throws Exception {
+    void streamedResponseEndsWithEndMarker() throws Exception {
       ContentResponse response =
           host.complete("{\"model\":\"soot\",\"prompt\":\"x\",\"max_tokens\":3,\"stream\":true}");
       assertThat(response.getContentAsString()).endsWith("data: [DONE]\n\n");
@@ -72,7 +72,7 @@
   @Nested
   class BadInput {
 
-    private void refused(ContentResponse response, int status, String type) throws Exception {
+    private void assertRefused(ContentResponse response, int status, String type) throws Exception {
       assertThat(response.getStatus()).isEqualTo(status);
       assertThat(verdict(response)).isEqualTo("not-run");
       JsonNode error = MAPPER.readTree(response.getContent()).path("error");
@@ -81,39 +81,39 @@
 
     @Test
     void isRefusedAsNotRunAndReachesNoUpstream() throws Exception {
-      final long before = starts();
-      refused(host.complete("{\"model\":"), 400, "bad-body");
-      refused(host.complete("{\"model\":7,\"prompt\":\"x\"}"), 400, "bad-body");
-      refused(host.complete("{\"model\":\"soot\"}"), 400, "bad-body");
-      refused(host.complete("{\"model\":\"no one\",\"prompt\":\"x\"}"), 404, "bad-model");
-      refused(host.complete("{\"model\":\"nobody\",\"prompt\":\"x\"}"), 404, "unknown-adapter");
-      refused(host.complete("{\"model\":\"soot@9\",\"prompt\":\"x\"}"), 404, "unknown-version");
-      refused(host.complete("\"" + "x".repeat(5_000) + "\""), 413, "body-too-long");
-      refused(
+      final long before = startCount();
+      assertRefused(host.complete("{\"model\":"), 400, "bad-body");
+      assertRefused(host.complete("{\"model\":7,\"prompt\":\"x\"}"), 400, "bad-body");
+      assertRefused(host.complete("{\"model\":\"soot\"}"), 400, "bad-body");
+      assertRefused(host.complete("{\"model\":\"no one\",\"prompt\":\"x\"}"), 404, "bad-model");
+      assertRefused(host.complete("{\"model\":\"nobody\",\"prompt\":\"x\"}"), 404, "unknown-adapter");
+      assertRefused(host.complete("{\"model\":\"soot@9\",\"prompt\":\"x\"}"), 404, "unknown-version");
+      assertRefused(host.complete("\"" + "x".repeat(5_000) + "\""), 413, "body-too-long");
+      assertRefused(
           host.post(
               host.url("/services/bookings/slots"), "{}", Map.of("Sequoia-Operation", "mine")),
           400,
           "bad-operation-id");
-      refused(host.post(host.url("/services/none/x"), "{}", Map.of()), 404, "unknown-service");
-      refused(
+      assertRefused(host.post(host.url("/services/none/x"), "{}", Map.of()), 404, "unknown-service");
+      assertRefused(
           host.post(host.url("/v1/completions"), "{}", Map.of("Sequoia-Timeout-Ms", "soon")),
           400,
           "bad-timeout");
-      assertThat(starts()).isEqualTo(before);
+      assertThat(startCount()).isEqualTo(before);
     }
 
     @Test
-    void headerBombIsRefused() throws Exception {
+    void oversizedHeaderIsRefused() throws Exception {
       ContentResponse response =
           host.post(host.url("/v1/completions"), "{}", Map.of("X-Bomb", "b".repeat(20_000)));
-      refused(response, 431, "bad-request");
+      assertRefused(response, 431, "bad-request");
     }
   }
 
   @Nested
   class Bookings {
 
-    private String operation() throws Exception {
+    private String issueOperationId() throws Exception {
       ContentResponse demanded =
           host.post(host.url("/services/bookings/slots"), "{\"booking\":\"none\"}", Map.of());
       assertThat(demanded.getStatus()).isEqualTo(428);
@@ -128,8 +128,8 @@
     }
 
     @Test
-    void repeatGetsTheFirstAnswer() throws Exception {
-      String operation = operation();
+    void repeatReturnsFirstResponse() throws Exception {
+      String operation = issueOperationId();
       ContentResponse first = book("twice", operation);
       ContentResponse repeat = book("twice", operation);
       assertThat(first.getStatus()).isEqualTo(201);
@@ -144,9 +144,9 @@
      * <p>Cause guarded against: taking a lost answer for a call that did not run.
      */
     @Test
-    void lostAnswerIsDoubtAndNeverSecondRun() throws Exception {
-      String operation = operation();
-      host.fault(host.bookings.address(), "{\"drop_answers\":1}");
+    void lostResponseMayHaveRunAndIsNeverRunAgain() throws Exception {
+      String operation = issueOperationId();
+      host.injectFaults(host.bookings.address(), "{\"drop_answers\":1}");
       assertThat(verdict(book("lost", operation))).isEqualTo("may-have-run");
       assertThat(verdict(book("lost", operation))).isEqualTo("may-have-run");
       JsonNode counters =
@@ -163,7 +163,7 @@
   }
 
   @Nested
-  class EngineFaultsTest {
+  class InjectedEngineFaults {
 
     /**
      * Symptom: an answer by another adapter than the one named.
@@ -173,10 +173,10 @@
      * <p>Cause guarded against: trusting that the engine ran what it was asked for.
      */
     @Test
-    void answerUnderAnotherNameIsAnError() throws Exception {
-      host.fault(host.engine.address(), "{\"answer_as\":\"other@1\"}");
+    void responseFromAnotherAdapterIsAnError() throws Exception {
+      host.injectFaults(host.engine.address(), "{\"answer_as\":\"other@1\"}");
       ContentResponse response = host.complete("{\"model\":\"soot\",\"prompt\":\"x\"}");
-      host.fault(host.engine.address(), "{\"answer_as\":\"\"}");
+      host.injectFaults(host.engine.address(), "{\"answer_as\":\"\"}");
       assertThat(response.getStatus()).isEqualTo(502);
       assertThat(response.getContentAsString()).doesNotContain("other@1:");
     }
@@ -190,22 +190,22 @@
      * the request was still queued.
      */
     @Test
-    void requestThatWaitedUntilItsDeadlineHasNotRun() throws Exception {
-      host.fault(host.engine.address(), "{\"load_failures\":100000}");
+    void requestQueuedUntilItsDeadlineHasNotRun() throws Exception {
+      host.injectFaults(host.engine.address(), "{\"load_failures\":100000}");
       host.put(
           "adapters/stuck",
           "{\"schema\":1,\"adapter\":\"stuck\",\"version\":\"1\",\"base_model\":\"m1\"}");
-      ContentResponse response = late();
+      ContentResponse response = completeStuckAdapter();
       for (int i = 0; response.getStatus() == 404 && i < 600; i++) {
         Thread.sleep(50);
-        response = late();
+        response = completeStuckAdapter();
       }
-      host.fault(host.engine.address(), "{\"load_failures\":0}");
+      host.injectFaults(host.engine.address(), "{\"load_failures\":0}");
       assertThat(response.getStatus()).isEqualTo(504);
       assertThat(verdict(response)).isEqualTo("not-run");
     }
 
-    private ContentResponse late() throws Exception {
+    private ContentResponse completeStuckAdapter() throws Exception {
       return host.post(
           host.url("/v1/completions"),
           "{\"model\":\"stuck\",\"prompt\":\"x\"}",
@@ -213,12 +213,12 @@
     }
 
     @Test
-    void duplicatesAreDropped() throws Exception {
-      host.fault(host.engine.address(), "{\"duplicate\":true}");
+    void duplicateEventsAreDropped() throws Exception {
+      host.injectFaults(host.engine.address(), "{\"duplicate\":true}");
       ContentResponse response =
           host.complete("{\"model\":\"soot\",\"prompt\":\"x\",\"max_tokens\":20}");
-      host.fault(host.engine.address(), "{\"duplicate\":false}");
-      assertThat(text(response)).isEqualTo(OneHost.whole("soot@1", 20));
+      host.injectFaults(host.engine.address(), "{\"duplicate\":false}");
+      assertThat(text(response)).isEqualTo(SingleHostPlatform.expectedText("soot@1", 20));
     }
 
     /**
@@ -229,7 +229,7 @@
      * <p>Cause guarded against: waiting for the kernel to notice.
      */
     @Test
-    void silentConnectionIsReplacedAndTheAnswerIsWhole() throws Exception {
+    void silentConnectionIsReplacedAndResponseIsComplete() throws Exception {
       final CompletableFuture<ContentResponse> answer =
           CompletableFuture.supplyAsync(
               () -> {
@@ -241,9 +241,9 @@
               });
       for (int i = 0; i < 3; i++) {
         Thread.sleep(60);
-        host.fault(host.engine.address(), "{\"silence\":true}");
+        host.injectFaults(host.engine.address(), "{\"silence\":true}");
       }
-      assertThat(text(answer.get(60, TimeUnit.SECONDS))).isEqualTo(OneHost.whole("soot@1", 150));
+      assertThat(text(answer.get(60, TimeUnit.SECONDS))).isEqualTo(SingleHostPlatform.expectedText("soot@1", 150));
     }
 
     /**
@@ -255,7 +255,7 @@
      * <p>Cause: any answer to a cancel was taken for a confirmation.
      */
     @Test
-    void cancelThatTheEngineCannotMatchIsNotConfirmed() throws Exception {
+    void cancelOfUnknownRequestIsNotConfirmed() throws Exception {
       var http = HttpClients.start();
       CompletableFuture<Boolean> confirmed = new CompletableFuture<>();
       new EngineClient(http)
@@ -269,7 +269,7 @@
   class Configuration {
 
     @Test
-    void recordThatCannotBeAcceptedLeavesTheAcceptedOneInForce() throws Exception {
+    void invalidRecordLeavesAcceptedRecordInForce() throws Exception {
       host.put("adapters/soot", "{\"schema\":7}");
       host.put(
           "adapters/later",
@@ -287,15 +287,15 @@
   @Nested
   class LeavingAndStopping {
 
-    private ContentResponse ask() throws Exception {
+    private ContentResponse complete() throws Exception {
       return host.complete("{\"model\":\"soot\",\"prompt\":\"x\",\"max_tokens\":2}");
     }
 
-    private void askUntil(int status) throws Exception {
-      for (int i = 0; i < 1_200 && ask().getStatus() != status; i++) {
+    private void awaitStatus(int status) throws Exception {
+      for (int i = 0; i < 1_200 && complete().getStatus() != status; i++) {
         Thread.sleep(50);
       }
-      assertThat(ask().getStatus()).isEqualTo(status);
+      assertThat(complete().getStatus()).isEqualTo(status);
     }
 
     /**
@@ -307,17 +307,17 @@
      * <p>Cause guarded against: a list of runners that was copied when the adapter was placed.
      */
     @Test
-    void leavingRunnerGetsNoNewWork() throws Exception {
-      askUntil(200);
-      host.platform.hosts().state("runner-1", "leaving");
-      askUntil(503);
-      final long before = starts();
+    void leavingRunnerReceivesNoNewRequests() throws Exception {
+      awaitStatus(200);
+      host.platform.hostList().setState("runner-1", "leaving");
+      awaitStatus(503);
+      final long before = startCount();
       for (int i = 0; i < 20; i++) {
-        assertThat(verdict(ask())).isEqualTo("not-run");
+        assertThat(verdict(complete())).isEqualTo("not-run");
       }
-      assertThat(starts()).isEqualTo(before);
-      host.platform.hosts().state("runner-1", "live");
-      askUntil(200);
+      assertThat(startCount()).isEqualTo(before);
+      host.platform.hostList().setState("runner-1", "live");
+      awaitStatus(200);
     }
 
     /**
@@ -328,10 +328,10 @@
      * <p>Cause guarded against: closing connections before what runs on them has ended.
      */
     @Test
-    void gracefulStopLetsRunningAnswersEnd() throws Exception {
-      OneHost leaving = new OneHost();
+    void gracefulStopCompletesRunningResponses() throws Exception {
+      SingleHostPlatform leaving = new SingleHostPlatform();
       leaving.complete("{\"model\":\"soot\",\"prompt\":\"x\",\"max_tokens\":1}");
-      final long before = leaving.engine.starts();
+      final long before = leaving.engine.startCount();
       final CompletableFuture<ContentResponse> answer =
           CompletableFuture.supplyAsync(
               () -> {
@@ -342,7 +342,7 @@
                   throw new IllegalStateException(e);
                 }
               });
-      while (leaving.engine.starts() == before) {
+      while (leaving.engine.startCount() == before) {
         Thread.sleep(5);
       }
       Thread stopping =
@@ -357,7 +357,7 @@
       stopping.start();
       leaving.entry.close();
       stopping.join();
-      assertThat(text(answer.get(60, TimeUnit.SECONDS))).isEqualTo(OneHost.whole("soot@1", 200));
+      assertThat(text(answer.get(60, TimeUnit.SECONDS))).isEqualTo(SingleHostPlatform.expectedText("soot@1", 200));
       leaving.watcher.close();
       leaving.http.stop();
       leaving.platform.close();
--- a/sequoia-standins/src/test/java/org/sequoiahub/standins/OneHost.java
+++ b/sequoia-standins/src/test/java/org/sequoiahub/standins/SingleHostPlatform.java
@@ -20,10 +20,10 @@
 import org.sequoiahub.watcher.Watcher;
 
 /** A platform of stand-ins and one host's three processes, all in this virtual machine. */
-final class OneHost implements AutoCloseable {
+final class SingleHostPlatform implements AutoCloseable {
 
-  private static final int PATIENCE_SECONDS = 60;
-  private static final int PORTS = 6;
+  private static final int TIMEOUT_SECONDS = 60;
+  private static final int PORT_COUNT = 6;
 
   final Standins platform;
   final EngineStandin engine;
@@ -32,13 +32,13 @@
   final Watcher watcher;
   final Dispatcher dispatcher;
   final Entry entry;
-  private final List<Integer> ports = FreePorts.find(PORTS, new SecureRandom());
+  private final List<Integer> ports = FreePorts.find(PORT_COUNT, new SecureRandom());
 
-  OneHost() throws Exception {
+  SingleHostPlatform() throws Exception {
     platform = new Standins(0, 0, 20);
-    engine = platform.engine(new EngineOptions("runner-1", 0, 3, 4, 20, 5, 2, 20, true), "m1");
-    bookings = platform.service("bookings-1", "bookings", 0);
-    platform.host("host-1", ports.get(0), ports.get(1), ports.get(2), 1);
+    engine = platform.startEngine(new EngineOptions("runner-1", 0, 3, 4, 20, 5, 2, 20, true), "m1");
+    bookings = platform.startService("bookings-1", "bookings", 0);
+    platform.addHost("host-1", ports.get(0), ports.get(1), ports.get(2), 1);
     put(
         "adapters/soot",
         "{\"schema\":1,\"adapter\":\"soot\",\"version\":\"1\",\"base_model\":\"m1\"}");
@@ -93,7 +93,7 @@
     platform.configuration().put(key, json.getBytes(UTF_8));
   }
 
-  void fault(String address, String json) throws Exception {
+  void injectFaults(String address, String json) throws Exception {
     post("http://" + address + "/faults", json, Map.of());
   }
 
@@ -105,7 +105,7 @@
     return http.POST(url)
         .body(new StringRequestContent("application/json", json))
         .headers(fields -> headers.forEach(fields::put))
-        .timeout(PATIENCE_SECONDS, TimeUnit.SECONDS)
+        .timeout(TIMEOUT_SECONDS, TimeUnit.SECONDS)
         .send();
   }
 
@@ -114,7 +114,7 @@
   }
 
   /** The whole text that the engine makes for {@code model}. */
-  static String whole(String model, int tokens) {
+  static String expectedText(String model, int tokens) {
     StringBuilder text = new StringBuilder();
     for (int i = 1; i <= tokens; i++) {
       text.append('[').append(model).append(':').append(i).append('/').append(tokens).append(']');
@@ -158,7 +158,7 @@
   }
 
   private void awaitReady(int adminPort) throws Exception {
-    for (int i = 0; i < PATIENCE_SECONDS * 50; i++) {
+    for (int i = 0; i < TIMEOUT_SECONDS * 50; i++) {
       if (http.GET("http://127.0.0.1:" + adminPort + "/readyz").getStatus() == 200) {
         return;
       }
