--- a/sequoia-standins/src/main/java/org/sequoiahub/standins/ConfigurationStandin.java
+++ b/sequoia-standins/src/main/java/org/sequoiahub/standins/ConfigurationStandin.java
@@ -13,8 +13,10 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * A configuration service that can be read and watched, and that operators write through {@code PUT
- * /operator/KEY}. It can be down, and it can answer from an older replica.
+ * Simulates a configuration service whose records can be read and watched, and written through
+ * {@code PUT /operator/KEY}.
+ *
+ * <p>As injected faults, it can be down, or serve an older revision as an outdated replica does.
  */
 public final class ConfigurationStandin extends StandinServer {
 
@@ -35,7 +37,7 @@
   private boolean down;
   private long staleRevision;
 
-  /** Creates an empty service on {@code port}. */
+  /** Creates a service without records on {@code port}. */
   public ConfigurationStandin(int port) {
     super(port);
   }
@@ -46,10 +48,10 @@
     if (path.startsWith("/operator/")) {
       handleWrite(exchange, path.substring("/operator/".length()));
     } else if (path.equals("/faults")) {
-      JsonNode wanted = exchange.json();
+      JsonNode requested = exchange.json();
       synchronized (this) {
-        down = wanted.path("down").asBoolean(down);
-        staleRevision = wanted.path("stale_revision").asLong(staleRevision);
+        down = requested.path("down").asBoolean(down);
+        staleRevision = requested.path("stale_revision").asLong(staleRevision);
       }
       exchange.respond(200, Map.of());
     } else if (path.equals("/counters")) {
@@ -69,7 +71,7 @@
     }
   }
 
-  /** Writes a record, as an operator does; an empty value deletes it. Returns its revision. */
+  /** Writes a record, or deletes it if the value is empty, and returns the new revision. */
   public synchronized long put(String key, byte[] value) {
     revision++;
     records.put(key, new StoredRecord(revision, value.length == 0, value));
@@ -86,12 +88,13 @@
   private void handleWrite(Exchange exchange, String key) throws IOException {
     byte[] value = exchange.method().equals("DELETE") ? new byte[0] : exchange.body();
     if (value.length > MAX_VALUE_BYTES) {
-      exchange.respondWithError(413, "a value is at most a megabyte");
+      exchange.respondWithError(413, "value exceeds the limit of 1 MiB");
       return;
     }
     exchange.respond(200, Map.of("revision", put(key, value)));
   }
 
+  /** Responds once the served revision differs from {@code after} or the deadline has passed. */
   private void watch(Exchange exchange, long after, long deadlineNanos) throws IOException {
     if (isDown()) {
       exchange.closeConnection();
@@ -121,9 +124,9 @@
 
   private synchronized byte[] listing(long after, boolean complete) throws IOException {
     long served = servedRevision();
-    Map<String, StoredRecord> replica = served == 0 ? Map.of() : snapshots.get((int) served - 1);
+    Map<String, StoredRecord> snapshot = served == 0 ? Map.of() : snapshots.get((int) served - 1);
     List<Map<String, Object>> items = new ArrayList<>();
-    for (Map.Entry<String, StoredRecord> entry : replica.entrySet()) {
+    for (Map.Entry<String, StoredRecord> entry : snapshot.entrySet()) {
       StoredRecord stored = entry.getValue();
       if (stored.revision > after && !(complete && stored.deleted)) {
         Map<String, Object> item = new LinkedHashMap<>();
--- a/sequoia-standins/src/main/java/org/sequoiahub/standins/DemoCaller.java
+++ b/sequoia-standins/src/main/java/org/sequoiahub/standins/DemoCaller.java
@@ -17,7 +17,7 @@
 import org.eclipse.jetty.client.HttpClient;
 import org.eclipse.jetty.client.StringRequestContent;
 
-/** Makes the demo's calls and checks every answer. */
+/** Sends the demo's calls, verifies every response and prints the results. */
 final class DemoCaller {
 
   private static final String TRACE_ID = "4bf92f3577b34da6a3ce929d0e0e4736";
@@ -34,7 +34,7 @@
     this.out = out;
   }
 
-  /** Waits until an entry's administration interface says that it is ready. */
+  /** Waits until the process with this administration address reports that it is ready. */
   void awaitReady(String admin) throws Exception {
     for (int i = 0; i < READY_ATTEMPTS; i++) {
       try {
@@ -42,19 +42,21 @@
           return;
         }
       } catch (ExecutionException e) {
-        // Not listening yet.
+        // The process does not listen yet.
       }
       Thread.sleep(READY_PAUSE_MILLIS);
     }
-    throw new IOException(admin + " did not become ready");
+    throw new IOException(admin + " did not become ready; check the log of its process");
   }
 
   /**
-   * Makes every call through the address that {@code entry} answers; returns how many were wrong.
+   * Sends every call to the address that {@code entry} returns.
+   *
+   * @return the number of failed checks
    */
   int run(String entry, int adapters, List<Path> logs) throws Exception {
     JsonNode address = json(http.GET("http://" + entry + "/v1/address?operations=1"));
-    out.println("address answer: " + address);
+    out.println("address response: " + address);
     String target = address.path("address").asText();
     for (int i = 1; i <= adapters; i++) {
       String name = "adapter-" + i;
@@ -90,16 +92,18 @@
     ContentResponse response = request.send();
     String adapter = response.getHeaders().get("Sequoia-Adapter");
     String text = stream ? streamedText(response) : plainText(response);
-    boolean named = adapter != null && (adapter.equals(model) || adapter.startsWith(model + "@"));
-    boolean right = response.getStatus() == 200 && named && text.equals(expectedText(adapter));
-    recordResult(right, model, stream ? "streamed" : "plain", response);
+    boolean adapterMatches =
+        adapter != null && (adapter.equals(model) || adapter.startsWith(model + "@"));
+    boolean correct =
+        response.getStatus() == 200 && adapterMatches && text.equals(expectedText(adapter));
+    recordResult(correct, model, stream ? "streamed" : "plain", response);
   }
 
   private void checkBooking(String target, String operation) throws Exception {
     String url = "http://" + target + "/services/bookings/slots";
     String body = "{\"booking\":\"demo-1\"}";
-    ContentResponse demanded = post(url, body, "");
-    recordResult(demanded.getStatus() == 428, "bookings", "without operation id", demanded);
+    ContentResponse withoutId = post(url, body, "");
+    recordResult(withoutId.getStatus() == 428, "bookings", "without operation id", withoutId);
     ContentResponse first = post(url, body, operation);
     recordResult(first.getStatus() == 201, "bookings", "first", first);
     ContentResponse repeat = post(url, body, operation);
@@ -123,13 +127,13 @@
     return request.timeout(20, TimeUnit.SECONDS).send();
   }
 
-  private void recordResult(boolean right, String model, String kind, ContentResponse response) {
-    if (!right) {
+  private void recordResult(boolean correct, String model, String kind, ContentResponse response) {
+    if (!correct) {
       wrongCount++;
     }
     out.printf(
         "%-5s %-14s %-22s status=%d adapter=%s runner=%s verdict=%s%n",
-        right ? "ok" : "WRONG",
+        correct ? "ok" : "WRONG",
         model,
         kind,
         response.getStatus(),
@@ -173,7 +177,7 @@
     return StandinServer.MAPPER.readTree(response.getContent());
   }
 
-  /** Prints the spans of the traced request, each below its parent. */
+  /** Prints the spans of the traced request as a tree, each below its parent. */
   private void printSpans(List<Path> logs) throws IOException {
     List<Map<String, String>> spans = new ArrayList<>();
     for (Path log : logs) {
@@ -192,7 +196,7 @@
     }
     if (spans.size() < 2) {
       wrongCount++;
-      out.println("WRONG: a span of each hop was expected");
+      out.println("WRONG: expected at least two spans of the traced request; check the log files");
     }
   }
 
--- a/sequoia-standins/src/main/java/org/sequoiahub/standins/DemoMain.java
+++ b/sequoia-standins/src/main/java/org/sequoiahub/standins/DemoMain.java
@@ -8,12 +8,18 @@
 import org.eclipse.jetty.client.HttpClient;
 import org.sequoiahub.runtime.log.LineFormatter;
 
-/** The demo's caller: {@code ENTRY,ADMIN,ADMIN... ADAPTERS LOG...}. */
+/**
+ * Command-line program that runs the demo's calls.
+ *
+ * <p>Arguments: {@code ENTRY,ADMIN,ADMIN... ADAPTERS LOG...}, that is the address of an entry and
+ * the administration addresses to wait for, the number of adapters, and the log files to read spans
+ * from.
+ */
 public final class DemoMain {
 
   private DemoMain() {}
 
-  /** Makes the demo's calls; exits 0 only if every answer was right. */
+  /** Runs the demo's calls; exits with 0 only if every response was correct. */
   public static void main(String[] arguments) throws Exception {
     LineFormatter.install(Level.WARNING);
     String[] addresses = arguments[0].split(",");
@@ -28,9 +34,10 @@
     for (String admin : Arrays.copyOfRange(addresses, 1, addresses.length)) {
       caller.awaitReady(admin);
     }
-    int wrong = caller.run(addresses[0], adapters, logs);
+    int failedChecks = caller.run(addresses[0], adapters, logs);
     http.stop();
-    System.out.println(wrong == 0 ? "every answer was right" : wrong + " answers were wrong");
-    System.exit(wrong == 0 ? 0 : 1);
+    System.out.println(
+        failedChecks == 0 ? "every response was correct" : failedChecks + " checks failed");
+    System.exit(failedChecks == 0 ? 0 : 1);
   }
 }
--- a/sequoia-standins/src/main/java/org/sequoiahub/standins/EngineRequest.java
+++ b/sequoia-standins/src/main/java/org/sequoiahub/standins/EngineRequest.java
@@ -12,7 +12,11 @@
 import org.sequoiahub.runtime.http.PieceWriter;
 import org.sequoiahub.standins.StandinServer.Exchange;
 
-/** One request inside an engine stand-in; guarded by the engine's lock. */
+/**
+ * A completion request that an {@link EngineStandin} runs, and the streams that read it.
+ *
+ * <p>Not thread-safe: the engine's lock guards it.
+ */
 final class EngineRequest {
 
   private final String id;
@@ -61,7 +65,7 @@
     nextTokenMillis = firstTokenMillis;
   }
 
-  /** Makes the next token if it is due. */
+  /** Generates the next token if it is due and sends it to every attached reader. */
   void generateTokenIfDue(long nowMillis) {
     if (ended || nextTokenMillis < 0 || nowMillis < nextTokenMillis) {
       return;
@@ -74,6 +78,11 @@
     readers.forEach(this::sendPendingEvents);
   }
 
+  /**
+   * Opens an event stream on this request.
+   *
+   * @param after the sequence number of the last event that the reader already has; 0 for none
+   */
   void attachReader(Exchange exchange, int after) {
     exchange.response().setStatus(200);
     exchange.response().getHeaders().put(HttpHeader.CONTENT_TYPE, "text/event-stream");
@@ -89,15 +98,16 @@
     }
   }
 
-  /** Ends the request without its end marker. */
+  /** Ends the request and aborts its streams without the end marker. */
   void abort() {
     ended = true;
     endedMillis = 0;
-    readers.forEach(reader -> reader.writer.abort(new IOException("broken off")));
+    readers.forEach(
+        reader -> reader.writer.abort(new IOException("stream aborted by the engine stand-in")));
     readers.clear();
   }
 
-  /** Lets every open connection go silent; later ones work. */
+  /** Stops sending on every open stream without closing it; streams opened later work. */
   void detachReaders() {
     readers.clear();
   }
@@ -107,15 +117,15 @@
   }
 
   private void sendPendingEvents(Reader reader) {
-    List<Integer> due = new ArrayList<>();
+    List<Integer> pending = new ArrayList<>();
     for (int i = reader.lastSent + 1; i <= generatedTokens; i++) {
-      due.add(i);
+      pending.add(i);
     }
     reader.lastSent = Math.max(reader.lastSent, generatedTokens);
-    if (faults.reordersEvents() && due.size() > 1) {
-      Collections.reverse(due);
+    if (faults.reordersEvents() && pending.size() > 1) {
+      Collections.reverse(pending);
     }
-    for (int i : due) {
+    for (int i : pending) {
       reader.writer.write(tokenEvent(i), false);
       if (faults.duplicatesEvents()) {
         reader.writer.write(tokenEvent(i), false);
@@ -128,10 +138,10 @@
   }
 
   private ByteBuffer tokenEvent(int sequence) {
-    String named = faults.reportedModel(model);
-    final String text = "[" + named + ":" + sequence + "/" + tokens + "]";
+    String reported = faults.reportedModel(model);
+    final String text = "[" + reported + ":" + sequence + "/" + tokens + "]";
     ObjectNode event = StandinServer.MAPPER.createObjectNode();
-    event.put("id", id).put("model", named).put("seq", sequence);
+    event.put("id", id).put("model", reported).put("seq", sequence);
     event.put("object", chat ? "chat.completion.chunk" : "text_completion");
     ObjectNode choice = event.putArray("choices").addObject();
     choice.put("index", 0);
@@ -144,7 +154,7 @@
     try {
       return sse(StandinServer.MAPPER.writeValueAsString(event));
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("an event must be JSON", e);
+      throw new IllegalStateException("could not serialize a token event", e);
     }
   }
 
--- a/sequoia-standins/src/main/java/org/sequoiahub/standins/EngineStandin.java
+++ b/sequoia-standins/src/main/java/org/sequoiahub/standins/EngineStandin.java
@@ -16,12 +16,13 @@
 import java.util.concurrent.atomic.AtomicLong;
 
 /**
- * An engine: few slots, a continuous batch, loads that take time, a report that lags.
+ * Simulates an inference engine with a limited number of adapter slots, continuous batching, loads
+ * that take time and a load report that is sampled and therefore outdated.
  *
- * <p>Each token names the adapter version that made it and its place in the answer, so that a
- * caller can check that an answer is whole and its own. Faults are switched by {@code POST
- * /faults}; {@code GET /counters} tells what happened, evictions under a running request among
- * them.
+ * <p>Each token contains the adapter version that generated it and its position, so that a caller
+ * can verify that a response is complete and from the requested adapter. Faults are injected by
+ * {@code POST /faults}; {@code GET /counters} returns event counts, including evictions of an
+ * adapter that a running request uses.
  */
 public final class EngineStandin extends StandinServer {
 
@@ -54,12 +55,12 @@
   private Map<String, Object> sample = Map.of();
   private long sampledMillis;
 
-  /** Creates an engine that loads from {@code weights}. */
-  @SuppressWarnings("NullAway.Init") // the timers are set when the engine is started
-  public EngineStandin(EngineOptions options, WeightStoreStandin weights) {
+  /** Creates an engine that loads adapters from {@code weightStore}. */
+  @SuppressWarnings("NullAway.Init") // start() sets the timer tasks
+  public EngineStandin(EngineOptions options, WeightStoreStandin weightStore) {
     super(options.port());
     this.options = options;
-    this.weightStore = weights;
+    this.weightStore = weightStore;
     this.checksFencing = options.checksFencing();
   }
 
@@ -68,7 +69,8 @@
     takeSample();
     super.start();
     tickTask =
-        TIMER.scheduleAtFixedRate(this::tick, 0, options.tokenIntervalMillis(), TimeUnit.MILLISECONDS);
+        TIMER.scheduleAtFixedRate(
+            this::tick, 0, options.tokenIntervalMillis(), TimeUnit.MILLISECONDS);
     sampleTask =
         TIMER.scheduleAtFixedRate(
             this::takeSample, 0, options.sampleIntervalMillis(), TimeUnit.MILLISECONDS);
@@ -109,12 +111,12 @@
     }
   }
 
-  /** Returns how many requests were started. */
+  /** Returns the number of requests that were started. */
   public long startCount() {
     return startCount.get();
   }
 
-  /** Returns what happened so far. */
+  /** Returns the event counts and the current state, by name. */
   synchronized Map<String, Object> counters() {
     Map<String, Object> counters = new LinkedHashMap<>();
     counters.put("runner", options.id());
@@ -143,12 +145,12 @@
       }
       if (requests.containsKey(id)) {
         duplicateStartCount.incrementAndGet();
-        exchange.respondWithError(409, "request '" + id + "' is here already");
+        exchange.respondWithError(409, "request '" + id + "' already exists");
         return;
       }
       startCount.incrementAndGet();
-      boolean urgent = !exchange.header("X-Priority").equals("10");
-      EngineRequest request = new EngineRequest(id, model, tokens, chat, urgent, faults);
+      boolean highPriority = !exchange.header("X-Priority").equals("10");
+      EngineRequest request = new EngineRequest(id, model, tokens, chat, highPriority, faults);
       requests.put(id, request);
       request.attachReader(exchange, 0);
     }
@@ -160,13 +162,13 @@
       EngineRequest request = requests.get(id);
       if (rest.endsWith("/cancel")) {
         if (request == null) {
-          exchange.respondWithError(404, "no request '" + id + "'");
+          exchange.respondWithError(404, "unknown request '" + id + "'");
           return;
         }
         request.cancel();
         exchange.respond(200, Map.of("cancelled", true));
       } else if (request == null) {
-        exchange.respondWithError(404, "no request '" + id + "'");
+        exchange.respondWithError(404, "unknown request '" + id + "'");
       } else {
         request.attachReader(exchange, Integer.parseInt(exchange.query("after", "0")));
       }
@@ -184,7 +186,7 @@
         return;
       }
       if (resident.size() + loading.size() >= options.slots() || !loading.add(name)) {
-        exchange.respondWithError(507, "no free slot");
+        exchange.respondWithError(507, "no free slot, or the adapter is already loading");
         return;
       }
     }
@@ -197,8 +199,8 @@
     boolean failed;
     boolean silent;
     synchronized (this) {
-      boolean known = loading.remove(name);
-      failed = faults.consumeLoadFailure() || !known;
+      boolean wasLoading = loading.remove(name);
+      failed = faults.consumeLoadFailure() || !wasLoading;
       silent = faults.consumeSilentLoad();
       if (!failed) {
         resident.add(name);
@@ -209,7 +211,7 @@
       if (silent) {
         exchange.closeConnection();
       } else if (failed) {
-        exchange.respondWithError(500, "the load failed");
+        exchange.respondWithError(500, "adapter load failed");
       } else {
         exchange.respond(200, Map.of("loaded", name));
       }
@@ -236,6 +238,10 @@
     exchange.respond(200, Map.of("unloaded", name));
   }
 
+  /**
+   * Returns whether the fencing number of a request is current or absent. If it is lower than the
+   * highest one seen, responds with 412 and returns {@code false}.
+   */
   private synchronized boolean checkFencing(Exchange exchange) throws IOException {
     String text = exchange.header("Sequoia-Fencing");
     if (!checksFencing || text.isEmpty()) {
@@ -272,7 +278,10 @@
     sampledMillis = now();
   }
 
-  /** One step of the continuous batch: every running request gets a token. */
+  /**
+   * Advances the continuous batch by one step: fills free places, high-priority requests first, and
+   * generates the tokens that are due.
+   */
   private synchronized void tick() {
     if (faults.isFrozen()) {
       return;
@@ -293,20 +302,20 @@
   }
 
   private void applyFaults(Exchange exchange) throws IOException {
-    JsonNode wanted = exchange.json();
+    JsonNode requested = exchange.json();
     synchronized (this) {
-      faults.apply(wanted);
-      if (wanted.has("checks_fencing")) {
-        checksFencing = wanted.get("checks_fencing").booleanValue();
+      faults.apply(requested);
+      if (requested.has("checks_fencing")) {
+        checksFencing = requested.get("checks_fencing").booleanValue();
       }
-      if (wanted.path("restart").booleanValue()) {
+      if (requested.path("restart").booleanValue()) {
         requests.values().forEach(EngineRequest::abort);
         requests.clear();
         resident.clear();
         loading.clear();
         highestFencing = 0;
       }
-      if (wanted.path("silence").booleanValue()) {
+      if (requested.path("silence").booleanValue()) {
         requests.values().forEach(EngineRequest::detachReaders);
       }
     }
--- a/sequoia-standins/src/main/java/org/sequoiahub/standins/HostListStandin.java
+++ b/sequoia-standins/src/main/java/org/sequoiahub/standins/HostListStandin.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** A host list whose readers see each change only after a while. */
+/** Serves a host list whose changes become visible to readers after a fixed delay. */
 public final class HostListStandin extends StandinServer {
 
   private final long lagMillis;
@@ -19,7 +19,7 @@
   private ObjectNode latest = MAPPER.createObjectNode();
   private long revision;
 
-  /** Creates an empty list on {@code port} that lags by {@code lagMillis}. */
+  /** Creates an empty list on {@code port} whose changes become visible after {@code lagMillis}. */
   public HostListStandin(int port, long lagMillis) {
     super(port);
     this.lagMillis = lagMillis;
@@ -42,13 +42,17 @@
     }
   }
 
-  /** Adds a host, runner or upstream. */
+  /**
+   * Adds an item to the list.
+   *
+   * @param kind {@code hosts}, {@code runners} or {@code upstreams}
+   */
   synchronized void add(String kind, ObjectNode item) {
     ((ArrayNode) latest.get(kind)).add(item);
     publish();
   }
 
-  /** Sets the state of whatever is named {@code id}; {@code gone} removes it. */
+  /** Sets the state of every item with this id; the state {@code gone} removes it. */
   synchronized void setState(String id, String state) {
     for (JsonNode kind : latest) {
       if (kind instanceof ArrayNode items) {
@@ -82,7 +86,11 @@
   }
 
   private boolean isNextVersionVisible() {
-    return versions.stream().skip(1).findFirst().filter(v -> v.visibleFromMillis <= now()).isPresent();
+    return versions.stream()
+        .skip(1)
+        .findFirst()
+        .filter(v -> v.visibleFromMillis <= now())
+        .isPresent();
   }
 
   private static long now() {
--- a/sequoia-standins/src/main/java/org/sequoiahub/standins/LoadGenerator.java
+++ b/sequoia-standins/src/main/java/org/sequoiahub/standins/LoadGenerator.java
@@ -18,10 +18,10 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * An open load: calls start at a fixed rate, however long earlier ones take.
+ * Generates an open load: calls start at a fixed rate, regardless of how long earlier ones take.
  *
- * <p>A call that was refused as not run, or that an unreachable entry never took, goes to another
- * entry, as callers do; a booking keeps its operation id across all its tries.
+ * <p>A call that was refused as not run, or that found its entry unreachable, is retried at another
+ * entry, as callers do. A booking keeps its operation id across all its attempts.
  */
 final class LoadGenerator {
 
@@ -61,6 +61,7 @@
     this.random = new SplittableRandom(seed);
   }
 
+  /** Runs the load and returns its outcome once every call has ended. */
   LoadStats run() throws Exception {
     http.setMaxConnectionsPerDestination(4_096);
     http.setConnectTimeout(1_000);
@@ -84,24 +85,24 @@
     return stats;
   }
 
-  /** Returns an adapter's number; low numbers come up far more often. */
+  /** Returns a random adapter number, skewed towards low numbers. */
   private int skewedAdapter() {
     return 1 + (int) (adapters * Math.pow(random.nextDouble(), 3));
   }
 
-  private String entryForAttempt(int turn) {
-    return entries.get(Math.floorMod(turn, entries.size()));
+  private String entryForAttempt(int attempt) {
+    return entries.get(Math.floorMod(attempt, entries.size()));
   }
 
-  private void scheduleRetry(Runnable work) {
-    http.getScheduler().schedule(work, RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
+  private void scheduleRetry(Runnable attempt) {
+    http.getScheduler().schedule(attempt, RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   private static boolean isNotRun(Response response) {
     return "not-run".equals(response.getHeaders().get("Sequoia-Verdict"));
   }
 
-  /** One inference call. */
+  /** A streamed inference call, across all its attempts. */
   private final class Inference {
     private final String model;
     private final long number;
@@ -134,7 +135,8 @@
       }
       request.onResponseContent((Response response, ByteBuffer content) -> onContent(content));
       request.send(
-          result -> onComplete(result.getResponse(), result.isFailed() ? result.getFailure() : null));
+          result ->
+              onComplete(result.getResponse(), result.isFailed() ? result.getFailure() : null));
     }
 
     private void onContent(ByteBuffer content) {
@@ -162,19 +164,26 @@
     }
 
     private void verifyText() {
-      StringBuilder got = new StringBuilder();
+      StringBuilder actual = new StringBuilder();
       String marker = "\"text\":\"";
       for (int at = text.indexOf(marker); at >= 0; at = text.indexOf(marker, at + 1)) {
-        got.append(text, at + marker.length(), text.indexOf("\"", at + marker.length()));
+        actual.append(text, at + marker.length(), text.indexOf("\"", at + marker.length()));
       }
-      StringBuilder want = new StringBuilder();
+      StringBuilder expected = new StringBuilder();
       for (int i = 1; i <= tokens; i++) {
-        want.append('[').append(model).append(':').append(i).append('/').append(tokens).append(']');
+        expected
+            .append('[')
+            .append(model)
+            .append(':')
+            .append(i)
+            .append('/')
+            .append(tokens)
+            .append(']');
       }
       long now = System.nanoTime();
       if (!text.toString().endsWith("data: [DONE]\n\n")) {
         stats.count("told_not_whole");
-      } else if (want.toString().contentEquals(got)) {
+      } else if (expected.toString().contentEquals(actual)) {
         stats.recordComplete(now - startedNanos, firstByteNanos - startedNanos, now);
       } else {
         stats.count("wrong");
@@ -182,7 +191,7 @@
     }
   }
 
-  /** One booking, which must not run twice. */
+  /** A booking call, which must not run twice, across all its attempts. */
   private final class Booking {
     private final String name;
     private String operationId = "";
@@ -195,7 +204,10 @@
     void send() {
       attempts++;
       Request request =
-          http.POST("http://" + entryForAttempt(name.hashCode() + attempts) + "/services/bookings/slots")
+          http.POST(
+                  "http://"
+                      + entryForAttempt(name.hashCode() + attempts)
+                      + "/services/bookings/slots")
               .body(new StringRequestContent("application/json", "{\"booking\":\"" + name + "\"}"))
               .timeout(TIMEOUT_SECONDS, TimeUnit.SECONDS);
       if (!operationId.isEmpty()) {
@@ -220,8 +232,8 @@
               });
     }
 
-    private void countAndRetry(String why) {
-      stats.count(why);
+    private void countAndRetry(String outcome) {
+      stats.count(outcome);
       if (attempts < MAX_ATTEMPTS) {
         scheduleRetry(this::send);
       } else {
--- a/sequoia-standins/src/main/java/org/sequoiahub/standins/LoadMain.java
+++ b/sequoia-standins/src/main/java/org/sequoiahub/standins/LoadMain.java
@@ -8,12 +8,12 @@
 import org.apache.commons.cli.Options;
 import org.sequoiahub.runtime.log.LineFormatter;
 
-/** Sends a bounded load of calls to loopback addresses and checks every answer. */
+/** Command-line program that runs a {@link LoadGenerator} and verifies every response. */
 public final class LoadMain {
 
   private LoadMain() {}
 
-  /** Runs the load and prints one line of figures; exits 1 if an answer was wrong. */
+  /** Runs the load and prints one line of statistics; exits with 1 if a response was wrong. */
   public static void main(String[] arguments) throws Exception {
     LineFormatter.install(Level.WARNING);
     Options options = new Options();
@@ -21,7 +21,11 @@
         List.of("entries", "rate", "seconds", "adapters", "tokens", "bookings", "seed", "label")) {
       options.addOption(Option.builder().longOpt(name).hasArg().build());
     }
-    options.addOption(Option.builder().longOpt("direct").desc("entries are engines").build());
+    options.addOption(
+        Option.builder()
+            .longOpt("direct")
+            .desc("the entries are engines, called without the serving layer")
+            .build());
     CommandLine line = new DefaultParser().parse(options, arguments);
     LoadGenerator load =
         new LoadGenerator(
--- a/sequoia-standins/src/main/java/org/sequoiahub/standins/LoadStats.java
+++ b/sequoia-standins/src/main/java/org/sequoiahub/standins/LoadStats.java
@@ -5,7 +5,9 @@
 import java.util.TreeMap;
 import org.HdrHistogram.Histogram;
 
-/** What a load's calls came to. Thread-safe. */
+/**
+ * Counts the outcomes of the calls of a {@link LoadGenerator} and records latencies. Thread-safe.
+ */
 final class LoadStats {
 
   private static final long MAX_MICROS = 600_000_000L;
@@ -17,10 +19,11 @@
   private long lastCompleteNanos;
   private long longestGapNanos;
 
-  synchronized void count(String what) {
-    counts.merge(what, 1, Integer::sum);
+  synchronized void count(String outcome) {
+    counts.merge(outcome, 1, Integer::sum);
   }
 
+  /** Counts a complete response and records its latencies. */
   synchronized void recordComplete(long totalNanos, long firstNanos, long nowNanos) {
     count("whole");
     total.recordValue(Math.min(MAX_MICROS, totalNanos / 1_000));
@@ -31,13 +34,14 @@
     lastCompleteNanos = nowNanos;
   }
 
-  synchronized int countOf(String what) {
-    return counts.getOrDefault(what, 0);
+  synchronized int countOf(String outcome) {
+    return counts.getOrDefault(outcome, 0);
   }
 
+  /** Returns the counts, the latencies and the longest gap between complete responses. */
   synchronized String summary() {
     StringBuilder line = new StringBuilder();
-    counts.forEach((what, n) -> line.append(what).append('=').append(n).append(' '));
+    counts.forEach((outcome, n) -> line.append(outcome).append('=').append(n).append(' '));
     line.append(
         String.format(
             Locale.ROOT,
--- a/sequoia-standins/src/main/java/org/sequoiahub/standins/ServiceStandin.java
+++ b/sequoia-standins/src/main/java/org/sequoiahub/standins/ServiceStandin.java
@@ -5,7 +5,11 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** A plain booking service whose POST must not be repeated; it counts what ran. */
+/**
+ * Simulates an upstream of a booking service whose POST must not be repeated.
+ *
+ * <p>It counts how often each booking ran.
+ */
 public final class ServiceStandin extends StandinServer {
 
   private final String id;
@@ -13,7 +17,7 @@
   private int responsesToDrop;
   private long delayMillis;
 
-  /** Creates a service upstream on {@code port}. */
+  /** Creates an upstream on {@code port}. */
   public ServiceStandin(String id, int port) {
     super(port);
     this.id = id;
@@ -22,10 +26,10 @@
   @Override
   void handle(Exchange exchange) throws IOException {
     if (exchange.path().equals("/faults")) {
-      JsonNode wanted = exchange.json();
+      JsonNode requested = exchange.json();
       synchronized (this) {
-        responsesToDrop = wanted.path("drop_answers").asInt(responsesToDrop);
-        delayMillis = wanted.path("slow_ms").asLong(delayMillis);
+        responsesToDrop = requested.path("drop_answers").asInt(responsesToDrop);
+        delayMillis = requested.path("slow_ms").asLong(delayMillis);
       }
       exchange.respond(200, Map.of());
     } else if (exchange.path().equals("/counters")) {
@@ -40,21 +44,21 @@
   private void book(Exchange exchange) throws IOException {
     String booking = exchange.json().path("booking").asText("none");
     int times;
-    boolean drop;
-    long pause;
+    boolean dropResponse;
+    long delay;
     synchronized (this) {
       times = bookings.merge(booking, 1, Integer::sum);
-      drop = responsesToDrop > 0 && responsesToDrop-- > 0;
-      pause = delayMillis;
+      dropResponse = responsesToDrop > 0 && responsesToDrop-- > 0;
+      delay = delayMillis;
     }
-    if (pause > 0) {
+    if (delay > 0) {
       try {
-        Thread.sleep(pause);
+        Thread.sleep(delay);
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
     }
-    if (drop) {
+    if (dropResponse) {
       exchange.closeConnection();
     } else {
       exchange.respond(201, Map.of("booking", booking, "times", times, "upstream", id));
--- a/sequoia-standins/src/main/java/org/sequoiahub/standins/StandinServer.java
+++ b/sequoia-standins/src/main/java/org/sequoiahub/standins/StandinServer.java
@@ -15,7 +15,7 @@
 import org.eclipse.jetty.util.Callback;
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 
-/** The HTTP server that each stand-in runs. */
+/** Base class of the stand-ins: an HTTP server on the loopback interface. */
 abstract class StandinServer implements AutoCloseable {
 
   static final ObjectMapper MAPPER = new ObjectMapper();
@@ -47,14 +47,14 @@
         });
   }
 
-  /** Answers one request. */
+  /** Handles one request and responds to it, on this thread or later. */
   abstract void handle(Exchange exchange) throws Exception;
 
   void start() throws Exception {
     server.start();
   }
 
-  /** Returns host:port. */
+  /** Returns the address as {@code host:port}. */
   String address() {
     return "127.0.0.1:" + connector.getLocalPort();
   }
@@ -64,7 +64,7 @@
     server.stop();
   }
 
-  /** One request and its answer. */
+  /** A request together with its response. */
   record Exchange(Request request, Response response, Callback callback) {
     String path() {
       return Request.getPathInContext(request);
@@ -74,14 +74,16 @@
       return request.getMethod();
     }
 
+    /** Returns a header, or an empty string if the request has none of that name. */
     String header(String name) {
       String value = request.getHeaders().get(name);
       return value == null ? "" : value;
     }
 
-    String query(String name, String absent) {
+    /** Returns a query parameter, or {@code defaultValue} if the request has none of that name. */
+    String query(String name, String defaultValue) {
       String value = Request.extractQueryParameters(request).getValue(name);
-      return value == null ? absent : value;
+      return value == null ? defaultValue : value;
     }
 
     byte[] body() throws IOException {
@@ -92,6 +94,7 @@
       return MAPPER.readTree(body());
     }
 
+    /** Sends a JSON response; a {@code byte[]} body is sent as it is. */
     void respond(int status, Object body) throws IOException {
       response.setStatus(status);
       response.getHeaders().put(HttpHeader.CONTENT_TYPE, "application/json");
@@ -103,10 +106,10 @@
       respond(status, Map.of("error", message));
     }
 
-    /** Cuts the connection without an answer. */
+    /** Closes the connection without a response. */
     void closeConnection() {
       request.getConnectionMetaData().getConnection().getEndPoint().close();
-      callback.failed(new IOException("cut"));
+      callback.failed(new IOException("connection closed by the stand-in"));
     }
   }
 }
--- a/sequoia-standins/src/main/java/org/sequoiahub/standins/Standins.java
+++ b/sequoia-standins/src/main/java/org/sequoiahub/standins/Standins.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 
-/** A whole platform of stand-ins in one process. */
+/** Runs stand-ins for all services of the platform in one process. */
 public final class Standins implements AutoCloseable {
 
   private static final String[] FAILURE_DOMAINS = {"d1", "d2", "d3", "d4"};
@@ -17,9 +17,9 @@
   /**
    * Starts a configuration service, a host list and a weight store.
    *
-   * @param portBase the first of their three ports; 0 picks ports
-   * @param hostLagMillis by how much the host list lags
-   * @param loadsPerSecond the weight store's rate
+   * @param portBase the first of three consecutive ports; 0 selects free ports
+   * @param hostLagMillis the delay, in milliseconds, until readers see a change of the host list
+   * @param loadsPerSecond the number of loads that the weight store starts per second
    */
   public Standins(int portBase, long hostLagMillis, int loadsPerSecond) throws Exception {
     configuration = new ConfigurationStandin(portBase);
@@ -30,7 +30,7 @@
     weightStore.start();
   }
 
-  /** Starts an engine and lists it as a live runner of {@code baseModel}. */
+  /** Starts an engine and adds it to the host list as a live runner of {@code baseModel}. */
   public EngineStandin startEngine(EngineOptions options, String baseModel) throws Exception {
     EngineStandin engine = new EngineStandin(options, weightStore);
     engine.start();
@@ -43,7 +43,7 @@
     return engine;
   }
 
-  /** Starts an upstream of a plain service and lists it. */
+  /** Starts an upstream of a plain service and adds it to the host list. */
   public ServiceStandin startService(String id, String service, int port) throws Exception {
     ServiceStandin upstream = new ServiceStandin(id, port);
     upstream.start();
@@ -53,7 +53,11 @@
     return upstream;
   }
 
-  /** Lists an entry host. */
+  /**
+   * Adds an entry host to the host list, without starting its processes.
+   *
+   * @param number selects the failure domain, in rotation
+   */
   public void addHost(String id, int entryPort, int dispatcherPort, int watcherPort, int number) {
     ObjectNode item = item(id, "127.0.0.1", number);
     item.put("entry_port", entryPort);
@@ -72,15 +76,18 @@
     return hostList;
   }
 
-  /** Returns the addresses of configuration service, host list and weight store. */
+  /**
+   * Returns the addresses of the configuration service, the host list and the weight store, in this
+   * order.
+   */
   public List<String> addresses() {
     return List.of(configuration.address(), hostList.address(), weightStore.address());
   }
 
   @Override
   public void close() throws Exception {
-    for (StandinServer other : upstreamServers) {
-      other.close();
+    for (StandinServer server : upstreamServers) {
+      server.close();
     }
     weightStore.close();
     hostList.close();
--- a/sequoia-standins/src/main/java/org/sequoiahub/standins/StandinsMain.java
+++ b/sequoia-standins/src/main/java/org/sequoiahub/standins/StandinsMain.java
@@ -11,7 +11,7 @@
 import org.apache.commons.cli.ParseException;
 import org.sequoiahub.runtime.log.LineFormatter;
 
-/** The binary {@code sequoia-standins}: a small platform for the demo and experiments. */
+/** Command-line program {@code sequoia-standins}: a small platform for the demo and experiments. */
 public final class StandinsMain {
 
   private static final int ENTRY_OFFSET = 200;
@@ -19,19 +19,22 @@
 
   private StandinsMain() {}
 
-  /** Starts the stand-ins and runs until it is ended. */
+  /** Starts the stand-ins and runs until the process is terminated. */
   public static void main(String[] arguments) throws Exception {
     Options options = new Options();
-    addOption(options, "port-base", "first port; hosts start " + ENTRY_OFFSET + " above");
-    addOption(options, "hosts", "entry hosts to list");
-    addOption(options, "runners", "engines of base model m1");
-    addOption(options, "adapters", "adapters to configure");
-    addOption(options, "slots", "slots of each engine");
-    addOption(options, "batch", "batch of each engine");
-    addOption(options, "load-ms", "time of one load");
-    addOption(options, "prefill-ms", "time to the first token");
-    addOption(options, "token-ms", "time between tokens");
-    addOption(options, "unfenced", "how many engines do not check fencing numbers");
+    addOption(
+        options,
+        "port-base",
+        "first port; the ports of the entry hosts start " + ENTRY_OFFSET + " above it");
+    addOption(options, "hosts", "number of entry hosts in the host list");
+    addOption(options, "runners", "number of engines, all of base model m1");
+    addOption(options, "adapters", "number of adapters to configure");
+    addOption(options, "slots", "number of adapter slots of each engine");
+    addOption(options, "batch", "number of requests that each engine runs at the same time");
+    addOption(options, "load-ms", "duration of an adapter load, in milliseconds");
+    addOption(options, "prefill-ms", "time to the first token, in milliseconds");
+    addOption(options, "token-ms", "time between two tokens, in milliseconds");
+    addOption(options, "unfenced", "number of engines that do not check fencing numbers");
     CommandLine line;
     try {
       line = new DefaultParser().parse(options, arguments);
@@ -75,7 +78,7 @@
     configure(standins, intOption(line, "adapters", 6));
   }
 
-  /** Configures adapters, in schema 1 and schema 2 in turn, and a booking service. */
+  /** Configures adapters, alternately in schema 1 and schema 2, and a booking service. */
   private static void configure(Standins standins, int adapters) {
     for (int i = 1; i <= adapters; i++) {
       String name = "adapter-" + i;
@@ -97,7 +100,7 @@
     options.addOption(Option.builder().longOpt(name).hasArg().desc(help).build());
   }
 
-  private static int intOption(CommandLine line, String name, int absent) {
-    return line.hasOption(name) ? Integer.parseInt(line.getOptionValue(name)) : absent;
+  private static int intOption(CommandLine line, String name, int defaultValue) {
+    return line.hasOption(name) ? Integer.parseInt(line.getOptionValue(name)) : defaultValue;
   }
 }
--- a/sequoia-standins/src/main/java/org/sequoiahub/standins/WeightStoreStandin.java
+++ b/sequoia-standins/src/main/java/org/sequoiahub/standins/WeightStoreStandin.java
@@ -3,7 +3,12 @@
 import java.io.IOException;
 import java.util.Map;
 
-/** A weight store that gives full speed to one load at a time and allows a few loads a second. */
+/**
+ * Simulates a weight store with limited capacity.
+ *
+ * <p>A load runs at full speed only while no other is active, and a limited number of loads start
+ * per second.
+ */
 public final class WeightStoreStandin extends StandinServer {
 
   private static final long MILLIS_PER_SECOND = 1_000;
@@ -14,7 +19,7 @@
   private long nextStartMillis = Long.MIN_VALUE;
   private double slowdownFactor = 1;
 
-  /** Creates a store on {@code port} that allows {@code loadsPerSecond}. */
+  /** Creates a store on {@code port} that starts at most {@code loadsPerSecond}. */
   public WeightStoreStandin(int port, int loadsPerSecond) {
     super(port);
     this.startIntervalMillis = MILLIS_PER_SECOND / loadsPerSecond;
@@ -23,9 +28,9 @@
   @Override
   void handle(Exchange exchange) throws IOException {
     if (exchange.path().equals("/faults")) {
-      double wanted = exchange.json().path("slowness").asDouble(1);
+      double requested = exchange.json().path("slowness").asDouble(1);
       synchronized (this) {
-        slowdownFactor = wanted;
+        slowdownFactor = requested;
       }
       exchange.respond(200, Map.of());
     } else {
@@ -33,7 +38,10 @@
     }
   }
 
-  /** Begins a load and returns how long it takes: longer beside others and above the rate. */
+  /**
+   * Begins a load and returns its duration in milliseconds, which grows with the number of active
+   * loads and includes the wait for a start within the rate limit.
+   */
   synchronized long beginLoad(long fullSpeedMillis) {
     activeLoads++;
     long now = System.nanoTime() / NANOS_PER_MILLI;
--- a/sequoia-standins/src/main/java/org/sequoiahub/standins/package-info.java
+++ b/sequoia-standins/src/main/java/org/sequoiahub/standins/package-info.java
@@ -1,4 +1,4 @@
-/** Small stand-ins for the platform, for tests, the demo and experiments only. */
+/** In-process substitutes for the platform services, for tests, the demo and experiments only. */
 @NullMarked
 package org.sequoiahub.standins;
 
--- a/sequoia-standins/src/test/java/org/sequoiahub/standins/EndToEndTest.java
+++ b/sequoia-standins/src/test/java/org/sequoiahub/standins/EndToEndTest.java
@@ -86,15 +86,18 @@
       assertRefused(host.complete("{\"model\":7,\"prompt\":\"x\"}"), 400, "bad-body");
       assertRefused(host.complete("{\"model\":\"soot\"}"), 400, "bad-body");
       assertRefused(host.complete("{\"model\":\"no one\",\"prompt\":\"x\"}"), 404, "bad-model");
-      assertRefused(host.complete("{\"model\":\"nobody\",\"prompt\":\"x\"}"), 404, "unknown-adapter");
-      assertRefused(host.complete("{\"model\":\"soot@9\",\"prompt\":\"x\"}"), 404, "unknown-version");
+      assertRefused(
+          host.complete("{\"model\":\"nobody\",\"prompt\":\"x\"}"), 404, "unknown-adapter");
+      assertRefused(
+          host.complete("{\"model\":\"soot@9\",\"prompt\":\"x\"}"), 404, "unknown-version");
       assertRefused(host.complete("\"" + "x".repeat(5_000) + "\""), 413, "body-too-long");
       assertRefused(
           host.post(
               host.url("/services/bookings/slots"), "{}", Map.of("Sequoia-Operation", "mine")),
           400,
           "bad-operation-id");
-      assertRefused(host.post(host.url("/services/none/x"), "{}", Map.of()), 404, "unknown-service");
+      assertRefused(
+          host.post(host.url("/services/none/x"), "{}", Map.of()), 404, "unknown-service");
       assertRefused(
           host.post(host.url("/v1/completions"), "{}", Map.of("Sequoia-Timeout-Ms", "soon")),
           400,
@@ -114,10 +117,10 @@
   class Bookings {
 
     private String issueOperationId() throws Exception {
-      ContentResponse demanded =
+      ContentResponse withoutId =
           host.post(host.url("/services/bookings/slots"), "{\"booking\":\"none\"}", Map.of());
-      assertThat(demanded.getStatus()).isEqualTo(428);
-      return demanded.getHeaders().get("Sequoia-Operation");
+      assertThat(withoutId.getStatus()).isEqualTo(428);
+      return withoutId.getHeaders().get("Sequoia-Operation");
     }
 
     private ContentResponse book(String name, String operation) throws Exception {
@@ -137,11 +140,9 @@
     }
 
     /**
-     * Symptom: two crews at one household.
-     *
-     * <p>Events: the upstream books, its answer is lost; the caller repeats with the same id.
-     *
-     * <p>Cause guarded against: taking a lost answer for a call that did not run.
+     * Guards against a booking that runs twice. The upstream books but its response is lost, and
+     * the caller repeats the call with the same operation id. A lost response must not be reported
+     * as a call that did not run.
      */
     @Test
     void lostResponseMayHaveRunAndIsNeverRunAgain() throws Exception {
@@ -166,11 +167,8 @@
   class InjectedEngineFaults {
 
     /**
-     * Symptom: an answer by another adapter than the one named.
-     *
-     * <p>Events: an engine answers under another name.
-     *
-     * <p>Cause guarded against: trusting that the engine ran what it was asked for.
+     * Guards against returning a response from an adapter other than the requested one: the engine
+     * reports another model name, and must not be trusted to have run the requested adapter.
      */
     @Test
     void responseFromAnotherAdapterIsAnError() throws Exception {
@@ -182,11 +180,9 @@
     }
 
     /**
-     * Symptom: a caller whose request never started is told that it may have run.
-     *
-     * <p>Events: the adapter cannot be loaded; the request waits until its deadline passes.
-     *
-     * <p>Cause: the entry gave its own verdict at the deadline, without the dispatcher's word that
+     * Guards against reporting {@code may-have-run} for a request that never started. The adapter
+     * cannot be loaded, so the request is queued until its deadline passes. The failure arises if
+     * the entry decides the verdict at the deadline by itself, without the dispatcher's report that
      * the request was still queued.
      */
     @Test
@@ -222,11 +218,9 @@
     }
 
     /**
-     * Symptom: a stream that never ends although its engine has finished.
-     *
-     * <p>Events: the connection goes silent in the middle; new ones work.
-     *
-     * <p>Cause guarded against: waiting for the kernel to notice.
+     * Guards against a stream that never ends although its engine has finished. The connection
+     * becomes silent in mid-stream while new ones work. The failure arises if the silence is left
+     * for the kernel to detect.
      */
     @Test
     void silentConnectionIsReplacedAndResponseIsComplete() throws Exception {
@@ -243,16 +237,14 @@
         Thread.sleep(60);
         host.injectFaults(host.engine.address(), "{\"silence\":true}");
       }
-      assertThat(text(answer.get(60, TimeUnit.SECONDS))).isEqualTo(SingleHostPlatform.expectedText("soot@1", 150));
+      assertThat(text(answer.get(60, TimeUnit.SECONDS)))
+          .isEqualTo(SingleHostPlatform.expectedText("soot@1", 150));
     }
 
     /**
-     * Symptom: found by the fuzzer as an adapter evicted under a running request.
-     *
-     * <p>Events: a cancel overtakes the start that it is for; the engine does not know the request
-     * yet, answers, and then gets it.
-     *
-     * <p>Cause: any answer to a cancel was taken for a confirmation.
+     * Guards against evicting an adapter that a running request uses. A cancellation overtakes the
+     * start of its request: the engine does not know the request yet, responds, and then receives
+     * it. The failure arises if any response to a cancellation counts as a confirmation.
      */
     @Test
     void cancelOfUnknownRequestIsNotConfirmed() throws Exception {
@@ -299,12 +291,9 @@
     }
 
     /**
-     * Symptom: requests on a runner that is about to be switched off.
-     *
-     * <p>Events: the host list says that the runner leaves; the adapter is loaded there; calls go
-     * on.
-     *
-     * <p>Cause guarded against: a list of runners that was copied when the adapter was placed.
+     * Guards against sending requests to a runner that is about to be shut down. The host list
+     * reports the runner as leaving while the adapter is loaded there and calls continue. The
+     * failure arises if the list of runners is copied when the adapter is placed.
      */
     @Test
     void leavingRunnerReceivesNoNewRequests() throws Exception {
@@ -321,11 +310,9 @@
     }
 
     /**
-     * Symptom: a call sheet that breaks off when a host is replaced.
-     *
-     * <p>Events: entry and dispatcher are asked to stop while an answer is streaming.
-     *
-     * <p>Cause guarded against: closing connections before what runs on them has ended.
+     * Guards against truncated responses when a host is replaced: the entry and the dispatcher are
+     * stopped while a response is streaming, and must not close connections before the requests on
+     * them have ended.
      */
     @Test
     void gracefulStopCompletesRunningResponses() throws Exception {
@@ -357,7 +344,8 @@
       stopping.start();
       leaving.entry.close();
       stopping.join();
-      assertThat(text(answer.get(60, TimeUnit.SECONDS))).isEqualTo(SingleHostPlatform.expectedText("soot@1", 200));
+      assertThat(text(answer.get(60, TimeUnit.SECONDS)))
+          .isEqualTo(SingleHostPlatform.expectedText("soot@1", 200));
       leaving.watcher.close();
       leaving.http.stop();
       leaving.platform.close();
--- a/sequoia-standins/src/test/java/org/sequoiahub/standins/SingleHostPlatform.java
+++ b/sequoia-standins/src/test/java/org/sequoiahub/standins/SingleHostPlatform.java
@@ -19,7 +19,7 @@
 import org.sequoiahub.schema.settings.WatcherSettings;
 import org.sequoiahub.watcher.Watcher;
 
-/** A platform of stand-ins and one host's three processes, all in this virtual machine. */
+/** Runs the stand-ins and one host's watcher, dispatcher and entry in this virtual machine. */
 final class SingleHostPlatform implements AutoCloseable {
 
   private static final int TIMEOUT_SECONDS = 60;
@@ -47,16 +47,16 @@
         "{\"schema\":2,\"name\":\"booth\",\"base_model\":\"m1\",\"versions\":["
             + "{\"version\":\"1\",\"weight\":0},{\"version\":\"2\",\"weight\":1}]}");
     put("services/bookings", "{\"schema\":1,\"name\":\"bookings\"}");
-    List<String> published = platform.addresses();
+    List<String> addresses = platform.addresses();
     watcher =
         Watcher.start(
             settings(
                 WatcherSettings.getDefaultInstance(),
                 2,
                 "--configuration-service",
-                published.get(0),
+                addresses.get(0),
                 "--host-list",
-                published.get(1),
+                addresses.get(1),
                 "--hosts-period-ms",
                 "50"));
     dispatcher =
@@ -67,7 +67,7 @@
                 "--watcher",
                 "127.0.0.1:" + ports.get(2),
                 "--weight-store",
-                published.get(2),
+                addresses.get(2),
                 "--loads-per-second",
                 "20",
                 "--report-period-ms",
@@ -113,7 +113,7 @@
     return "http://127.0.0.1:" + ports.get(0) + path;
   }
 
-  /** The whole text that the engine makes for {@code model}. */
+  /** Returns the complete text that the engine generates for {@code model}. */
   static String expectedText(String model, int tokens) {
     StringBuilder text = new StringBuilder();
     for (int i = 1; i <= tokens; i++) {
@@ -131,7 +131,7 @@
     platform.close();
   }
 
-  private <T extends Message> T settings(T prototype, int port, String... flags) {
+  private <T extends Message> T settings(T prototype, int port, String... specificFlags) {
     String[] common = {
       "--host-id",
       "host-1",
@@ -142,9 +142,9 @@
       "--admin-port",
       "" + ports.get(port + 3)
     };
-    String[] all = new String[common.length + flags.length];
+    String[] all = new String[common.length + specificFlags.length];
     System.arraycopy(common, 0, all, 0, common.length);
-    System.arraycopy(flags, 0, all, common.length, flags.length);
+    System.arraycopy(specificFlags, 0, all, common.length, specificFlags.length);
     return new SettingsLoader<>("test", "test", prototype)
         .load(all, Map.of())
         .fold(
@@ -164,6 +164,6 @@
       }
       Thread.sleep(20);
     }
-    throw new AssertionError("not ready on admin port " + adminPort);
+    throw new AssertionError("process did not become ready on admin port " + adminPort);
   }
 }
