--- a/sequoia-cli/src/main/java/org/sequoiahub/cli/StatusCommand.java
+++ b/sequoia-cli/src/main/java/org/sequoiahub/cli/StatusCommand.java
@@ -6,32 +6,35 @@
 import java.util.List;
 import java.util.StringJoiner;
 
-/** Prints the state of processes, one line each, and what they own. */
+/**
+ * Prints the state of processes, one line each, followed by the runners, slots and refused records
+ * that the process reports.
+ */
 final class StatusCommand implements Command {
 
   @Override
   public int run(List<String> arguments, PrintStream out) throws Exception {
     if (arguments.isEmpty()) {
-      throw new UsageException("at least one ADMIN is wanted");
+      throw new UsageException("expected at least one ADMIN address");
     }
-    int unread = 0;
+    int unreadable = 0;
     try (AdminReader reader = new AdminReader()) {
       for (String admin : arguments) {
         try {
-          print(admin, reader.read(admin, "/status"), out);
+          printStatus(admin, reader.read(admin, "/status"), out);
         } catch (IOException e) {
-          unread++;
+          unreadable++;
           out.println("admin=" + admin + " error=\"" + e.getMessage() + "\"");
         }
       }
     }
-    return unread == 0 ? 0 : 1;
+    return unreadable == 0 ? 0 : 1;
   }
 
-  private static void print(String admin, JsonNode status, PrintStream out) {
-    out.println("admin=" + admin + " " + pairs(status));
+  private static void printStatus(String admin, JsonNode status, PrintStream out) {
+    out.println("admin=" + admin + " " + formatValueFields(status));
     for (JsonNode runner : status.path("runners")) {
-      out.println("  " + pairs(runner));
+      out.println("  " + formatValueFields(runner));
       runner
           .path("slots")
           .fields()
@@ -45,7 +48,8 @@
     }
   }
 
-  static String pairs(JsonNode object) {
+  /** Returns the scalar fields of an object as {@code name=value} pairs. */
+  static String formatValueFields(JsonNode object) {
     StringJoiner line = new StringJoiner(" ");
     object
         .fields()
--- a/sequoia-cli/src/main/java/org/sequoiahub/cli/bench/PolicyFigures.java
+++ b/sequoia-cli/src/main/java/org/sequoiahub/cli/bench/PolicyFigures.java
@@ -4,7 +4,7 @@
 import org.HdrHistogram.Histogram;
 import org.sequoiahub.core.record.Priority;
 
-/** What one run of a policy came to. */
+/** Collects the figures of one simulation run: load stalls, waits, loads and batch efficiency. */
 final class PolicyFigures {
 
   private static final long MAX_MILLIS = 3_600_000;
@@ -14,19 +14,26 @@
   private final Histogram briefs = new Histogram(MAX_MILLIS, 3);
   private long requests;
   private long stalled;
-  private long refused;
+  private long refusedRequests;
   private long loads;
   private long loadsWasted;
-  private double runningTime;
-  private double batchTime;
-  private double boundTime;
+  private double requestMillis;
+  private double busyBatchMillis;
+  private double leastBatchMillis;
 
-  void refused() {
+  void recordRefused() {
     requests++;
-    refused++;
+    refusedRequests++;
   }
 
-  void started(Priority priority, long waitMillis, long stallMillis) {
+  /**
+   * Counts a request that started.
+   *
+   * @param waitMillis the time from its arrival to its start
+   * @param stallMillis the part of the wait until its adapter was loaded; 0 if it was loaded
+   *     already
+   */
+  void recordStarted(Priority priority, long waitMillis, long stallMillis) {
     requests++;
     stalls.recordValue(Math.min(MAX_MILLIS, stallMillis));
     if (stallMillis > 0) {
@@ -36,44 +43,49 @@
         .recordValue(Math.min(MAX_MILLIS, waitMillis));
   }
 
-  void load() {
+  void recordLoad() {
     loads++;
   }
 
-  void wastedLoad() {
+  /** Counts a load whose adapter was evicted before any request used it. */
+  void recordWastedLoad() {
     loadsWasted++;
   }
 
   /**
-   * Adds a stretch of time of one pool.
+   * Adds the utilization of one pool during an interval.
    *
-   * @param running requests that run in the pool
-   * @param busyBatch the batches' places on runners that run anything
-   * @param leastBatch the places on the fewest runners that could hold the same requests
+   * @param millis the length of the interval
+   * @param running the number of requests that run in the pool
+   * @param busyBatch the batch capacity of the runners that run at least one request
+   * @param leastBatch the batch capacity of the fewest runners that could run the same requests
    */
-  void time(long millis, int running, int busyBatch, int leastBatch) {
-    runningTime += (double) millis * running;
-    batchTime += (double) millis * busyBatch;
-    boundTime += (double) millis * leastBatch;
+  void recordUtilization(long millis, int running, int busyBatch, int leastBatch) {
+    requestMillis += (double) millis * running;
+    busyBatchMillis += (double) millis * busyBatch;
+    leastBatchMillis += (double) millis * leastBatch;
   }
 
   double stallMeanMillis() {
     return stalls.getTotalCount() == 0 ? 0 : stalls.getMean();
   }
 
+  /** Returns the share of the busy runners' batch capacity that was used, from 0 to 1. */
   double batchEfficiency() {
-    return batchTime == 0 ? 0 : runningTime / batchTime;
+    return busyBatchMillis == 0 ? 0 : requestMillis / busyBatchMillis;
   }
 
-  double batchBound() {
-    return boundTime == 0 ? 0 : runningTime / boundTime;
+  /** Returns the batch efficiency on the fewest runners that could run the same requests. */
+  double batchEfficiencyBound() {
+    return leastBatchMillis == 0 ? 0 : requestMillis / leastBatchMillis;
   }
 
   long refusedCount() {
-    return refused;
+    return refusedRequests;
   }
 
-  String line() {
+  /** Returns the figures as {@code name=value} pairs on one line. */
+  String formatLine() {
     return String.format(
         Locale.ROOT,
         "requests=%d load_stall_mean_ms=%.1f load_stall_p99_ms=%d stalled_share=%.4f"
@@ -84,10 +96,10 @@
         stalls.getValueAtPercentile(99),
         requests == 0 ? 0 : (double) stalled / requests,
         batchEfficiency(),
-        batchBound(),
+        batchEfficiencyBound(),
         loads,
         loadsWasted,
-        refused,
+        refusedRequests,
         interactive.getValueAtPercentile(99),
         briefs.getValueAtPercentile(99));
   }
--- a/sequoia-cli/src/main/java/org/sequoiahub/cli/bench/PolicyReport.java
+++ b/sequoia-cli/src/main/java/org/sequoiahub/cli/bench/PolicyReport.java
@@ -14,7 +14,7 @@
 import org.knowm.xchart.CategoryChart;
 import org.knowm.xchart.CategoryChartBuilder;
 
-/** Writes the figures of many runs as a table and as plots. */
+/** Writes the figures of simulation runs as a text table and as PNG charts. */
 final class PolicyReport {
 
   private static final int WIDTH = 900;
@@ -22,9 +22,9 @@
 
   private PolicyReport() {}
 
-  /** One run and its figures. */
+  /** The parameters and figures of one simulation run. */
   record Row(String policy, String deployment, String trace, long seed, PolicyFigures figures) {
-    String line() {
+    String formatLine() {
       return "policy="
           + policy
           + " deployment="
@@ -34,35 +34,40 @@
           + " seed="
           + seed
           + " "
-          + figures.line();
+          + figures.formatLine();
     }
   }
 
+  /**
+   * Writes {@code policy.txt} and, for each deployment, charts of the mean load stall and the batch
+   * efficiency into a directory, which is created if it doesn't exist.
+   */
   static void write(Path directory, List<Row> rows) throws IOException {
     Files.createDirectories(directory);
     try (PrintWriter table =
         new PrintWriter(
             Files.newBufferedWriter(directory.resolve("policy.txt"), StandardCharsets.UTF_8))) {
-      rows.forEach(row -> table.println(row.line()));
+      rows.forEach(row -> table.println(row.formatLine()));
     }
     for (String deployment : rows.stream().map(Row::deployment).distinct().toList()) {
-      List<Row> own = rows.stream().filter(r -> r.deployment().equals(deployment)).toList();
-      plot(
+      List<Row> deploymentRows =
+          rows.stream().filter(r -> r.deployment().equals(deployment)).toList();
+      writePlot(
           directory,
           deployment + "-load-stall",
           "mean load stall (ms), " + deployment,
-          own,
+          deploymentRows,
           row -> row.figures().stallMeanMillis());
-      plot(
+      writePlot(
           directory,
           deployment + "-batch-efficiency",
           "batch efficiency, " + deployment,
-          own,
+          deploymentRows,
           row -> row.figures().batchEfficiency());
     }
   }
 
-  private static void plot(
+  private static void writePlot(
       Path directory, String file, String title, List<Row> rows, ToDoubleFunction<Row> figure)
       throws IOException {
     CategoryChart chart =
--- a/sequoia-cli/src/test/java/org/sequoiahub/cli/bench/HotDecisionBenchmark.java
+++ b/sequoia-cli/src/test/java/org/sequoiahub/cli/bench/HotDecisionBenchmark.java
@@ -33,7 +33,8 @@
 import org.sequoiahub.core.runner.RunnerRequest;
 
 /**
- * Costs of the decisions that every request takes, by adapters and runners; see {@code bin/jmh}.
+ * Measures the time of the decisions that each request requires, by the number of adapters and
+ * runners. {@code bin/jmh} runs it.
  */
 @State(Scope.Thread)
 @BenchmarkMode(Mode.AverageTime)
@@ -46,29 +47,31 @@
   private static final int MODELS = 8;
   private static final int SLOTS = 8;
   private static final int BATCH = 16;
-  private static final Rights SOLE = new Rights(true, 1, Long.MIN_VALUE / 2);
 
-  /** How many adapters there are. */
+  /** Authority over a runner that no other dispatcher has ever used. */
+  private static final Rights SOLE_OWNER = new Rights(true, 1, Long.MIN_VALUE / 2);
+
+  /** Number of adapters. */
   @Param({"3000", "77000"})
   int adapters;
 
-  /** How many runners the fleet has; a pool is an eighth of them, at least two. */
+  /** Number of runners in the fleet; a pool is an eighth of them, at least two. */
   @Param({"16", "2100"})
   int runners;
 
-  private AdapterVersion[] names = new AdapterVersion[0];
+  private AdapterVersion[] adapterVersions = new AdapterVersion[0];
   private List<Runner> pool = List.of();
   private List<RunnerController> controllers = List.of();
   private RunnerChooser chooser = new RunnerChooser(RouteSettings.ashcombe());
   private RunnerHints hints = new RunnerHints();
-  private long number;
+  private long invocations;
 
-  /** Fills the state. */
+  /** Creates the adapter versions, the pool and a controller for each runner. */
   @Setup
-  public void fill() {
-    names = new AdapterVersion[adapters];
+  public void setUp() {
+    adapterVersions = new AdapterVersion[adapters];
     for (int i = 0; i < adapters; i++) {
-      names[i] = new AdapterVersion("adapter-" + i, "1");
+      adapterVersions[i] = new AdapterVersion("adapter-" + i, "1");
     }
     List<Runner> listed = new ArrayList<>();
     for (int i = 0; i < Math.max(2, runners / MODELS); i++) {
@@ -80,7 +83,9 @@
     for (int i = 0; i < runners; i++) {
       RunnerController controller = new RunnerController(SLOTS, BATCH, PolicySettings.ashcombe());
       controller.applyReport(
-          new EngineReport(1, Set.of(names[0], names[1]), Set.of(), Map.of()), SOLE, 2);
+          new EngineReport(1, Set.of(adapterVersions[0], adapterVersions[1]), Set.of(), Map.of()),
+          SOLE_OWNER,
+          2);
       controllers.add(controller);
     }
   }
@@ -88,36 +93,39 @@
   /** Ranks an adapter's candidates and chooses one. */
   @Benchmark
   public Object route() {
-    AdapterVersion adapter = names[(int) (number++ % adapters)];
-    return chooser.choose(adapter, Placement.candidates(adapter, pool, 4), Set.of(), hints, number);
+    AdapterVersion adapter = adapterVersions[(int) (invocations++ % adapters)];
+    return chooser.choose(
+        adapter, Placement.candidates(adapter, pool, 4), Set.of(), hints, invocations);
   }
 
   /** Admits, starts and ends a request for a loaded adapter. */
   @Benchmark
   public Object admit() {
-    long now = 10 + number++;
-    RunnerController controller = controllers.get((int) (number % runners));
-    String id = "r" + number;
-    controller.offer(new RunnerRequest(id, names[0], Priority.INTERACTIVE, now + 60_000), now);
-    List<RunnerAction> started = controller.decide(SOLE, now);
+    long now = 10 + invocations++;
+    RunnerController controller = controllers.get((int) (invocations % runners));
+    String id = "r" + invocations;
+    controller.offer(
+        new RunnerRequest(id, adapterVersions[0], Priority.INTERACTIVE, now + 60_000), now);
+    List<RunnerAction> started = controller.decide(SOLE_OWNER, now);
     controller.requestEnded(id, now + 1);
     return started;
   }
 
   /**
-   * Admits a request for an adapter that is not loaded: a load, an eviction once slots are full.
+   * Admits a request for an adapter that is not loaded, which causes a load and, once the slots are
+   * full, an eviction.
    */
   @Benchmark
   public Object evict() {
-    long now = 10 + number++ * 10;
-    RunnerController controller = controllers.get((int) (number % runners));
-    AdapterVersion adapter = names[(int) (number % adapters)];
-    String id = "r" + number;
+    long now = 10 + invocations++ * 10;
+    RunnerController controller = controllers.get((int) (invocations % runners));
+    AdapterVersion adapter = adapterVersions[(int) (invocations % adapters)];
+    String id = "r" + invocations;
     controller.offer(new RunnerRequest(id, adapter, Priority.INTERACTIVE, now + 60_000), now);
     int steps = 0;
-    for (List<RunnerAction> actions = controller.decide(SOLE, now);
+    for (List<RunnerAction> actions = controller.decide(SOLE_OWNER, now);
         !actions.isEmpty();
-        actions = controller.decide(SOLE, now)) {
+        actions = controller.decide(SOLE_OWNER, now)) {
       for (RunnerAction action : actions) {
         perform(controller, action, now);
         steps++;
--- a/sequoia-core/src/main/java/org/sequoiahub/core/authority/LeasedAuthority.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/authority/LeasedAuthority.java
@@ -8,41 +8,43 @@
 import java.util.Set;
 
 /**
- * Authority over a runner whose engine does not check fencing numbers: a soft lease from a majority
- * of the hosts.
+ * Authority over a runner whose engine does not check fencing numbers, held as a lease from a
+ * majority of the hosts.
  *
- * <p>While a change of the host list is younger than the lease's duration, a majority of the hosts
- * before the change is needed as well, so that two holders that read the list at different moments
- * cannot both find a majority.
+ * <p>For one lease duration after a change of the host list, a majority of the previous hosts is
+ * required as well. Otherwise, two holders that read the list at different times could both obtain
+ * a majority.
  */
 public final class LeasedAuthority implements Authority {
 
   /**
-   * A holder whose round of renewals failed asks all hosts in the next one, at the end of the
-   * lease. Until then it may miss some milliseconds of the lease, but nobody else can have got it.
+   * Rounds of claims per lease duration while the lease is held. After a failed round, the holder
+   * asks all hosts in the next one, at the end of the lease. It may be without the lease for a few
+   * milliseconds by then, but no other holder can have obtained it.
    */
   private static final int RENEWALS_PER_TERM = 2;
 
   /**
-   * Claims in the time of a lease while it is not held. After a restart of all hosts the granters
-   * abstain until each has run for a lease's duration, so the first rounds fail; with three rounds
-   * in that time the holders were found 0.1 to 1.5 s after the last granter was willing.
+   * Rounds of claims per lease duration while the lease is not held. After a restart of all hosts,
+   * the granters abstain until each has run for a lease duration, so the first rounds fail. With
+   * three rounds per lease duration, holders obtained their leases only 0.1 to 1.5 s after the last
+   * granter had stopped abstaining.
    */
   private static final int CLAIMS_PER_TERM = 6;
 
   private final long durationMillis;
   private final Term term;
-  private final List<Quorum> former = new ArrayList<>();
+  private final List<Electorate> formerElectorates = new ArrayList<>();
   private Set<String> granters = Set.of();
   private final Set<String> grantedBy = new HashSet<>();
   private long roundSentMillis;
   private long nextClaimMillis = Long.MIN_VALUE;
-  private boolean renewed;
+  private boolean lastRoundSucceeded;
 
   /**
    * Creates an authority that is not held.
    *
-   * @param durationMillis how long authority lasts after the sending of an accepted renewal
+   * @param durationMillis how long authority lasts after an accepted renewal was sent
    */
   public LeasedAuthority(long durationMillis) {
     checkArgument(durationMillis > 0, "durationMillis must be above 0");
@@ -50,22 +52,22 @@
     this.term = new Term(durationMillis);
   }
 
-  /** Sets the hosts that may grant the lease. */
-  public void granters(Set<String> hosts, long nowMillis) {
+  /** Replaces the hosts that may grant the lease; the previous ones count for a lease duration. */
+  public void updateGranters(Set<String> hosts, long nowMillis) {
     if (hosts.equals(granters)) {
       return;
     }
     if (!granters.isEmpty()) {
-      former.add(new Quorum(granters, nowMillis + durationMillis));
+      formerElectorates.add(new Electorate(granters, nowMillis + durationMillis));
     }
     granters = Set.copyOf(hosts);
   }
 
-  /** Returns the hosts to ask for a grant, those of former lists included. */
-  public Set<String> toAsk(long nowMillis) {
+  /** Returns the hosts to ask for a grant, including those of former lists that still count. */
+  public Set<String> hostsToAsk(long nowMillis) {
     Set<String> hosts = new HashSet<>(granters);
-    former.removeIf(quorum -> nowMillis >= quorum.untilMillis);
-    former.forEach(quorum -> hosts.addAll(quorum.hosts));
+    formerElectorates.removeIf(electorate -> nowMillis >= electorate.expiresMillis);
+    formerElectorates.forEach(electorate -> hosts.addAll(electorate.hosts));
     return hosts;
   }
 
@@ -79,30 +81,31 @@
     return nowMillis >= nextClaimMillis;
   }
 
-  /** Returns whether a majority granted the claim of the latest round. */
-  public boolean renewedByLastRound() {
-    return renewed;
+  /** Returns whether the required majorities granted the claim of the latest round. */
+  public boolean lastRoundSucceeded() {
+    return lastRoundSucceeded;
   }
 
-  /** Records that a round of claims is being sent; answers to earlier rounds no longer count. */
+  /** Records that a round of claims is being sent; grants of earlier rounds no longer count. */
   public void roundSent(long nowMillis) {
     roundSentMillis = nowMillis;
-    renewed = false;
+    lastRoundSucceeded = false;
     grantedBy.clear();
     int rounds = term.rights(nowMillis).held() ? RENEWALS_PER_TERM : CLAIMS_PER_TERM;
     nextClaimMillis = nowMillis + durationMillis / rounds;
   }
 
   /** Records that {@code host} granted the claim of the round sent at {@code sentMillis}. */
-  public void granted(String host, long sentMillis, long nowMillis) {
+  public void claimGranted(String host, long sentMillis, long nowMillis) {
     if (sentMillis != roundSentMillis) {
       return;
     }
     grantedBy.add(host);
-    former.removeIf(quorum -> nowMillis >= quorum.untilMillis);
-    if (isMajority(granters) && former.stream().allMatch(quorum -> isMajority(quorum.hosts))) {
-      renewed = true;
-      term.accepted(sentMillis, nowMillis);
+    formerElectorates.removeIf(electorate -> nowMillis >= electorate.expiresMillis);
+    if (isMajority(granters)
+        && formerElectorates.stream().allMatch(electorate -> isMajority(electorate.hosts))) {
+      lastRoundSucceeded = true;
+      term.claimAccepted(sentMillis, nowMillis);
     }
   }
 
@@ -112,9 +115,9 @@
   }
 
   @Override
-  public void giveUp() {
+  public void release() {
     term.end();
-    renewed = false;
+    lastRoundSucceeded = false;
     roundSentMillis = Long.MIN_VALUE;
     nextClaimMillis = Long.MIN_VALUE;
   }
@@ -124,5 +127,5 @@
     return !hosts.isEmpty() && 2 * count > hosts.size();
   }
 
-  private record Quorum(Set<String> hosts, long untilMillis) {}
+  private record Electorate(Set<String> hosts, long expiresMillis) {}
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/config/AcceptedRecords.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/config/AcceptedRecords.java
@@ -14,71 +14,74 @@
 import java.util.Optional;
 import java.util.TreeMap;
 import org.jspecify.annotations.Nullable;
-import org.sequoiahub.core.record.ParsedRecord;
 import org.sequoiahub.core.record.PlatformRecord;
+import org.sequoiahub.core.record.RecordParseResult;
 import org.sequoiahub.core.record.RecordParser;
 import org.sequoiahub.core.record.RecordProblem;
 
 /**
- * The records in force on one process: per key the highest acceptable revision ever offered.
+ * Holds the records in force in one process: for each key, the highest valid revision offered so
+ * far.
  *
  * <p>The result does not depend on the order, the source or the number of offers. A configuration
- * service that answers from an older replica, or a peer that lags, can therefore never take a newer
- * record out of force. Deleted records stay as tombstones for the same reason.
+ * service that responds from an older replica, or a peer that lags, can therefore never replace a
+ * newer record. Deleted records are kept as tombstones for the same reason.
  *
- * <p>Not thread-safe: one duty owns it.
+ * <p>Not thread-safe: it is confined to one duty.
  */
 public final class AcceptedRecords {
 
   private static final byte[] NO_VALUE = new byte[0];
 
-  /** Number of buckets that a digest is made of. */
-  public static final int BUCKETS = 256;
+  /** Number of buckets in a digest; a power of two. */
+  public static final int BUCKET_COUNT = 256;
 
   private final RecordParser parser;
-  private final Keep keep;
+  private final Retention retention;
   private final Map<String, Entry> accepted = new TreeMap<>();
   private final Map<String, RefusedRecord> refused = new HashMap<>();
-  private final long[] buckets = new long[BUCKETS];
+  private final long[] bucketHashes = new long[BUCKET_COUNT];
   private long highestRevision;
-  private long live;
+  private long liveCount;
 
   /**
    * Creates an empty set.
    *
-   * @param parser reads values
-   * @param keep what is kept of each record
+   * @param parser parses and validates values
+   * @param retention which form of each record is retained
    */
-  public AcceptedRecords(RecordParser parser, Keep keep) {
+  public AcceptedRecords(RecordParser parser, Retention retention) {
     this.parser = requireNonNull(parser, "parser must not be null");
-    this.keep = requireNonNull(keep, "keep must not be null");
+    this.retention = requireNonNull(retention, "retention must not be null");
   }
 
-  /** What is kept of each record; keeping both would double the memory of the largest state. */
-  public enum Keep {
-    /** The stored value, to pass on; {@link #record} finds nothing. */
+  /**
+   * Form in which records are retained. Retaining both would double the memory of a large state.
+   */
+  public enum Retention {
+    /** Retains the stored value, to forward it; {@link #record} returns empty. */
     VALUES,
-    /** The parsed record, to use; stored records are empty. */
+    /** Retains the parsed record, to use it; stored records have an empty value. */
     PARSED
   }
 
-  /** Offers one record, from the service or from a peer. */
-  public Offered offer(StoredRecord record) {
+  /** Accepts a record from the configuration service or a peer if it is newer and valid. */
+  public OfferResult offer(StoredRecord record) {
     requireNonNull(record, "record must not be null");
     Entry current = accepted.get(record.key());
     if (current != null && current.stored.revision() >= record.revision()) {
-      return new Offered.Older();
+      return new OfferResult.NotNewer();
     }
     if (record.deleted()) {
       accept(record, current, Optional.empty());
-      return new Offered.Accepted();
+      return new OfferResult.Accepted();
     }
     return parser
         .parse(record.key(), record.value())
         .fold(
             valid -> {
               accept(record, current, Optional.of(valid.record()));
-              return new Offered.Accepted();
+              return new OfferResult.Accepted();
             },
             invalid -> refuse(record, invalid));
   }
@@ -101,7 +104,7 @@
 
   /** Returns how many records are in force, tombstones not counted. */
   public long size() {
-    return live;
+    return liveCount;
   }
 
   /** Returns the highest revision in force. */
@@ -109,37 +112,45 @@
     return highestRevision;
   }
 
-  /** Returns the records that were refused and not replaced by an acceptable one since. */
+  /** Returns the refused records that no newer accepted record has replaced. */
   public Collection<RefusedRecord> refused() {
     return Collections.unmodifiableCollection(refused.values());
   }
 
-  /** Returns one hash a bucket over the keys and revisions in force. */
+  /** Returns one hash per bucket over the keys and revisions in force. */
   public long[] digest() {
-    return buckets.clone();
+    return bucketHashes.clone();
   }
 
-  /** Returns the keys and revisions held in the buckets whose hash differs from {@code theirs}. */
-  public Map<String, Long> heldWhereDifferent(long[] theirs) {
-    Map<String, Long> held = new TreeMap<>();
-    if (Arrays.equals(buckets, theirs)) {
-      return held;
+  /**
+   * Returns the keys and revisions in the buckets whose hash differs from the peer's.
+   *
+   * @param peerDigest the peer's {@link #digest}
+   */
+  public Map<String, Long> revisionsInDifferingBuckets(long[] peerDigest) {
+    Map<String, Long> revisions = new TreeMap<>();
+    if (Arrays.equals(bucketHashes, peerDigest)) {
+      return revisions;
     }
     for (Entry entry : accepted.values()) {
-      if (buckets[entry.bucket] != theirs[entry.bucket]) {
-        held.put(entry.stored.key(), entry.stored.revision());
+      if (bucketHashes[entry.bucket] != peerDigest[entry.bucket]) {
+        revisions.put(entry.stored.key(), entry.stored.revision());
       }
     }
-    return held;
+    return revisions;
   }
 
-  /** Returns the keys in {@code theirs} that are held here in no or an older revision. */
-  public List<String> missing(Map<String, Long> theirs) {
+  /**
+   * Returns the keys that are missing here or held in an older revision than the peer's.
+   *
+   * @param peerRevisions the peer's revisions by key
+   */
+  public List<String> missingOrOutdatedKeys(Map<String, Long> peerRevisions) {
     List<String> keys = new ArrayList<>();
-    theirs.forEach(
+    peerRevisions.forEach(
         (key, revision) -> {
-          Entry mine = accepted.get(key);
-          if (mine == null || mine.stored.revision() < revision) {
+          Entry own = accepted.get(key);
+          if (own == null || own.stored.revision() < revision) {
             keys.add(key);
           }
         });
@@ -147,34 +158,37 @@
   }
 
   /**
-   * Returns tombstones for the records that a complete listing no longer has.
+   * Returns tombstones for the records that a complete listing no longer contains.
    *
-   * <p>A listing read at a revision below a record's own says nothing about that record: an older
-   * replica of the service lists what was there before it. Such records stay in force.
+   * <p>Records whose revision is not below the listing's stay in force: an older replica of the
+   * service may return a listing from before they were written, which does not mean that they were
+   * deleted.
    */
-  public List<StoredRecord> deletedBy(Collection<String> listedKeys, long listRevision) {
-    List<StoredRecord> gone = new ArrayList<>();
+  public List<StoredRecord> tombstonesForUnlisted(
+      Collection<String> listedKeys, long listRevision) {
+    List<StoredRecord> tombstones = new ArrayList<>();
     for (Entry entry : accepted.values()) {
-      StoredRecord mine = entry.stored;
-      boolean listed = listedKeys.contains(mine.key());
-      if (!mine.deleted() && !listed && mine.revision() < listRevision) {
-        gone.add(new StoredRecord(mine.key(), listRevision, true, new byte[0]));
+      StoredRecord own = entry.stored;
+      boolean listed = listedKeys.contains(own.key());
+      if (!own.deleted() && !listed && own.revision() < listRevision) {
+        tombstones.add(new StoredRecord(own.key(), listRevision, true, new byte[0]));
       }
     }
-    return gone;
+    return tombstones;
   }
 
   private void accept(
       StoredRecord record, @Nullable Entry previous, Optional<PlatformRecord> parsed) {
     int bucket = previous == null ? bucketOf(record.key()) : previous.bucket;
     if (previous != null) {
-      buckets[bucket] ^= hash(previous.stored);
+      bucketHashes[bucket] ^= hash(previous.stored);
     }
-    buckets[bucket] ^= hash(record);
-    live += (record.deleted() ? 0 : 1) - (previous == null || previous.stored.deleted() ? 0 : 1);
+    bucketHashes[bucket] ^= hash(record);
+    liveCount +=
+        (record.deleted() ? 0 : 1) - (previous == null || previous.stored.deleted() ? 0 : 1);
     accepted.put(
         record.key(),
-        keep == Keep.VALUES
+        retention == Retention.VALUES
             ? new Entry(record, null, bucket)
             : new Entry(withoutValue(record), parsed.orElse(null), bucket));
     highestRevision = Math.max(highestRevision, record.revision());
@@ -184,18 +198,18 @@
     }
   }
 
-  private Offered refuse(StoredRecord record, ParsedRecord.Invalid invalid) {
+  private OfferResult refuse(StoredRecord record, RecordParseResult.Invalid invalid) {
     RefusedRecord earlier = refused.get(record.key());
     if (earlier == null || earlier.revision() < record.revision()) {
       refused.put(
           record.key(), new RefusedRecord(record.key(), record.revision(), invalid.problems()));
     }
-    return new Offered.Refused(invalid.problems());
+    return new OfferResult.Refused(invalid.problems());
   }
 
   private static int bucketOf(String key) {
     return Hashing.murmur3_32_fixed().hashString(key, StandardCharsets.UTF_8).asInt()
-        & (BUCKETS - 1);
+        & (BUCKET_COUNT - 1);
   }
 
   private static long hash(StoredRecord record) {
@@ -208,11 +222,11 @@
   }
 
   /**
-   * A refused record, for operators to see.
+   * A refused record, as reported to operators.
    *
    * @param key the record's key
    * @param revision the refused revision
-   * @param problems why it was refused
+   * @param problems why the record is invalid
    */
   public record RefusedRecord(String key, long revision, List<RecordProblem> problems) {}
 
--- a/sequoia-core/src/main/java/org/sequoiahub/core/fleet/FleetJson.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/fleet/FleetJson.java
@@ -15,7 +15,7 @@
 import org.sequoiahub.core.fleet.Fleet.ServiceUpstream;
 import org.sequoiahub.core.fleet.Fleet.State;
 
-/** Reads the host list's JSON, as docs/PLATFORM.md gives it. */
+/** Parses the host list from JSON in the format that docs/PLATFORM.md defines. */
 public final class FleetJson {
 
   private static final ObjectMapper MAPPER = new ObjectMapper();
@@ -23,48 +23,49 @@
   private FleetJson() {}
 
   /**
-   * Reads a host list.
+   * Parses a host list.
    *
-   * @throws IllegalArgumentException if a field is missing or wrong; the message names it
+   * @throws IllegalArgumentException if {@code json} is not JSON, or if a field is missing or
+   *     invalid; the message names the field
    */
   public static Fleet parse(byte[] json) {
     JsonNode root;
     try {
       root = MAPPER.readTree(json);
     } catch (IOException e) {
-      throw new IllegalArgumentException("the host list must be JSON: " + e.getMessage(), e);
+      throw new IllegalArgumentException("host list must be valid JSON: " + e.getMessage(), e);
     }
     return new Fleet(
-        Item.at(root, "host list").number("revision"),
+        JsonItem.at(root, "host list").number("revision"),
         items(root, "hosts", FleetJson::host, Host::id),
         items(root, "runners", FleetJson::runner, Runner::id),
         items(root, "upstreams", FleetJson::upstream, ServiceUpstream::id));
   }
 
-  private static Host host(Item item) {
+  private static Host host(JsonItem item) {
     return new Host(
         item.text("id"),
         item.text("address"),
         item.text("failure_domain"),
         item.state(),
-        item.positive("entry_port"),
-        item.positive("dispatcher_port"),
-        item.positive("watcher_port"));
+        item.positiveInt("entry_port"),
+        item.positiveInt("dispatcher_port"),
+        item.positiveInt("watcher_port"));
   }
 
-  private static Runner runner(Item item) {
+  private static Runner runner(JsonItem item) {
     return new Runner(
         item.text("id"),
         item.text("address"),
         item.text("failure_domain"),
         item.state(),
         item.text("base_model"),
-        item.positive("slots"),
-        item.positive("batch"),
-        item.flag("checks_fencing"));
+        item.positiveInt("slots"),
+        item.positiveInt("batch"),
+        item.bool("checks_fencing"));
   }
 
-  private static ServiceUpstream upstream(Item item) {
+  private static ServiceUpstream upstream(JsonItem item) {
     return new ServiceUpstream(
         item.text("id"),
         item.text("service"),
@@ -74,50 +75,51 @@
   }
 
   private static <T> List<T> items(
-      JsonNode root, String field, Function<Item, T> read, Function<T, String> id) {
+      JsonNode root, String field, Function<JsonItem, T> parser, Function<T, String> idOf) {
     List<T> items = new ArrayList<>();
     Set<String> ids = new HashSet<>();
     for (JsonNode node : root.path(field)) {
-      T item = read.apply(Item.at(node, field + "[" + items.size() + "]"));
-      if (!ids.add(id.apply(item))) {
-        throw new IllegalArgumentException(field + ": id '" + id.apply(item) + "' is listed twice");
+      T item = parser.apply(JsonItem.at(node, field + "[" + items.size() + "]"));
+      if (!ids.add(idOf.apply(item))) {
+        throw new IllegalArgumentException(
+            field + ": id '" + idOf.apply(item) + "' is listed more than once");
       }
       items.add(item);
     }
     return items;
   }
 
-  private record Item(JsonNode node, String path) {
-    static Item at(JsonNode node, String path) {
-      return new Item(node, path);
+  private record JsonItem(JsonNode node, String path) {
+    static JsonItem at(JsonNode node, String path) {
+      return new JsonItem(node, path);
     }
 
     String text(String field) {
       @Nullable String text = node.path(field).textValue();
       if (text == null || text.isEmpty()) {
-        throw wrong(field, "must be a text");
+        throw invalid(field, "must be a non-empty string");
       }
       return text;
     }
 
     long number(String field) {
       if (!node.path(field).isIntegralNumber()) {
-        throw wrong(field, "must be a whole number");
+        throw invalid(field, "must be an integer");
       }
       return node.path(field).longValue();
     }
 
-    int positive(String field) {
+    int positiveInt(String field) {
       long value = number(field);
       if (value < 1 || value > 1_000_000) {
-        throw wrong(field, "must be from 1 to 1000000");
+        throw invalid(field, "must be from 1 to 1000000");
       }
       return (int) value;
     }
 
-    boolean flag(String field) {
+    boolean bool(String field) {
       if (!node.path(field).isBoolean()) {
-        throw wrong(field, "must be true or false");
+        throw invalid(field, "must be true or false");
       }
       return node.path(field).booleanValue();
     }
@@ -127,12 +129,12 @@
       try {
         return State.valueOf(text.toUpperCase(Locale.ROOT));
       } catch (IllegalArgumentException e) {
-        throw wrong("state", "must be live or leaving");
+        throw invalid("state", "must be live or leaving");
       }
     }
 
-    private IllegalArgumentException wrong(String field, String rule) {
-      return new IllegalArgumentException(path + "." + field + " " + rule);
+    private IllegalArgumentException invalid(String field, String requirement) {
+      return new IllegalArgumentException(path + "." + field + " " + requirement);
     }
   }
 }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/record/FieldReader.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/record/FieldReader.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import org.jspecify.annotations.Nullable;
 
-/** Reads typed fields of one JSON object and collects what is wrong with them. */
+/** Reads typed fields of a JSON object and collects validation problems. */
 final class FieldReader {
 
   private final String key;
@@ -28,58 +28,58 @@
     return problems;
   }
 
-  void problem(String field, String reason) {
+  void addProblem(String field, String reason) {
     problems.add(new RecordProblem(key, path + field, reason));
   }
 
-  /** Returns the field's name, or an empty text after noting a problem. */
+  /** Returns the name in a required field, or an empty string after adding a problem. */
   String name(String field) {
     JsonNode node = object.get(field);
     if (node == null) {
-      problem(field, "is missing");
+      addProblem(field, "is missing");
       return "";
     }
-    return checkedName(field, node);
+    return validName(field, node);
   }
 
-  String name(String field, String absent) {
+  String name(String field, String defaultValue) {
     JsonNode node = object.get(field);
-    return node == null ? absent : checkedName(field, node);
+    return node == null ? defaultValue : validName(field, node);
   }
 
-  int integer(String field, int absent, int min, int max) {
+  int integer(String field, int defaultValue, int min, int max) {
     JsonNode node = object.get(field);
     if (node == null) {
-      return absent;
+      return defaultValue;
     }
     if (!node.canConvertToInt() || !node.isIntegralNumber()) {
-      problem(field, "must be a whole number from " + min + " to " + max);
-      return absent;
+      addProblem(field, "must be an integer from " + min + " to " + max);
+      return defaultValue;
     }
     if (node.intValue() < min || node.intValue() > max) {
-      problem(field, "must be from " + min + " to " + max + ", was " + node.intValue());
-      return absent;
+      addProblem(field, "must be from " + min + " to " + max + ", was " + node.intValue());
+      return defaultValue;
     }
     return node.intValue();
   }
 
-  String oneOf(String field, String absent, List<String> allowed) {
+  String oneOf(String field, String defaultValue, List<String> allowed) {
     JsonNode node = object.get(field);
     if (node == null) {
-      return absent;
+      return defaultValue;
     }
     if (!node.isTextual() || !allowed.contains(node.textValue())) {
-      problem(field, "must be one of " + allowed + ", was " + node);
-      return absent;
+      addProblem(field, "must be one of " + allowed + ", was " + node);
+      return defaultValue;
     }
     return node.textValue();
   }
 
-  /** Returns readers of the objects in an array field; empty after noting a problem. */
+  /** Returns readers of the objects in an array field, or an empty list after adding a problem. */
   List<FieldReader> objects(String field) {
     JsonNode node = object.get(field);
     if (node == null || !node.isArray() || node.isEmpty()) {
-      problem(field, "must be an array of at least one object");
+      addProblem(field, "must be a non-empty array of objects");
       return List.of();
     }
     List<FieldReader> readers = new ArrayList<>();
@@ -94,30 +94,30 @@
     return readers;
   }
 
-  List<String> texts(String field, List<String> absent, List<String> allowed) {
+  List<String> strings(String field, List<String> defaultValue, List<String> allowed) {
     JsonNode node = object.get(field);
     if (node == null) {
-      return absent;
+      return defaultValue;
     }
     if (!node.isArray()) {
-      problem(field, "must be an array of texts");
-      return absent;
+      addProblem(field, "must be an array of strings");
+      return defaultValue;
     }
-    List<String> texts = new ArrayList<>();
+    List<String> strings = new ArrayList<>();
     for (JsonNode item : node) {
       if (item.isTextual() && allowed.contains(item.textValue())) {
-        texts.add(item.textValue());
+        strings.add(item.textValue());
       } else {
-        problem(field, "may hold only " + allowed + ", was " + item);
+        addProblem(field, "may contain only " + allowed + ", was " + item);
       }
     }
-    return texts;
+    return strings;
   }
 
-  private String checkedName(String field, JsonNode node) {
+  private String validName(String field, JsonNode node) {
     @Nullable String text = node.textValue();
-    if (text == null || !Names.isName(text)) {
-      problem(field, "must be a name (" + Names.FORM + "), was " + node);
+    if (text == null || !Names.isValid(text)) {
+      addProblem(field, "must be a valid name (" + Names.FORMAT + "), was " + node);
       return "";
     }
     return text;
--- a/sequoia-core/src/main/java/org/sequoiahub/core/record/ParsedRecord.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/record/RecordParseResult.java
@@ -3,8 +3,8 @@
 import java.util.List;
 import java.util.function.Function;
 
-/** What became of a record's value. */
-public sealed interface ParsedRecord {
+/** Result of parsing a record's value. */
+public sealed interface RecordParseResult {
 
   /**
    * The value is valid.
@@ -12,21 +12,21 @@
    * @param record the typed record
    * @param schema the schema version that the value carries
    */
-  record Valid(PlatformRecord record, int schema) implements ParsedRecord {}
+  record Valid(PlatformRecord record, int schema) implements RecordParseResult {}
 
   /**
-   * The value is not valid.
+   * The value is invalid.
    *
-   * @param problems every problem found, never empty
+   * @param problems all problems found; never empty
    */
-  record Invalid(List<RecordProblem> problems) implements ParsedRecord {
-    /** Copies the list. */
+  record Invalid(List<RecordProblem> problems) implements RecordParseResult {
+    /** Creates the result with an immutable copy of the list. */
     public Invalid {
       problems = List.copyOf(problems);
     }
   }
 
-  /** Applies the function that matches this result. */
+  /** Returns the result of the function that matches the type of this result. */
   default <T> T fold(Function<Valid, T> valid, Function<Invalid, T> invalid) {
     return this instanceof Valid v ? valid.apply(v) : invalid.apply((Invalid) this);
   }
--- a/sequoia-core/src/main/java/org/sequoiahub/core/runner/RunnerController.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/runner/RunnerController.java
@@ -550,7 +550,7 @@
    * owner sent just before its authority ended may be in transit for the order lifetime.
    */
   private long exclusiveSinceMillis(Rights rights) {
-    return rights.soleSinceMillis() + policy.orderLifetimeMillis();
+    return rights.exclusiveSinceMillis() + policy.orderLifetimeMillis();
   }
 
   private void markUsed(AdapterVersion adapter, long nowMillis) {
--- a/sequoia-core/src/test/java/org/sequoiahub/core/authority/AuthorityTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/authority/AuthorityTest.java
@@ -8,22 +8,22 @@
 
 class AuthorityTest {
 
-  private static final long TERM = 1_000;
+  private static final long TERM_MILLIS = 1_000;
 
   @Nested
   class Fenced {
 
-    private final FencedAuthority authority = new FencedAuthority(TERM, 7);
+    private final FencedAuthority authority = new FencedAuthority(TERM_MILLIS, 7);
 
     /**
-     * Symptom: a dispatcher that was paused acts as owner after another has taken over.
+     * Guards against a paused dispatcher that acts as the holder after another has taken over.
      *
-     * <p>Events: it sends a renewal, is paused, and reads the engine's acceptance when it wakes.
-     *
-     * <p>Cause guarded against: counting authority from the answer's arrival, not from the sending.
+     * <p>It sends a renewal, is paused, and reads the engine's acceptance when it resumes. The
+     * failure occurs if authority is counted from the arrival of the response instead of from the
+     * sending of the claim.
      */
     @Test
-    void lateAnswerDoesNotLengthenAuthority() {
+    void lateResponseDoesNotExtendAuthority() {
       authority.claimSent(0);
       authority.claimAccepted(authority.fencingNumber(), 0, 900);
       assertThat(authority.rights(999).held()).isTrue();
@@ -33,19 +33,19 @@
     }
 
     @Test
-    void refusalOfAnOlderNumberSaysNothing() {
+    void refusalOfOlderNumberIsIgnored() {
       long old = authority.fencingNumber();
-      authority.giveUp();
+      authority.release();
       authority.claimAccepted(authority.fencingNumber(), 0, 1);
-      authority.refused(old, Long.MAX_VALUE >> 1, 2);
+      authority.fencingNumberRefused(old, Long.MAX_VALUE >> 1, 2);
       assertThat(authority.rights(3).held()).isTrue();
     }
 
     @Test
-    void twoHoldersNeverChooseTheSameNumber() {
-      FencedAuthority other = new FencedAuthority(TERM, 8);
+    void holdersNeverChooseTheSameNumber() {
+      FencedAuthority other = new FencedAuthority(TERM_MILLIS, 8);
       assertThat(authority.fencingNumber()).isNotEqualTo(other.fencingNumber());
-      other.refused(other.fencingNumber(), authority.fencingNumber(), 0);
+      other.fencingNumberRefused(other.fencingNumber(), authority.fencingNumber(), 0);
       assertThat(other.fencingNumber()).isGreaterThan(authority.fencingNumber());
     }
   }
@@ -53,27 +53,27 @@
   @Nested
   class Leased {
 
-    private final LeasedAuthority authority = new LeasedAuthority(TERM);
+    private final LeasedAuthority authority = new LeasedAuthority(TERM_MILLIS);
 
     @Test
-    void needsMajorityOfTheFormerHostsWhileTheChangeIsYoung() {
-      authority.granters(Set.of("a", "b", "c"), 0);
-      authority.granters(Set.of("a", "x", "y"), 10);
+    void requiresMajorityOfFormerHostsAfterRecentChange() {
+      authority.updateGranters(Set.of("a", "b", "c"), 0);
+      authority.updateGranters(Set.of("a", "x", "y"), 10);
       authority.roundSent(20);
-      authority.granted("x", 20, 21);
-      authority.granted("y", 20, 21);
+      authority.claimGranted("x", 20, 21);
+      authority.claimGranted("y", 20, 21);
       assertThat(authority.rights(22).held()).isFalse();
-      authority.granted("a", 20, 22);
-      authority.granted("b", 20, 22);
+      authority.claimGranted("a", 20, 22);
+      authority.claimGranted("b", 20, 22);
       assertThat(authority.rights(23).held()).isTrue();
     }
 
     @Test
-    void restartedGranterAbstainsUntilWhatItForgotHasExpired() {
-      LeaseGranter granter = new LeaseGranter(500, TERM);
-      assertThat(granter.grant("r", "b", TERM, 1_499)).isFalse();
-      assertThat(granter.grant("r", "b", TERM, 1_500)).isTrue();
-      assertThat(granter.grant("r", "c", TERM, 2_499)).isFalse();
+    void restartedGranterAbstainsUntilEarlierLeasesHaveExpired() {
+      LeaseGranter granter = new LeaseGranter(500, TERM_MILLIS);
+      assertThat(granter.grant("r", "b", TERM_MILLIS, 1_499)).isFalse();
+      assertThat(granter.grant("r", "b", TERM_MILLIS, 1_500)).isTrue();
+      assertThat(granter.grant("r", "c", TERM_MILLIS, 2_499)).isFalse();
     }
   }
 }
--- a/sequoia-core/src/test/java/org/sequoiahub/core/authority/RenewalRoundTest.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/authority/RenewalRoundTest.java
@@ -22,63 +22,62 @@
   }
 
   @Property(tries = 300)
-  void isMoreThanMajorityAndEachHostOnce(
+  void selectsMajorityWithoutDuplicates(
       @ForAll @IntRange(max = 300) int reachable,
-      @ForAll @IntRange(min = 1, max = 300) int electorate,
+      @ForAll @IntRange(min = 1, max = 300) int electorateSize,
       @ForAll @IntRange(max = 1_000_000) int round) {
-    List<Integer> asked = RenewalRound.asked(hosts(reachable), electorate, round);
+    List<Integer> asked = RenewalRound.selectHosts(hosts(reachable), electorateSize, round);
     assertThat(new HashSet<>(asked)).hasSize(asked.size());
     if (asked.size() < reachable) {
-      assertThat(2 * asked.size()).isGreaterThan(electorate);
+      assertThat(2 * asked.size()).isGreaterThan(electorateSize);
     }
   }
 
   @Test
-  void asksAllHostsInTurn() {
+  void successiveRoundsCoverAllHosts() {
     Set<Integer> seen = new HashSet<>();
     for (int round = 0; round < 3; round++) {
-      seen.addAll(RenewalRound.asked(hosts(94), 95, round));
+      seen.addAll(RenewalRound.selectHosts(hosts(94), 95, round));
     }
     assertThat(seen).hasSize(94);
   }
 
   /**
-   * Symptom: a holder in a large fleet loses its leases although nobody wants them, and its runners
-   * get no orders for more than three seconds.
+   * Guards against a holder in a large fleet that loses its leases although no other host claims
+   * them, so that its runners receive no orders for more than three seconds.
    *
-   * <p>Events: claims and grants are lost; a fifth of the hosts dies at once.
-   *
-   * <p>Cause looked for: a renewal that asks few hosts, without asking all once it has failed.
+   * <p>Claims and grants are lost, and a fifth of the hosts die at once. The failure occurs if a
+   * renewal asks a subset of the hosts and the next round does not ask all of them after a failure.
    */
   @Property(tries = 60)
-  void keepsTheLeaseThroughLossAndDeadHosts(@ForAll long seed) {
+  void keepsLeaseDespitePacketLossAndDeadHosts(@ForAll long seed) {
     Random random = new Random(seed);
     int count = 95;
     LeasedAuthority authority = new LeasedAuthority(LEASE_MILLIS);
-    authority.granters(Set.copyOf(names(hosts(count))), 0);
+    authority.updateGranters(Set.copyOf(names(hosts(count))), 0);
     long round = 0;
-    long begun = -1;
+    long firstHeldMillis = -1;
     for (long now = 0; now < 20_000; now += 10) {
       boolean fifthIsDead = now >= 10_000;
       if (authority.claimDue(now)) {
         List<Integer> reachable = hosts(count);
         List<Integer> asked =
-            authority.renewedByLastRound()
-                ? RenewalRound.asked(reachable, count, round++)
+            authority.lastRoundSucceeded()
+                ? RenewalRound.selectHosts(reachable, count, round++)
                 : reachable;
         authority.roundSent(now);
         for (int host : asked) {
           boolean dead = fifthIsDead && host % 5 == 0;
           if (!dead && random.nextDouble() > 0.04) {
-            authority.granted("h" + host, now, now + ROUND_TRIP_MILLIS);
+            authority.claimGranted("h" + host, now, now + ROUND_TRIP_MILLIS);
           }
         }
       }
       boolean held = authority.rights(now + ROUND_TRIP_MILLIS).held();
-      begun = held && begun < 0 ? now : begun;
-      assertThat(begun < 0 || held).isTrue();
+      firstHeldMillis = held && firstHeldMillis < 0 ? now : firstHeldMillis;
+      assertThat(firstHeldMillis < 0 || held).isTrue();
     }
-    assertThat(begun).isAtLeast(0);
+    assertThat(firstHeldMillis).isAtLeast(0);
   }
 
   private static List<String> names(List<Integer> hosts) {
--- a/sequoia-core/src/test/java/org/sequoiahub/core/config/WatchersActions.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/config/WatchersActions.java
@@ -20,12 +20,12 @@
 import net.jqwik.api.state.Transformer;
 import org.sequoiahub.core.record.DefaultRecordParser;
 
-/** The events that the property interleaves, and the world they happen in. */
+/** Events that the watcher properties interleave, and the simulation that they act on. */
 public final class WatchersActions {
 
   private WatchersActions() {}
 
-  /** Returns chains of events. */
+  /** Returns random chains of events. */
   public static ActionChainArbitrary<?> chains() {
     return ActionChain.startWith(Watchers::new)
         .withAction(4, event("write", 11, Watchers::write))
@@ -40,16 +40,16 @@
         .withMaxTransformations(80);
   }
 
-  /** Ends the faults and checks what must hold then. */
-  public static void finish(Object world) {
-    ((Watchers) world).spreadAndCompare();
+  /** Ends the faults and verifies that all watchers converge. */
+  public static void finish(Object simulation) {
+    ((Watchers) simulation).convergeAndCompare();
   }
 
-  private static Action<Watchers> event(String label, int max, ObjIntConsumer<Watchers> happen) {
+  private static Action<Watchers> event(String label, int max, ObjIntConsumer<Watchers> action) {
     return new Event(
         Arbitraries.integers()
             .between(0, max)
-            .map(n -> Transformer.mutate(label + "(" + n + ")", w -> happen.accept(w, n))));
+            .map(n -> Transformer.mutate(label + "(" + n + ")", w -> action.accept(w, n))));
   }
 
   private record Event(Arbitrary<Transformer<Watchers>> events)
@@ -60,17 +60,18 @@
     }
   }
 
-  /** Three watchers and a service that keeps every replica that it ever had. */
+  /** Simulates three watchers and a service that keeps every earlier replica of its records. */
   static final class Watchers {
     private static final int COUNT = 3;
     private final List<AcceptedRecords> watchers = new ArrayList<>();
-    private final List<Map<String, Long>> seen = new ArrayList<>();
+    private final List<Map<String, Long>> highestSeen = new ArrayList<>();
     private final List<Map<String, StoredRecord>> replicas = new ArrayList<>();
 
     Watchers() {
       for (int i = 0; i < COUNT; i++) {
-        watchers.add(new AcceptedRecords(new DefaultRecordParser(), AcceptedRecords.Keep.VALUES));
-        seen.add(new HashMap<>());
+        watchers.add(
+            new AcceptedRecords(new DefaultRecordParser(), AcceptedRecords.Retention.VALUES));
+        highestSeen.add(new HashMap<>());
       }
       replicas.add(Map.of());
     }
@@ -109,7 +110,7 @@
                 .filter(r -> !r.deleted())
                 .map(StoredRecord::key)
                 .collect(Collectors.toSet());
-        target.deletedBy(listed, at).forEach(target::offer);
+        target.tombstonesForUnlisted(listed, at).forEach(target::offer);
       }
       check();
     }
@@ -117,22 +118,24 @@
     void exchange(int n) {
       int from = n % COUNT;
       int to = (from + 1 + n / COUNT) % COUNT;
-      Map<String, Long> held = watchers.get(from).heldWhereDifferent(watchers.get(to).digest());
-      for (String key : watchers.get(to).missing(held)) {
+      Map<String, Long> held =
+          watchers.get(from).revisionsInDifferingBuckets(watchers.get(to).digest());
+      for (String key : watchers.get(to).missingOrOutdatedKeys(held)) {
         watchers.get(from).stored(key).ifPresent(watchers.get(to)::offer);
       }
       check();
     }
 
     void restart(int n) {
-      watchers.set(n, new AcceptedRecords(new DefaultRecordParser(), AcceptedRecords.Keep.VALUES));
-      seen.get(n).clear();
+      watchers.set(
+          n, new AcceptedRecords(new DefaultRecordParser(), AcceptedRecords.Retention.VALUES));
+      highestSeen.get(n).clear();
     }
 
-    /** After the exchanges that a few seconds allow, every watcher holds what any of them held. */
-    void spreadAndCompare() {
-      Map<String, Long> best = new TreeMap<>();
-      each(w -> w.all().forEach(r -> best.merge(r.key(), r.revision(), Math::max)));
+    /** Runs the exchanges of a few seconds; then every watcher must hold the newest revisions. */
+    void convergeAndCompare() {
+      Map<String, Long> newestRevisions = new TreeMap<>();
+      each(w -> w.all().forEach(r -> newestRevisions.merge(r.key(), r.revision(), Math::max)));
       for (int round = 0; round < 2; round++) {
         for (int n = 0; n < 2 * COUNT; n++) {
           exchange(n);
@@ -142,7 +145,9 @@
           w -> {
             Map<String, Long> held = new TreeMap<>();
             w.all().forEach(r -> held.put(r.key(), r.revision()));
-            assertWithMessage("in force everywhere").that(held).isEqualTo(best);
+            assertWithMessage("records in force on each watcher")
+                .that(held)
+                .isEqualTo(newestRevisions);
           });
     }
 
@@ -153,14 +158,14 @@
     private void check() {
       for (int i = 0; i < COUNT; i++) {
         for (StoredRecord record : watchers.get(i).all()) {
-          long before = seen.get(i).getOrDefault(record.key(), 0L);
-          assertWithMessage("watcher %s went back on %s", i, record.key())
+          long before = highestSeen.get(i).getOrDefault(record.key(), 0L);
+          assertWithMessage("watcher %s reverted to an older revision of %s", i, record.key())
               .that(record.revision())
               .isAtLeast(before);
-          seen.get(i).put(record.key(), record.revision());
+          highestSeen.get(i).put(record.key(), record.revision());
         }
-        for (String key : seen.get(i).keySet()) {
-          assertWithMessage("watcher %s forgot %s", i, key)
+        for (String key : highestSeen.get(i).keySet()) {
+          assertWithMessage("watcher %s lost %s", i, key)
               .that(watchers.get(i).stored(key).isPresent())
               .isTrue();
         }
--- a/sequoia-core/src/test/java/org/sequoiahub/core/operation/OperationsActions.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/operation/OperationsActions.java
@@ -18,43 +18,45 @@
 import net.jqwik.api.state.Transformer;
 import org.sequoiahub.core.verdict.Verdict;
 
-/** The events that the property interleaves, and the world they happen in. */
+/** Events that the operation properties interleave, and the simulation that they act on. */
 public final class OperationsActions {
 
   private OperationsActions() {}
 
-  /** Returns chains of events. */
+  /** Returns random chains of events. */
   public static ActionChainArbitrary<?> chains() {
-    return ActionChain.startWith(Fleet::new)
-        .withAction(3, event("mint", 1, Fleet::mint))
-        .withAction(8, event("call", 200, Fleet::call))
-        .withAction(4, event("runPending", 20, Fleet::runPending))
-        .withAction(4, event("answer", 20, Fleet::answer))
-        .withAction(2, event("loseAnswer", 20, Fleet::loseAnswer))
-        .withAction(2, event("refusedBeforeSent", 20, Fleet::refusedBeforeSent))
-        .withAction(1, event("restart", 1, Fleet::restart))
-        .withAction(2, event("pass", 900, (f, n) -> f.now += n))
+    return ActionChain.startWith(Simulation::new)
+        .withAction(3, event("mint", 1, Simulation::mint))
+        .withAction(8, event("call", 200, Simulation::call))
+        .withAction(4, event("runPending", 20, Simulation::runPending))
+        .withAction(4, event("answer", 20, Simulation::answer))
+        .withAction(2, event("loseAnswer", 20, Simulation::loseAnswer))
+        .withAction(2, event("refusedBeforeSent", 20, Simulation::refusedBeforeSent))
+        .withAction(1, event("restart", 1, Simulation::restart))
+        .withAction(2, event("pass", 900, (s, n) -> s.nowMillis += n))
         .withMaxTransformations(100);
   }
 
-  private static Action<Fleet> event(String label, int max, ObjIntConsumer<Fleet> happen) {
+  private static Action<Simulation> event(
+      String label, int max, ObjIntConsumer<Simulation> action) {
     return new Event(
         Arbitraries.integers()
             .between(0, max)
-            .map(n -> Transformer.mutate(label + "(" + n + ")", f -> happen.accept(f, n))));
+            .map(n -> Transformer.mutate(label + "(" + n + ")", s -> action.accept(s, n))));
   }
 
-  private record Event(Arbitrary<Transformer<Fleet>> events) implements Action.Independent<Fleet> {
+  private record Event(Arbitrary<Transformer<Simulation>> events)
+      implements Action.Independent<Simulation> {
     @Override
-    public Arbitrary<Transformer<Fleet>> transformer() {
+    public Arbitrary<Transformer<Simulation>> transformer() {
       return events;
     }
   }
 
-  /** Two dispatchers, the upstream that counts, and calls that are decided but not yet sent. */
-  static final class Fleet {
-    private static final int LIMIT = 6;
-    private static final long LIFETIME = 1_000;
+  /** Simulates two dispatchers, calls not yet sent, and an upstream that counts the runs. */
+  static final class Simulation {
+    private static final int MAX_OPERATIONS = 6;
+    private static final long LIFETIME_MILLIS = 1_000;
     private final List<OperationTable<String>> tables = new ArrayList<>();
     private final List<OperationId> minted = new ArrayList<>();
     private final List<Decided> pending = new ArrayList<>();
@@ -62,44 +64,44 @@
     private final Map<OperationId, Integer> runs = new HashMap<>();
     private final Set<OperationId> answered = new HashSet<>();
     private long incarnations;
-    private long now;
+    private long nowMillis;
 
-    Fleet() {
+    Simulation() {
       tables.add(table(0));
       tables.add(table(1));
     }
 
     void mint(int dispatcher) {
-      minted.addAll(tables.get(dispatcher).mint(2, now));
+      minted.addAll(tables.get(dispatcher).mint(2, nowMillis));
     }
 
-    /** A caller's call reaches either dispatcher; the wrong one must not run it. */
+    /** Delivers a call to either dispatcher; only the one that minted the id may run it. */
     void call(int n) {
       if (minted.isEmpty()) {
         return;
       }
       OperationId id = minted.get(n % minted.size());
       OperationTable<String> table = tables.get(n / 100 % 2);
-      Begin<String> begin = table.begin(id, now);
-      if (begin instanceof Begin.Run<String>) {
+      BeginDecision<String> begin = table.begin(id, nowMillis);
+      if (begin instanceof BeginDecision.Run<String>) {
         pending.add(new Decided(table, id));
-      } else if (begin instanceof Begin.Refuse<String> refuse
+      } else if (begin instanceof BeginDecision.Refuse<String> refuse
           && refuse.verdict() instanceof Verdict.NotRun) {
-        assertWithMessage("told not-run although it ran: %s", id)
+        assertWithMessage("refused as not run although it ran: %s", id)
             .that(runs.getOrDefault(id, 0))
             .isEqualTo(0);
-      } else if (begin instanceof Begin.Repeat<String> repeat) {
-        assertWithMessage("another operation's answer").that(repeat.answer()).isEqualTo("" + id);
+      } else if (begin instanceof BeginDecision.Replay<String> repeat) {
+        assertWithMessage("response of another operation").that(repeat.answer()).isEqualTo("" + id);
       }
     }
 
-    /** The upstream runs a call, however long after the decision. */
+    /** Lets the upstream run a pending call, at any time after the decision. */
     void runPending(int n) {
       take(pending, n)
           .ifPresent(
               decided -> {
                 int times = runs.merge(decided.id, 1, Integer::sum);
-                assertWithMessage("runs of %s", decided.id).that(times).isEqualTo(1);
+                assertWithMessage("number of runs of %s", decided.id).that(times).isEqualTo(1);
                 sent.add(decided);
               });
     }
@@ -108,13 +110,13 @@
       take(sent, n)
           .ifPresent(
               decided -> {
-                decided.table.answered(decided.id, "" + decided.id);
+                decided.table.completed(decided.id, "" + decided.id);
                 answered.add(decided.id);
               });
     }
 
     void loseAnswer(int n) {
-      take(sent, n).ifPresent(decided -> decided.table.unknown(decided.id));
+      take(sent, n).ifPresent(decided -> decided.table.outcomeUnknown(decided.id));
     }
 
     void refusedBeforeSent(int n) {
@@ -126,11 +128,11 @@
     }
 
     private OperationTable<String> table(int host) {
-      return new OperationTable<>("host-" + host, ++incarnations, LIFETIME, LIMIT);
+      return new OperationTable<>("host-" + host, ++incarnations, LIFETIME_MILLIS, MAX_OPERATIONS);
     }
 
-    private static Optional<Decided> take(List<Decided> from, int n) {
-      return from.isEmpty() ? Optional.empty() : Optional.of(from.remove(n % from.size()));
+    private static Optional<Decided> take(List<Decided> calls, int n) {
+      return calls.isEmpty() ? Optional.empty() : Optional.of(calls.remove(n % calls.size()));
     }
 
     private record Decided(OperationTable<String> table, OperationId id) {}
--- a/sequoia-core/src/test/java/org/sequoiahub/core/runner/RunnerWorld.java
+++ b/sequoia-core/src/test/java/org/sequoiahub/core/runner/RunnerWorld.java
@@ -304,7 +304,7 @@
     }
 
     void handOver() {
-      authority.giveUp();
+      authority.release();
       requestReport();
       controller.rejectQueued("moved", "another dispatcher owns the runner", 1);
       performActions();
@@ -393,7 +393,7 @@
           receiving(
               () -> {
                 if (fencedOff[0] && authority instanceof FencedAuthority own) {
-                  own.refused(number, engine.highestFencing(), now);
+                  own.fencingNumberRefused(number, engine.highestFencing(), now);
                 }
                 orderAnswered(adapter, load, result[0]);
               }));
@@ -425,11 +425,11 @@
                   if (passed[0]) {
                     own.claimAccepted(number, sent, now);
                   } else {
-                    own.refused(number, highest[0], now);
+                    own.fencingNumberRefused(number, highest[0], now);
                   }
                 }));
       } else if (authority instanceof LeasedAuthority own) {
-        own.granters(Set.of("g0", "g1", "g2"), now);
+        own.updateGranters(Set.of("g0", "g1", "g2"), now);
         own.roundSent(now);
         for (int i = 0; i < GRANTERS; i++) {
           int granter = i;
@@ -440,7 +440,7 @@
               receiving(
                   () -> {
                     if (granted[0]) {
-                      own.granted("g" + granter, sent, now);
+                      own.claimGranted("g" + granter, sent, now);
                     }
                   }));
         }
--- a/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/Dispatcher.java
+++ b/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/Dispatcher.java
@@ -13,8 +13,8 @@
 import org.sequoiahub.platform.HttpClients;
 import org.sequoiahub.platform.ServiceClient;
 import org.sequoiahub.runtime.admin.AdminServer;
+import org.sequoiahub.runtime.duty.DeferredInbox;
 import org.sequoiahub.runtime.duty.Duty;
-import org.sequoiahub.runtime.duty.Inbox;
 import org.sequoiahub.runtime.duty.MonotonicClock;
 import org.sequoiahub.runtime.log.EventLog;
 import org.sequoiahub.runtime.settings.Endpoint;
@@ -28,11 +28,11 @@
 import org.sequoiahub.wire.WireServer;
 import org.sequoiahub.wire.WireThreads;
 
-/** A running dispatcher: its thread, ports and clients. */
+/** A running dispatcher, which owns its thread, ports and clients and closes them. */
 public final class Dispatcher implements AutoCloseable {
 
-  private static final int RING = 65_536;
-  private static final long TICK_MILLIS = 25;
+  private static final int EVENT_QUEUE_CAPACITY = 65_536;
+  private static final long TICK_INTERVAL_MILLIS = 25;
 
   private final DispatcherSettings settings;
   private final EventLog log;
@@ -48,31 +48,31 @@
     this.settings = settings;
     this.log = new EventLog("dispatcher", settings.getHostId());
     final MetricRegistry metrics = new MetricRegistry();
-    this.network = WireThreads.one("wire");
+    this.network = WireThreads.singleThread("wire");
     this.http = HttpClients.start();
     this.clients = new WireClients(network, settings.getSilenceMs());
     this.tracing =
         Tracing.create(settings.getTraces(), settings.getOtlpEndpoint(), "dispatcher", log);
-    Inbox<DispatcherEvent> events = new Inbox<>();
-    DispatcherDuty state = state(metrics, events);
+    DeferredInbox<DispatcherEvent> events = new DeferredInbox<>();
+    DispatcherDuty state = createDuty(metrics, events);
     ViewFeed feed =
         new ViewFeed(
-            clients.to(Endpoint.of(settings.getWatcher())),
+            clients.clientOf(Endpoint.of(settings.getWatcher())),
             true,
-            update -> events.accept(new DispatcherEvent.Viewed(update)));
+            update -> events.accept(new DispatcherEvent.ViewUpdated(update)));
     this.duty =
         new Duty<>(
             "dispatcher",
-            RING,
-            () -> TICK_MILLIS,
+            EVENT_QUEUE_CAPACITY,
+            () -> TICK_INTERVAL_MILLIS,
             state::handle,
             now -> {
               feed.tick(now);
               state.tick(now);
             },
-            state::failed,
+            state::logFailure,
             MonotonicClock.SYSTEM);
-    events.connectTo(duty);
+    events.forwardTo(duty);
     this.admin =
         new AdminServer(
             settings.getBindAddress(),
@@ -86,7 +86,7 @@
             settings.getBindAddress(),
             settings.getPort(),
             settings.getSilenceMs(),
-            new Inbound());
+            new InboundHandler());
   }
 
   /**
@@ -103,7 +103,7 @@
     return dispatcher;
   }
 
-  /** Stops admitting, hands every runner over, finishes what runs, then stops. */
+  /** Stops admitting requests, releases the runners, waits for running requests, then stops. */
   @Override
   public void close() throws Exception {
     CountDownLatch drained = new CountDownLatch(1);
@@ -122,7 +122,7 @@
     log.info("stopped");
   }
 
-  private DispatcherDuty state(MetricRegistry metrics, Consumer<DispatcherEvent> events) {
+  private DispatcherDuty createDuty(MetricRegistry metrics, Consumer<DispatcherEvent> events) {
     long incarnation = new SecureRandom().nextLong();
     long now = MonotonicClock.SYSTEM.nowMillis();
     String holder = settings.getHostId() + "/" + Long.toHexString(incarnation);
@@ -150,15 +150,15 @@
         log);
   }
 
-  private final class Inbound implements WireServer.Handler {
+  private final class InboundHandler implements WireServer.Handler {
     @Override
-    public void message(WireConnection connection, Envelope message) {
-      duty.put(new DispatcherEvent.Received(connection, message));
+    public void onMessage(WireConnection connection, Envelope message) {
+      duty.put(new DispatcherEvent.MessageReceived(connection, message));
     }
 
     @Override
-    public void closed(WireConnection connection) {
-      duty.put(new DispatcherEvent.Closed(connection));
+    public void onClosed(WireConnection connection) {
+      duty.put(new DispatcherEvent.ConnectionClosed(connection));
     }
   }
 }
--- a/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/Job.java
+++ b/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/Job.java
@@ -10,13 +10,14 @@
 import org.sequoiahub.schema.wire.InferenceCall;
 import org.sequoiahub.wire.WireConnection;
 
-/** One inference request at this dispatcher, from its admission to its outcome. */
+/** An inference request at this dispatcher, from its arrival to its outcome. */
 final class Job {
 
-  private static final int CHUNKS_AHEAD = 1_024;
+  /** Chunks kept while an earlier one is missing. */
+  private static final int MAX_BUFFERED_CHUNKS = 1_024;
 
   private final InferenceCall request;
-  private final RunnerRequest asked;
+  private final RunnerRequest runnerRequest;
   private final Span span;
   private final boolean resident;
   private WireConnection connection;
@@ -24,44 +25,44 @@
   private ChunkSequencer sequencer;
   private @Nullable EngineStream stream;
   private int streamNumber;
-  private int resumes;
+  private int consecutiveResumes;
   private boolean started;
   private boolean cancelled;
-  private long lastHeardMillis;
+  private long lastReceivedMillis;
   private long orphanedMillis = Long.MAX_VALUE;
 
   Job(
       InferenceCall request,
-      RunnerRequest asked,
+      RunnerRequest runnerRequest,
       Span span,
       boolean resident,
       WireConnection connection,
       long call,
       long nowMillis) {
     this.request = request;
-    this.asked = asked;
+    this.runnerRequest = runnerRequest;
     this.span = span;
     this.resident = resident;
     this.connection = connection;
     this.call = call;
-    this.sequencer = new ChunkSequencer(request.getResumeAfter(), CHUNKS_AHEAD);
-    this.lastHeardMillis = nowMillis;
+    this.sequencer = new ChunkSequencer(request.getResumeAfter(), MAX_BUFFERED_CHUNKS);
+    this.lastReceivedMillis = nowMillis;
   }
 
   InferenceCall request() {
     return request;
   }
 
-  RunnerRequest asked() {
-    return asked;
+  RunnerRequest runnerRequest() {
+    return runnerRequest;
   }
 
   AdapterVersion adapter() {
-    return asked.adapter();
+    return runnerRequest.adapter();
   }
 
   String id() {
-    return asked.id();
+    return runnerRequest.id();
   }
 
   Span span() {
@@ -80,36 +81,37 @@
     connection.send(call, message);
   }
 
-  boolean isOn(WireConnection other) {
+  boolean usesConnection(WireConnection other) {
     return connection.equals(other);
   }
 
-  boolean isCall(WireConnection other, long number) {
+  boolean respondsTo(WireConnection other, long number) {
     return connection.equals(other) && call == number;
   }
 
-  /** Sends the rest of the answer to another call, from after chunk {@code after}. */
-  void moveTo(WireConnection other, long number, long after) {
+  /** Redirects the rest of the response, after chunk {@code after}, to another call. */
+  void redirectTo(WireConnection other, long number, long after) {
     connection = other;
     call = number;
-    sequencer = new ChunkSequencer(after, CHUNKS_AHEAD);
+    sequencer = new ChunkSequencer(after, MAX_BUFFERED_CHUNKS);
     orphanedMillis = Long.MAX_VALUE;
   }
 
   /**
-   * Returns the number of the stream that is about to be opened; older streams' events are void.
+   * Abandons the current stream and returns the number of the next one. Events of streams with
+   * another number are to be ignored.
    */
-  int nextStream(long nowMillis) {
+  int nextStreamNumber(long nowMillis) {
     abandonStream();
-    lastHeardMillis = nowMillis;
+    lastReceivedMillis = nowMillis;
     return ++streamNumber;
   }
 
-  void opened(EngineStream opened) {
+  void streamOpened(EngineStream opened) {
     stream = opened;
   }
 
-  boolean isCurrent(int number) {
+  boolean isCurrentStream(int number) {
     return streamNumber == number;
   }
 
@@ -120,24 +122,25 @@
     }
   }
 
-  int countResume() {
-    return ++resumes;
+  /** Counts a resume and returns how many were made since the last chunk. */
+  int incrementResumes() {
+    return ++consecutiveResumes;
   }
 
-  void heard(long nowMillis) {
-    lastHeardMillis = nowMillis;
-    resumes = 0;
+  void chunkReceived(long nowMillis) {
+    lastReceivedMillis = nowMillis;
+    consecutiveResumes = 0;
   }
 
   long silentMillis(long nowMillis) {
-    return nowMillis - lastHeardMillis;
+    return nowMillis - lastReceivedMillis;
   }
 
   boolean isStarted() {
     return started;
   }
 
-  void start() {
+  void markStarted() {
     started = true;
   }
 
@@ -145,11 +148,11 @@
     return cancelled;
   }
 
-  void cancel() {
+  void markCancelled() {
     cancelled = true;
   }
 
-  void orphaned(long nowMillis) {
+  void markOrphaned(long nowMillis) {
     orphanedMillis = nowMillis;
   }
 
--- a/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/JobScheduler.java
+++ b/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/JobScheduler.java
@@ -34,12 +34,12 @@
 import org.sequoiahub.schema.wire.Started;
 import org.sequoiahub.wire.WireConnection;
 
-/** The inference requests at this dispatcher and the streams of their answers. */
-final class JobScheduler implements OwnedRunnerController.Requests {
+/** Runs the inference requests at this dispatcher and relays their response streams. */
+final class JobScheduler implements OwnedRunnerController.RequestHandler {
 
   private static final int MAX_RESUMES = 5;
   private static final long CANCEL_TIMEOUT_MILLIS = 2_000;
-  private static final long ORPHAN_MILLIS = 5_000;
+  private static final long ORPHAN_TIMEOUT_MILLIS = 5_000;
   private static final long LIMIT_RETRY_AFTER_MILLIS = 500;
   private static final int NOT_FOUND = 404;
 
@@ -51,9 +51,9 @@
   private final EventLog log;
   private final Map<String, Job> jobs = new HashMap<>();
   private final Map<String, Integer> inFlightByAdapter = new HashMap<>();
-  private final Counter whole;
+  private final Counter completed;
   private final Counter notRun;
-  private final Counter notWhole;
+  private final Counter incomplete;
   private final Counter resumes;
   private final Counter wrongAdapter;
   private final Counter staleEvents;
@@ -74,9 +74,9 @@
     this.events = events;
     this.tracing = tracing;
     this.log = log;
-    this.whole = metrics.counter("requests.whole");
+    this.completed = metrics.counter("requests.whole");
     this.notRun = metrics.counter("requests.not_run");
-    this.notWhole = metrics.counter("requests.not_whole");
+    this.incomplete = metrics.counter("requests.not_whole");
     this.resumes = metrics.counter("streams.resumed");
     this.wrongAdapter = metrics.counter("answers.wrong_adapter");
     this.staleEvents = metrics.counter("streams.stale_events");
@@ -86,8 +86,8 @@
     fleet = next;
   }
 
-  /** Sets the time that the event at hand is handled at. */
-  void now(long millis) {
+  /** Sets the time at which the current event is handled. */
+  void setNowMillis(long millis) {
     nowMillis = millis;
   }
 
@@ -95,36 +95,37 @@
     return jobs.size();
   }
 
-  void received(WireConnection connection, long call, InferenceCall message) {
+  void handleInferenceCall(WireConnection connection, long call, InferenceCall message) {
     if (message.getResume()) {
       resume(connection, call, message);
       return;
     }
     AdapterVersion adapter = new AdapterVersion(message.getAdapter(), message.getVersion());
-    RunnerRequest asked = asked(message, adapter);
-    Optional<NotRun> limit = overLimit(adapter, message.getMaxInFlight());
+    RunnerRequest runnerRequest = toRunnerRequest(message, adapter);
+    Optional<NotRun> limit = checkAdapterLimit(adapter, message.getMaxInFlight());
     if (limit.isPresent()) {
       refuseCall(connection, call, limit.get(), message.getRunner());
       return;
     }
     Span span = tracing.start("dispatcher.request", SpanKind.SERVER, message.getTraceparent());
     span.setAttribute("adapter", adapter.exactName()).setAttribute("runner", message.getRunner());
-    OwnedRunner known = runners.owned(message.getRunner());
-    boolean resident = known != null && known.controller().isReady(adapter);
-    // The job must be known before it is offered: the offer may start it at once.
-    Job job = new Job(message, asked, span, resident, connection, call, nowMillis);
-    if (jobs.putIfAbsent(asked.id(), job) != null) {
+    OwnedRunner owner = runners.owned(message.getRunner());
+    boolean resident = owner != null && owner.controller().isReady(adapter);
+    // Registered before the offer, which may start the request immediately.
+    Job job = new Job(message, runnerRequest, span, resident, connection, call, nowMillis);
+    if (jobs.putIfAbsent(runnerRequest.id(), job) != null) {
       span.end();
       refuseCall(
           connection,
           call,
-          new NotRun("duplicate-request", "this id is here already", 0),
+          new NotRun(
+              "duplicate-request", "a request with this id is already in progress on this host", 0),
           message.getRunner());
       return;
     }
     inFlightByAdapter.merge(adapter.adapter(), 1, Integer::sum);
     Admission admission =
-        runners.offer(message.getRunner(), asked, message.getFallback(), nowMillis);
+        runners.offer(message.getRunner(), runnerRequest, message.getFallback(), nowMillis);
     if (admission instanceof Admission.Rejected refused) {
       finish(job, Outcomes.of(refused.verdict()));
     } else if (admission instanceof Admission.Admitted admitted && jobs.containsKey(job.id())) {
@@ -138,16 +139,19 @@
     }
   }
 
-  /** The caller went away or its deadline passed. */
-  void cancelled(WireConnection connection, long call) {
-    find(connection, call).ifPresent(this::cancel);
+  /** Cancels the request of a call, whose caller disconnected or whose deadline passed. */
+  void handleCancel(WireConnection connection, long call) {
+    findJob(connection, call).ifPresent(this::cancel);
   }
 
-  /** An entry's connection is gone: its jobs wait a while to be resumed on another one. */
-  void closed(WireConnection connection) {
+  /**
+   * Marks the jobs of a closed connection as orphaned. They are cancelled unless they are resumed
+   * on another connection within {@link #ORPHAN_TIMEOUT_MILLIS}.
+   */
+  void connectionClosed(WireConnection connection) {
     for (Job job : jobs.values()) {
-      if (job.isOn(connection)) {
-        job.orphaned(nowMillis);
+      if (job.usesConnection(connection)) {
+        job.markOrphaned(nowMillis);
       }
     }
   }
@@ -162,10 +166,10 @@
       }
       return;
     }
-    job.start();
+    job.markStarted();
     job.send(Envelope.newBuilder().setStarted(Started.newBuilder().setRunner(runner.id())));
-    int number = job.nextStream(nowMillis);
-    job.opened(
+    int streamNumber = job.nextStreamNumber(nowMillis);
+    job.streamOpened(
         engines.start(
             runner.address(),
             job.request().getPath(),
@@ -174,7 +178,7 @@
             job.request().getInteractive(),
             fencingNumber,
             tracing.traceparent(job.span()),
-            new StreamListener(job.id(), number)));
+            new StreamListener(job.id(), streamNumber)));
   }
 
   @Override
@@ -194,8 +198,8 @@
         confirmed -> events.accept(new DispatcherEvent.CancelAnswered(request.id(), confirmed)));
   }
 
-  void chunkCame(DispatcherEvent.ChunkCame event) {
-    Job job = current(event.request(), event.stream());
+  void chunkReceived(DispatcherEvent.ChunkReceived event) {
+    Job job = findJobOfCurrentStream(event.request(), event.stream());
     if (job == null) {
       return;
     }
@@ -209,13 +213,14 @@
           job.adapter().exactName(),
           "answered",
           event.model());
-      endWithoutMarker(job);
+      abandonRunning(job);
       finish(
           job,
-          Outcomes.ranButFailed("wrong-adapter", "the engine answered as '" + event.model() + "'"));
+          Outcomes.ranButFailed(
+              "wrong-adapter", "the engine answered with model '" + event.model() + "'"));
       return;
     }
-    job.heard(nowMillis);
+    job.chunkReceived(nowMillis);
     long sequence = job.sequencer().delivered();
     for (byte[] data : job.sequencer().accept(event.sequence(), event.data())) {
       Chunk chunk =
@@ -224,8 +229,8 @@
     }
   }
 
-  void endCame(DispatcherEvent.EndCame event) {
-    Job job = current(event.request(), event.stream());
+  void endReceived(DispatcherEvent.EndReceived event) {
+    Job job = findJobOfCurrentStream(event.request(), event.stream());
     if (job == null) {
       return;
     }
@@ -235,17 +240,19 @@
       return;
     }
     withRunner(job, owner -> owner.controller().requestEnded(job.id(), nowMillis));
-    finish(job, Outcomes.whole(event.chunks()));
+    finish(job, Outcomes.complete(event.chunks()));
   }
 
   void startRefused(DispatcherEvent.StartRefused event) {
-    Job job = current(event.request(), event.stream());
+    Job job = findJobOfCurrentStream(event.request(), event.stream());
     if (job == null) {
       return;
     }
     withRunner(job, owner -> owner.controller().requestEnded(job.id(), nowMillis));
-    if (job.countResume() > 1 || job.request().getResume() || job.sequencer().delivered() > 0) {
-      // A refused resume: the engine no longer knows the request, for example after a restart.
+    if (job.incrementResumes() > 1
+        || job.request().getResume()
+        || job.sequencer().delivered() > 0) {
+      // A refused resume: the engine has lost the request, for example after a restart.
       finish(job, Outcomes.of(new MayHaveRun("engine-lost-request", event.message())));
     } else {
       String reason = event.status() == NOT_FOUND ? "adapter-not-loaded" : "engine-refused";
@@ -253,10 +260,10 @@
     }
   }
 
-  void streamBroke(DispatcherEvent.StreamBroke event) {
-    Job job = current(event.request(), event.stream());
+  void streamFailed(DispatcherEvent.StreamFailed event) {
+    Job job = findJobOfCurrentStream(event.request(), event.stream());
     if (job != null) {
-      resumeStream(job, event.why());
+      resumeStream(job, event.reason());
     }
   }
 
@@ -269,8 +276,11 @@
       withRunner(job, owner -> owner.controller().requestEnded(job.id(), nowMillis));
       finish(job, Outcomes.ranButFailed("cancelled", "the request was cancelled"));
     } else {
-      endWithoutMarker(job);
-      finish(job, Outcomes.of(new MayHaveRun("cancel-unconfirmed", "the engine did not answer")));
+      abandonRunning(job);
+      finish(
+          job,
+          Outcomes.of(
+              new MayHaveRun("cancel-unconfirmed", "the engine did not confirm the cancellation")));
     }
   }
 
@@ -279,16 +289,16 @@
       boolean silent =
           job.isStarted() && job.silentMillis(nowMillis) >= settings.getStreamSilenceMs();
       if (silent) {
-        resumeStream(job, "the stream is silent");
-      } else if (job.isOrphanedFor(ORPHAN_MILLIS, nowMillis)) {
+        resumeStream(job, "the engine sent nothing for stream_silence_ms");
+      } else if (job.isOrphanedFor(ORPHAN_TIMEOUT_MILLIS, nowMillis)) {
         cancel(job);
-      } else if (job.isStarted() && nowMillis >= job.asked().deadlineMillis()) {
+      } else if (job.isStarted() && nowMillis >= job.runnerRequest().deadlineMillis()) {
         cancel(job);
       }
     }
   }
 
-  private RunnerRequest asked(InferenceCall message, AdapterVersion adapter) {
+  private RunnerRequest toRunnerRequest(InferenceCall message, AdapterVersion adapter) {
     long remaining = Math.min(message.getRemainingMs(), settings.getRequestLimitMs());
     return new RunnerRequest(
         message.getRequestId(),
@@ -298,16 +308,17 @@
   }
 
   /**
-   * Says whether the adapter's limit is reached. Entries send every request for a limited adapter
-   * to its first candidate runner, so the count here is the fleet's.
+   * Returns a refusal if the adapter's limit on requests in flight is reached. Entries send every
+   * request for a limited adapter to its first candidate runner, so the count of this dispatcher
+   * covers the whole fleet.
    */
-  private Optional<NotRun> overLimit(AdapterVersion adapter, int limit) {
+  private Optional<NotRun> checkAdapterLimit(AdapterVersion adapter, int limit) {
     int inFlight = inFlightByAdapter.getOrDefault(adapter.adapter(), 0);
     return limit > 0 && inFlight >= limit
         ? Optional.of(
             new NotRun(
                 "adapter-limit",
-                "max_in_flight of the adapter is reached",
+                "the adapter's max_in_flight limit is reached",
                 LIMIT_RETRY_AFTER_MILLIS))
         : Optional.empty();
   }
@@ -315,80 +326,94 @@
   private void resume(WireConnection connection, long call, InferenceCall message) {
     Job job = jobs.get(message.getRequestId());
     if (job == null) {
-      adopt(connection, call, message);
+      resumeUnknownJob(connection, call, message);
       return;
     }
-    job.moveTo(connection, call, message.getResumeAfter());
+    job.redirectTo(connection, call, message.getResumeAfter());
     if (job.isStarted()) {
       openResume(job);
     }
   }
 
-  private void adopt(WireConnection connection, long call, InferenceCall message) {
+  /** Resumes a request that a former owner of the runner started. */
+  private void resumeUnknownJob(WireConnection connection, long call, InferenceCall message) {
     AdapterVersion adapter = new AdapterVersion(message.getAdapter(), message.getVersion());
     Span span = tracing.start("dispatcher.resume", SpanKind.SERVER, message.getTraceparent());
-    Job job = new Job(message, asked(message, adapter), span, true, connection, call, nowMillis);
+    Job job =
+        new Job(
+            message, toRunnerRequest(message, adapter), span, true, connection, call, nowMillis);
     jobs.put(job.id(), job);
     inFlightByAdapter.merge(adapter.adapter(), 1, Integer::sum);
-    job.start();
-    withRunner(job, owner -> owner.controller().adoptRequest(job.asked(), nowMillis));
+    job.markStarted();
+    withRunner(job, owner -> owner.controller().adoptRequest(job.runnerRequest(), nowMillis));
     openResume(job);
   }
 
-  private void resumeStream(Job job, String why) {
-    if (job.countResume() > MAX_RESUMES) {
-      endWithoutMarker(job);
-      finish(job, Outcomes.of(new MayHaveRun("stream-lost", why)));
+  private void resumeStream(Job job, String reason) {
+    if (job.incrementResumes() > MAX_RESUMES) {
+      abandonRunning(job);
+      finish(job, Outcomes.of(new MayHaveRun("stream-lost", reason)));
       return;
     }
     log.info(
-        "stream-resumed", "request", job.id(), "after", job.sequencer().delivered(), "reason", why);
+        "stream-resumed",
+        "request",
+        job.id(),
+        "after",
+        job.sequencer().delivered(),
+        "reason",
+        reason);
     openResume(job);
   }
 
   private void openResume(Job job) {
     Optional<Runner> runner = fleet.runner(job.request().getRunner());
     if (runner.isEmpty()) {
-      finish(job, Outcomes.of(new MayHaveRun("runner-gone", "the runner is no longer listed")));
+      finish(
+          job,
+          Outcomes.of(
+              new MayHaveRun(
+                  "runner-gone", "the runner is no longer in the fleet known to this host")));
       return;
     }
     resumes.inc();
-    int number = job.nextStream(nowMillis);
-    job.opened(
+    int streamNumber = job.nextStreamNumber(nowMillis);
+    job.streamOpened(
         engines.resume(
             runner.get().address(),
             job.id(),
             job.sequencer().delivered(),
-            new StreamListener(job.id(), number)));
+            new StreamListener(job.id(), streamNumber)));
   }
 
   private void cancel(Job job) {
     if (job.isCancelled()) {
       return;
     }
-    job.cancel();
+    job.markCancelled();
     OwnedRunner owner = runners.owned(job.request().getRunner());
     if (owner != null && owner.controller().cancel(job.id())) {
-      finish(job, Outcomes.of(notStarted(job)));
+      finish(job, Outcomes.of(notStartedVerdict(job)));
     } else if (owner != null) {
-      runners.settle(owner, nowMillis);
+      runners.performActions(owner, nowMillis);
     } else {
       fleet
           .runner(job.request().getRunner())
-          .ifPresent(runner -> cancelRunning(runner, job.asked()));
+          .ifPresent(runner -> cancelRunning(runner, job.runnerRequest()));
     }
   }
 
-  private NotRun notStarted(Job job) {
-    return nowMillis >= job.asked().deadlineMillis()
-        ? new NotRun("deadline-passed", "the deadline passed while the request waited", 1)
-        : new NotRun("cancelled", "cancelled before it started", 0);
+  private NotRun notStartedVerdict(Job job) {
+    return nowMillis >= job.runnerRequest().deadlineMillis()
+        ? new NotRun("deadline-passed", "the deadline passed before the request started", 1)
+        : new NotRun("cancelled", "the request was cancelled before it started", 0);
   }
 
   /**
-   * Gives a running request up without knowing that it stopped: its pin stays until that is known.
+   * Abandons a running request that may not have stopped. It pins its adapter until the engine is
+   * known to have stopped it.
    */
-  private void endWithoutMarker(Job job) {
+  private void abandonRunning(Job job) {
     withRunner(
         job,
         owner -> {
@@ -403,7 +428,7 @@
     OwnedRunner owner = runners.owned(job.request().getRunner());
     if (owner != null) {
       action.accept(owner);
-      runners.settle(owner, nowMillis);
+      runners.performActions(owner, nowMillis);
     }
   }
 
@@ -419,7 +444,7 @@
     }
     outcome.setRunner(job.request().getRunner()).setResident(job.wasResident());
     job.send(Outcomes.envelope(outcome));
-    count(outcome);
+    countOutcome(outcome);
     job.span().setAttribute("verdict", outcome.getVerdict().name());
     job.span().setStatus(outcome.getComplete() ? StatusCode.OK : StatusCode.ERROR);
     job.span().end();
@@ -433,13 +458,13 @@
         outcome.getReason());
   }
 
-  private void count(Outcome.Builder outcome) {
+  private void countOutcome(Outcome.Builder outcome) {
     if (outcome.getComplete()) {
-      whole.inc();
+      completed.inc();
     } else if (outcome.getVerdict() == RunVerdict.NOT_RUN) {
       notRun.inc();
     } else {
-      notWhole.inc();
+      incomplete.inc();
     }
   }
 
@@ -448,13 +473,13 @@
     connection.send(call, Outcomes.envelope(Outcomes.of(verdict).setRunner(runner)));
   }
 
-  private Optional<Job> find(WireConnection connection, long call) {
-    return jobs.values().stream().filter(job -> job.isCall(connection, call)).findFirst();
+  private Optional<Job> findJob(WireConnection connection, long call) {
+    return jobs.values().stream().filter(job -> job.respondsTo(connection, call)).findFirst();
   }
 
-  private @Nullable Job current(String request, int stream) {
+  private @Nullable Job findJobOfCurrentStream(String request, int stream) {
     Job job = jobs.get(request);
-    if (job == null || !job.isCurrent(stream)) {
+    if (job == null || !job.isCurrentStream(stream)) {
       staleEvents.inc();
       return null;
     }
@@ -463,31 +488,32 @@
 
   private final class StreamListener implements EngineStream.Listener {
     private final String request;
-    private final int number;
+    private final int streamNumber;
 
-    StreamListener(String request, int number) {
+    StreamListener(String request, int streamNumber) {
       this.request = request;
-      this.number = number;
+      this.streamNumber = streamNumber;
     }
 
     @Override
-    public void chunk(long sequence, String model, byte[] data) {
-      events.accept(new DispatcherEvent.ChunkCame(request, number, sequence, model, data));
+    public void onChunk(long sequence, String model, byte[] data) {
+      events.accept(
+          new DispatcherEvent.ChunkReceived(request, streamNumber, sequence, model, data));
     }
 
     @Override
-    public void end(long chunks) {
-      events.accept(new DispatcherEvent.EndCame(request, number, chunks));
+    public void onEnd(long chunks) {
+      events.accept(new DispatcherEvent.EndReceived(request, streamNumber, chunks));
     }
 
     @Override
-    public void refused(int status, String message) {
-      events.accept(new DispatcherEvent.StartRefused(request, number, status, message));
+    public void onRefused(int status, String message) {
+      events.accept(new DispatcherEvent.StartRefused(request, streamNumber, status, message));
     }
 
     @Override
-    public void broken(String why) {
-      events.accept(new DispatcherEvent.StreamBroke(request, number, why));
+    public void onBroken(String reason) {
+      events.accept(new DispatcherEvent.StreamFailed(request, streamNumber, reason));
     }
   }
 }
--- a/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/LeaseService.java
+++ b/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/LeaseService.java
@@ -18,7 +18,7 @@
 import org.sequoiahub.wire.WireClients;
 import org.sequoiahub.wire.WireConnection;
 
-/** Grants leases to other dispatchers and collects them for the runners of this one. */
+/** Grants runner leases to other dispatchers and requests them for the runners of this one. */
 final class LeaseService {
 
   private final DispatcherSettings settings;
@@ -45,8 +45,8 @@
     fleet = next;
   }
 
-  /** Answers another dispatcher's lease call. */
-  void received(WireConnection connection, long call, LeaseCall message, long nowMillis) {
+  /** Grants or releases a lease as another dispatcher requests. */
+  void handleLeaseCall(WireConnection connection, long call, LeaseCall message, long nowMillis) {
     if (message.getRelease()) {
       granter.release(message.getRunner(), message.getHolder());
       return;
@@ -57,44 +57,44 @@
     connection.send(call, Envelope.newBuilder().setLeaseAnswer(answer));
   }
 
-  /** Sends one round of claims for a runner. */
+  /** Starts one claim round: requests leases on a runner from the hosts that are to be asked. */
   void claim(String runner, LeasedAuthority authority, long nowMillis) {
-    authority.granters(hostIds(), nowMillis);
+    authority.updateGranters(hostIds(), nowMillis);
     authority.roundSent(nowMillis);
-    for (String host : authority.toAsk(nowMillis)) {
+    for (String host : authority.hostsToAsk(nowMillis)) {
       if (host.equals(settings.getHostId())) {
         if (granter.grant(runner, holder, settings.getAuthorityMs(), nowMillis)) {
-          authority.granted(host, nowMillis, nowMillis);
+          authority.claimGranted(host, nowMillis, nowMillis);
         }
       } else {
-        ask(runner, host, nowMillis);
+        requestLease(runner, host, nowMillis);
       }
     }
   }
 
-  /** Gives the leases on a runner back, so that its next owner need not wait for them to expire. */
+  /** Releases the leases on a runner, so that its next owner need not wait for them to expire. */
   void release(String runner) {
     granter.release(runner, holder);
-    LeaseCall release = call(runner).setRelease(true).build();
+    LeaseCall release = newLeaseCall(runner).setRelease(true).build();
     for (Host host : fleet.hosts()) {
       if (!host.id().equals(settings.getHostId())) {
-        client(host).tell(Envelope.newBuilder().setLease(release));
+        client(host).sendOneWay(Envelope.newBuilder().setLease(release));
       }
     }
   }
 
-  private void ask(String runner, String hostId, long nowMillis) {
+  private void requestLease(String runner, String hostId, long nowMillis) {
     Optional<Host> host = fleet.host(hostId);
     if (host.isEmpty()) {
       return;
     }
     WireClient client = client(host.get());
     client.call(
-        Envelope.newBuilder().setLease(call(runner)),
+        Envelope.newBuilder().setLease(newLeaseCall(runner)),
         new LeaseListener(client, runner, hostId, nowMillis));
   }
 
-  private LeaseCall.Builder call(String runner) {
+  private LeaseCall.Builder newLeaseCall(String runner) {
     return LeaseCall.newBuilder()
         .setRunner(runner)
         .setHolder(holder)
@@ -102,7 +102,7 @@
   }
 
   private WireClient client(Host host) {
-    return clients.to(new Endpoint(host.address(), host.dispatcherPort()));
+    return clients.clientOf(new Endpoint(host.address(), host.dispatcherPort()));
   }
 
   private Set<String> hostIds() {
@@ -123,14 +123,14 @@
     }
 
     @Override
-    public void message(Envelope message) {
-      client.end(message.getCall());
+    public void onMessage(Envelope message) {
+      client.endCall(message.getCall());
       boolean granted = message.getLeaseAnswer().getGranted();
       events.accept(new DispatcherEvent.LeaseAnswered(runner, host, sentMillis, granted));
     }
 
     @Override
-    public void lost(boolean handedOn) {
+    public void onConnectionLost(boolean handedOn) {
       events.accept(new DispatcherEvent.LeaseAnswered(runner, host, sentMillis, false));
     }
   }
--- a/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/LoadTurnService.java
+++ b/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/LoadTurnService.java
@@ -23,10 +23,10 @@
 import org.sequoiahub.wire.WireConnection;
 
 /**
- * Asks for, and keeps, the turns at the weight store.
+ * Requests turns to load from the weight store, and grants them if this dispatcher is the keeper.
  *
- * <p>One dispatcher, computed from the host list, keeps the turns of the fleet. When it cannot be
- * reached, an asker falls back to its own share of the store's rate.
+ * <p>One dispatcher, computed from the host list, grants the turns of the fleet. A dispatcher that
+ * cannot reach the keeper falls back to its own share of the store's load rate.
  */
 final class LoadTurnService {
 
@@ -34,9 +34,9 @@
   private final WireClients clients;
   private final Consumer<DispatcherEvent> events;
   private final Counter fallbacks;
-  private final LoadTurns<TurnKey> kept;
-  private final Map<TurnKey, AskedTurn> asked = new HashMap<>();
-  private LoadTurns<TurnKey> ownShare;
+  private final LoadTurns<LoadTurnKey> fleetTurns;
+  private final Map<LoadTurnKey, RemoteTurn> remoteTurns = new HashMap<>();
+  private LoadTurns<LoadTurnKey> ownShare;
   private Fleet fleet = Fleet.EMPTY;
 
   LoadTurnService(
@@ -48,8 +48,8 @@
     this.clients = clients;
     this.events = events;
     this.fallbacks = metrics.counter("load_turns.fallbacks");
-    this.kept = new LoadTurns<>(settings.getLoadsPerSecond(), 1, settings.getLoadTimeoutMs());
-    this.ownShare = kept;
+    this.fleetTurns = new LoadTurns<>(settings.getLoadsPerSecond(), 1, settings.getLoadTimeoutMs());
+    this.ownShare = fleetTurns;
   }
 
   void fleet(Fleet next) {
@@ -58,92 +58,93 @@
     ownShare = new LoadTurns<>(share, 1, settings.getLoadTimeoutMs());
   }
 
-  /** Asks for a turn; the answer comes as an event. */
-  void ask(String runner, RunnerAction.RequestLoadTurn ask, long nowMillis) {
-    TurnKey key = key(runner, ask.adapter());
+  /** Requests a turn; a {@link DispatcherEvent.LoadTurnAnswered} reports the result. */
+  void requestTurn(String runner, RunnerAction.RequestLoadTurn request, long nowMillis) {
+    LoadTurnKey key = key(runner, request.adapter());
     Optional<Host> keeper = Placement.loadTurnKeeper(fleet);
     if (keeper.isEmpty() || keeper.get().id().equals(settings.getHostId())) {
-      kept.request(key, ask.waiting(), ask.interactive(), nowMillis);
+      fleetTurns.request(key, request.waiting(), request.interactive(), nowMillis);
       return;
     }
     WireClient client =
-        clients.to(new Endpoint(keeper.get().address(), keeper.get().dispatcherPort()));
+        clients.clientOf(new Endpoint(keeper.get().address(), keeper.get().dispatcherPort()));
     LoadTurnCall call =
         LoadTurnCall.newBuilder()
             .setRunner(runner)
-            .setAdapter(ask.adapter().exactName())
-            .setWaiting(ask.waiting())
-            .setInteractive(ask.interactive())
+            .setAdapter(request.adapter().exactName())
+            .setWaiting(request.waiting())
+            .setInteractive(request.interactive())
             .build();
     long number =
         client.call(
-            Envelope.newBuilder().setLoadTurn(call), new TurnListener(runner, ask.adapter()));
-    asked.put(key, new AskedTurn(client, number));
+            Envelope.newBuilder().setLoadTurn(call), new TurnListener(runner, request.adapter()));
+    remoteTurns.put(key, new RemoteTurn(client, number));
   }
 
-  /** Gives a turn back, or withdraws the ask. */
-  void giveBack(String runner, AdapterVersion adapter) {
-    TurnKey key = key(runner, adapter);
-    kept.release(key);
+  /** Returns a granted turn, or withdraws the request for it. */
+  void returnTurn(String runner, AdapterVersion adapter) {
+    LoadTurnKey key = key(runner, adapter);
+    fleetTurns.release(key);
     ownShare.release(key);
-    AskedTurn turn = asked.remove(key);
+    RemoteTurn turn = remoteTurns.remove(key);
     if (turn != null) {
       LoadTurnCall done = LoadTurnCall.newBuilder().setDone(true).build();
       turn.client.send(turn.call, Envelope.newBuilder().setLoadTurn(done));
-      turn.client.end(turn.call);
+      turn.client.endCall(turn.call);
     }
   }
 
-  /** Takes in another dispatcher's ask or give-back. */
-  void received(WireConnection connection, long call, LoadTurnCall message, long nowMillis) {
+  /** Handles another dispatcher's request for a turn, or its return. */
+  void handleLoadTurnCall(
+      WireConnection connection, long call, LoadTurnCall message, long nowMillis) {
     if (message.getDone()) {
-      kept.release(new TurnKey(connection, call, "", ""));
+      fleetTurns.release(new LoadTurnKey(connection, call, "", ""));
       return;
     }
-    TurnKey key = new TurnKey(connection, call, "", "");
-    kept.request(key, message.getWaiting(), message.getInteractive(), nowMillis);
+    LoadTurnKey key = new LoadTurnKey(connection, call, "", "");
+    fleetTurns.request(key, message.getWaiting(), message.getInteractive(), nowMillis);
   }
 
   /**
-   * Withdraws what came over a connection that is gone. A turn granted to a dead asker would hold
-   * up every load of the fleet until it expires.
+   * Withdraws the turns and requests of a closed connection. A turn held by a dispatcher that is
+   * gone would block every load of the fleet until it expires.
    */
-  void closed(WireConnection connection) {
-    kept.releaseIf(key -> connection.equals(key.connection()));
+  void connectionClosed(WireConnection connection) {
+    fleetTurns.releaseIf(key -> connection.equals(key.connection()));
   }
 
-  /** The keeper cannot be reached: takes the turn from this host's own share of the rate. */
-  void keeperLost(String runner, AdapterVersion adapter, long nowMillis) {
-    TurnKey key = key(runner, adapter);
-    if (asked.remove(key) != null) {
+  /** Requests a turn from this host's own share of the rate, as the keeper cannot be reached. */
+  void fallBackToOwnShare(String runner, AdapterVersion adapter, long nowMillis) {
+    LoadTurnKey key = key(runner, adapter);
+    if (remoteTurns.remove(key) != null) {
       fallbacks.inc();
       ownShare.request(key, 1, true, nowMillis);
     }
   }
 
   void tick(long nowMillis) {
-    kept.grant(nowMillis).forEach(this::granted);
-    if (ownShare != kept) {
-      ownShare.grant(nowMillis).forEach(this::granted);
+    fleetTurns.grant(nowMillis).forEach(this::reportGranted);
+    if (ownShare != fleetTurns) {
+      ownShare.grant(nowMillis).forEach(this::reportGranted);
     }
   }
 
-  private void granted(TurnKey key) {
+  private void reportGranted(LoadTurnKey key) {
     if (key.connection() != null) {
       LoadTurnAnswer answer = LoadTurnAnswer.newBuilder().setGranted(true).build();
       key.connection().send(key.call(), Envelope.newBuilder().setLoadTurnAnswer(answer));
     } else {
       events.accept(
-          new DispatcherEvent.TurnAnswered(
+          new DispatcherEvent.LoadTurnAnswered(
               key.runner(), AdapterVersion.parse(key.adapter()), true));
     }
   }
 
-  private static TurnKey key(String runner, AdapterVersion adapter) {
-    return new TurnKey(null, 0, runner, adapter.exactName());
+  private static LoadTurnKey key(String runner, AdapterVersion adapter) {
+    return new LoadTurnKey(null, 0, runner, adapter.exactName());
   }
 
-  private record AskedTurn(WireClient client, long call) {}
+  private record RemoteTurn(WireClient client, long call) {}
 
   private final class TurnListener implements CallListener {
     private final String runner;
@@ -155,13 +156,13 @@
     }
 
     @Override
-    public void message(Envelope message) {
-      events.accept(new DispatcherEvent.TurnAnswered(runner, adapter, true));
+    public void onMessage(Envelope message) {
+      events.accept(new DispatcherEvent.LoadTurnAnswered(runner, adapter, true));
     }
 
     @Override
-    public void lost(boolean handedOn) {
-      events.accept(new DispatcherEvent.TurnAnswered(runner, adapter, false));
+    public void onConnectionLost(boolean handedOn) {
+      events.accept(new DispatcherEvent.LoadTurnAnswered(runner, adapter, false));
     }
   }
 }
--- a/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/OwnedRunnerController.java
+++ b/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/OwnedRunnerController.java
@@ -29,11 +29,18 @@
 import org.sequoiahub.runtime.log.EventLog;
 import org.sequoiahub.schema.settings.DispatcherSettings;
 
-/** The runners that this dispatcher owns or claims, and the orders to their engines. */
+/**
+ * Manages the runners that this dispatcher owns or claims: gains authority over them and carries
+ * out the decisions of their controllers.
+ */
 final class OwnedRunnerController {
 
-  private static final int TERMS_BEFORE_DROP = 3;
-  private static final int TERMS_LEFT_TO_OWNER = 5;
+  /** Authority terms without requests after which a runner of another owner is dropped. */
+  private static final int IDLE_TERMS_BEFORE_DROP = 3;
+
+  /** Authority terms after a preemption by the owner in which claim requests are refused. */
+  private static final int TERMS_RESERVED_FOR_OWNER = 5;
+
   private static final long UNLOAD_TIMEOUT_MILLIS = 5_000;
   private static final long REPORT_TIMEOUT_MILLIS = 2_000;
 
@@ -41,7 +48,7 @@
   private final int fencingTag;
   private final EngineClient engines;
   private final LeaseService leases;
-  private final LoadTurnService turns;
+  private final LoadTurnService loadTurns;
   private final Consumer<DispatcherEvent> events;
   private final EventLog log;
   private final PolicySettings policy;
@@ -50,7 +57,7 @@
   private final Counter loadsFailed;
   private final Counter unloads;
   private final Counter claimsRefused;
-  private Requests requests = new Requests.None();
+  private RequestHandler requestHandler = new RequestHandler.NoOp();
   private Fleet fleet = Fleet.EMPTY;
   private boolean stopping;
 
@@ -59,7 +66,7 @@
       int fencingTag,
       EngineClient engines,
       LeaseService leases,
-      LoadTurnService turns,
+      LoadTurnService loadTurns,
       Consumer<DispatcherEvent> events,
       MetricRegistry metrics,
       EventLog log) {
@@ -67,30 +74,31 @@
     this.fencingTag = fencingTag;
     this.engines = engines;
     this.leases = leases;
-    this.turns = turns;
+    this.loadTurns = loadTurns;
     this.events = events;
     this.log = log;
-    PolicySettings weights =
+    PolicySettings deploymentPolicy =
         settings.getDeployment().equals("dhuwaan")
             ? PolicySettings.dhuwaan()
             : PolicySettings.ashcombe();
-    this.policy = weights.withLimits(settings.getQueueLimit(), settings.getRequestLimitMs());
+    this.policy =
+        deploymentPolicy.withLimits(settings.getQueueLimit(), settings.getRequestLimitMs());
     this.loads = metrics.counter("loads.ordered");
     this.loadsFailed = metrics.counter("loads.failed");
     this.unloads = metrics.counter("evictions.ordered");
     this.claimsRefused = metrics.counter("claims.refused");
   }
 
-  /** Does to requests what a runner's decisions ask for. */
-  interface Requests {
+  /** Starts, refuses and cancels requests as a runner's controller decides. */
+  interface RequestHandler {
     void start(Runner runner, RunnerRequest request, long fencingNumber);
 
     void refuse(RunnerRequest request, NotRun verdict);
 
     void cancelRunning(Runner runner, RunnerRequest request);
 
-    /** Stands in until the real one is connected. */
-    final class None implements Requests {
+    /** Does nothing; used until the actual handler is set. */
+    final class NoOp implements RequestHandler {
       @Override
       public void start(Runner runner, RunnerRequest request, long fencingNumber) {}
 
@@ -102,67 +110,72 @@
     }
   }
 
-  void connectTo(Requests handler) {
-    requests = handler;
+  void setRequestHandler(RequestHandler handler) {
+    requestHandler = handler;
   }
 
   void fleet(Fleet next, long nowMillis) {
     fleet = next;
     Map<String, Runner> runners = next.runnersById();
     for (Runner runner : next.runners()) {
-      boolean mine = isComputedOwner(runner.id());
-      if (mine && runner.state() == State.LIVE && !stopping) {
-        own(runner, nowMillis);
+      boolean computedOwner = isComputedOwner(runner.id());
+      if (computedOwner && runner.state() == State.LIVE && !stopping) {
+        getOrCreateOwned(runner, nowMillis);
       }
     }
     for (OwnedRunner runner : List.copyOf(owned.values())) {
-      Runner changed = runners.get(runner.runner().id());
-      if (changed != null) {
-        runner.runner(changed);
+      Runner updated = runners.get(runner.runner().id());
+      if (updated != null) {
+        runner.runner(updated);
       }
-      if (changed == null || changed.state() == State.LEAVING) {
+      if (updated == null || updated.state() == State.LEAVING) {
         runner.controller().rejectQueued("runner-leaving", "the runner is leaving", 1);
-        settle(runner, nowMillis);
+        performActions(runner, nowMillis);
       }
     }
   }
 
-  /** Offers a request to a runner that this dispatcher owns, or may claim. */
+  /**
+   * Offers a request to a runner that this dispatcher owns or may claim.
+   *
+   * @param mayClaim whether to claim the runner if another dispatcher owns it
+   */
   Admission offer(String runnerId, RunnerRequest request, boolean mayClaim, long nowMillis) {
     if (stopping) {
       return refused("stopping", "this host is stopping; use another address");
     }
     Optional<Runner> runner = fleet.runner(runnerId);
     if (runner.isEmpty()) {
-      return refused("unknown-runner", "no runner '" + runnerId + "' is listed here");
+      return refused(
+          "unknown-runner", "runner '" + runnerId + "' is not in the fleet known to this host");
     }
     if (runner.get().state() == State.LEAVING) {
       return refused("runner-leaving", "the runner is leaving");
     }
-    boolean mine = isComputedOwner(runnerId);
-    if (!mine && !mayClaim && !holds(runnerId, nowMillis)) {
+    boolean computedOwner = isComputedOwner(runnerId);
+    if (!computedOwner && !mayClaim && !holdsAuthority(runnerId, nowMillis)) {
       return refused("not-owner", "another dispatcher owns the runner");
     }
-    OwnedRunner target = own(runner.get(), nowMillis);
-    if (!mine && mayClaim && !target.wishClaim(nowMillis, settings.getAuthorityMs())) {
-      return refused("not-owner", "the runner's owner has lately taken it back");
+    OwnedRunner target = getOrCreateOwned(runner.get(), nowMillis);
+    if (!computedOwner && mayClaim && !target.requestClaim(nowMillis, settings.getAuthorityMs())) {
+      return refused("not-owner", "the runner's owner has recently reclaimed it");
     }
-    target.asked(nowMillis);
+    target.requestReceived(nowMillis);
     if (!target.rights(nowMillis).held() && target.cannotGainAuthority()) {
       return refused("no-authority", "this host cannot gain authority over the runner");
     }
     Admission admission = target.controller().offer(request, nowMillis);
-    settle(target, nowMillis);
+    performActions(target, nowMillis);
     return admission;
   }
 
-  /** Returns the runner if this dispatcher owns or claims it. */
+  /** Returns the runner if this dispatcher owns or claims it, otherwise null. */
   @Nullable OwnedRunner owned(String runnerId) {
     return owned.get(runnerId);
   }
 
-  /** Does what the runner's decisions ask for, now. */
-  void settle(OwnedRunner runner, long nowMillis) {
+  /** Performs the actions that the runner's controller decides on at this time. */
+  void performActions(OwnedRunner runner, long nowMillis) {
     Rights rights = runner.rights(nowMillis);
     for (RunnerAction action : runner.controller().decide(rights, nowMillis)) {
       perform(runner, action, nowMillis);
@@ -171,15 +184,15 @@
 
   void tick(long nowMillis) {
     for (OwnedRunner runner : List.copyOf(owned.values())) {
-      noteAuthority(runner, nowMillis);
+      recordAuthorityChange(runner, nowMillis);
       if (mayClaim(runner, nowMillis) && runner.authority().claimDue(nowMillis)) {
         claim(runner, nowMillis);
       }
-      if (runner.reportDue(nowMillis)) {
-        readReport(runner, nowMillis);
+      if (runner.isReportDue(nowMillis)) {
+        requestReport(runner, nowMillis);
       }
-      refuseIfPowerless(runner, nowMillis);
-      settle(runner, nowMillis);
+      refuseQueuedWithoutAuthority(runner, nowMillis);
+      performActions(runner, nowMillis);
       dropIfIdle(runner, nowMillis);
     }
   }
@@ -191,14 +204,14 @@
     }
     switch (event.answer().result()) {
       case DONE -> {
-        authority.claimAccepted(event.number(), event.sentMillis(), nowMillis);
+        authority.claimAccepted(event.fencingNumber(), event.sentMillis(), nowMillis);
         runner.claimSucceeded();
       }
-      case FAILED -> fenced(runner, event.number(), event.answer(), nowMillis);
+      case FAILED -> handleFencingRefusal(runner, event.fencingNumber(), event.answer(), nowMillis);
       default -> log.debug("claim-unanswered", "runner", event.runner());
     }
-    noteAuthority(runner, nowMillis);
-    settle(runner, nowMillis);
+    recordAuthorityChange(runner, nowMillis);
+    performActions(runner, nowMillis);
   }
 
   void leaseAnswered(DispatcherEvent.LeaseAnswered event, long nowMillis) {
@@ -206,21 +219,21 @@
     if (runner != null
         && event.granted()
         && runner.authority() instanceof LeasedAuthority authority) {
-      authority.granted(event.host(), event.sentMillis(), nowMillis);
-      noteAuthority(runner, nowMillis);
-      settle(runner, nowMillis);
+      authority.claimGranted(event.host(), event.sentMillis(), nowMillis);
+      recordAuthorityChange(runner, nowMillis);
+      performActions(runner, nowMillis);
     }
   }
 
-  void turnAnswered(DispatcherEvent.TurnAnswered event, long nowMillis) {
+  void loadTurnAnswered(DispatcherEvent.LoadTurnAnswered event, long nowMillis) {
     OwnedRunner runner = owned.get(event.runner());
     if (!event.granted()) {
-      turns.keeperLost(event.runner(), event.adapter(), nowMillis);
+      loadTurns.fallBackToOwnShare(event.runner(), event.adapter(), nowMillis);
     } else if (runner == null) {
-      turns.giveBack(event.runner(), event.adapter());
+      loadTurns.returnTurn(event.runner(), event.adapter());
     } else {
       runner.controller().loadTurnGranted(event.adapter());
-      settle(runner, nowMillis);
+      performActions(runner, nowMillis);
     }
   }
 
@@ -240,9 +253,9 @@
     if (event.answer().result() != OrderResult.DONE) {
       loadsFailed.inc();
     }
-    fenced(runner, event.number(), event.answer(), nowMillis);
+    handleFencingRefusal(runner, event.fencingNumber(), event.answer(), nowMillis);
     runner.controller().loadAnswered(event.adapter(), event.answer().result(), nowMillis);
-    settle(runner, nowMillis);
+    performActions(runner, nowMillis);
   }
 
   void unloadAnswered(DispatcherEvent.UnloadAnswered event, long nowMillis) {
@@ -258,150 +271,154 @@
         event.adapter().exactName(),
         "result",
         event.answer().result());
-    fenced(runner, event.number(), event.answer(), nowMillis);
+    handleFencingRefusal(runner, event.fencingNumber(), event.answer(), nowMillis);
     runner.controller().unloadAnswered(event.adapter(), event.answer().result(), nowMillis);
-    settle(runner, nowMillis);
+    performActions(runner, nowMillis);
   }
 
-  void reported(String runnerId, EngineReport report, long nowMillis) {
+  void reportReceived(String runnerId, EngineReport report, long nowMillis) {
     OwnedRunner runner = owned.get(runnerId);
     if (runner == null) {
       return;
     }
-    runner.reportAnswered();
+    runner.reportCompleted();
     runner.controller().applyReport(report, runner.rights(nowMillis), nowMillis);
-    settle(runner, nowMillis);
+    performActions(runner, nowMillis);
   }
 
-  void reportFailed(String runnerId, String why) {
+  void reportFailed(String runnerId, String reason) {
     OwnedRunner runner = owned.get(runnerId);
     if (runner != null) {
-      runner.reportAnswered();
-      log.debug("report-failed", "runner", runnerId, "error", why);
+      runner.reportCompleted();
+      log.debug("report-failed", "runner", runnerId, "error", reason);
     }
   }
 
-  /** Refuses what waits and gives all authority up, so that other dispatchers may take over. */
+  /**
+   * Refuses queued requests and releases all authority, so that other dispatchers can take over.
+   */
   void stop(long nowMillis) {
     stopping = true;
     for (OwnedRunner runner : owned.values()) {
       runner.controller().rejectQueued("stopping", "this host is stopping; use another address", 1);
-      settle(runner, nowMillis);
-      giveUp(runner);
+      performActions(runner, nowMillis);
+      releaseAuthority(runner);
     }
   }
 
   List<Map<String, Object>> status(long nowMillis) {
-    List<Map<String, Object>> all = new ArrayList<>();
+    List<Map<String, Object>> statuses = new ArrayList<>();
     for (OwnedRunner runner : owned.values()) {
-      Map<String, Object> one = new LinkedHashMap<>();
-      one.put("runner", runner.runner().id());
-      one.put("state", runner.runner().state().name());
-      one.put("authority", runner.rights(nowMillis).held());
-      one.put("fencing", runner.authority().fencingNumber());
-      one.put("queued", runner.controller().queued());
-      one.put("running", runner.controller().running());
-      one.put("slots", runner.controller().slotStates());
-      all.add(one);
+      Map<String, Object> status = new LinkedHashMap<>();
+      status.put("runner", runner.runner().id());
+      status.put("state", runner.runner().state().name());
+      status.put("authority", runner.rights(nowMillis).held());
+      status.put("fencing", runner.authority().fencingNumber());
+      status.put("queued", runner.controller().queued());
+      status.put("running", runner.controller().running());
+      status.put("slots", runner.controller().slotStates());
+      statuses.add(status);
     }
-    return all;
+    return statuses;
   }
 
   private void perform(OwnedRunner owner, RunnerAction action, long nowMillis) {
     Runner runner = owner.runner();
-    long number = owner.authority().fencingNumber();
+    long fencingNumber = owner.authority().fencingNumber();
     if (action instanceof RunnerAction.Start start) {
-      requests.start(runner, start.request(), number);
+      requestHandler.start(runner, start.request(), fencingNumber);
     } else if (action instanceof RunnerAction.Reject refuse) {
-      requests.refuse(refuse.request(), refuse.verdict());
+      requestHandler.refuse(refuse.request(), refuse.verdict());
     } else if (action instanceof RunnerAction.CancelRunning cancel) {
-      requests.cancelRunning(runner, cancel.request());
+      requestHandler.cancelRunning(runner, cancel.request());
     } else if (action instanceof RunnerAction.RequestLoadTurn ask) {
-      turns.ask(runner.id(), ask, nowMillis);
-    } else if (action instanceof RunnerAction.ReleaseLoadTurn back) {
-      turns.giveBack(runner.id(), back.adapter());
+      loadTurns.requestTurn(runner.id(), ask, nowMillis);
+    } else if (action instanceof RunnerAction.ReleaseLoadTurn turn) {
+      loadTurns.returnTurn(runner.id(), turn.adapter());
     } else if (action instanceof RunnerAction.Load load) {
-      orderLoad(runner, load.adapter(), number);
+      orderLoad(runner, load.adapter(), fencingNumber);
     } else if (action instanceof RunnerAction.Unload unload) {
-      orderUnload(runner, unload.adapter(), number);
+      orderUnload(runner, unload.adapter(), fencingNumber);
     }
   }
 
-  private void orderLoad(Runner runner, AdapterVersion adapter, long number) {
+  private void orderLoad(Runner runner, AdapterVersion adapter, long fencingNumber) {
     loads.inc();
     log.info("load-ordered", "runner", runner.id(), "adapter", adapter.exactName());
     engines.load(
         runner.address(),
         adapter,
-        number,
+        fencingNumber,
         settings.getLoadTimeoutMs(),
         answer ->
-            events.accept(new DispatcherEvent.LoadAnswered(runner.id(), adapter, number, answer)));
+            events.accept(
+                new DispatcherEvent.LoadAnswered(runner.id(), adapter, fencingNumber, answer)));
   }
 
-  private void orderUnload(Runner runner, AdapterVersion adapter, long number) {
+  private void orderUnload(Runner runner, AdapterVersion adapter, long fencingNumber) {
     unloads.inc();
     log.info("eviction-ordered", "runner", runner.id(), "adapter", adapter.exactName());
     engines.unload(
         runner.address(),
         adapter,
-        number,
+        fencingNumber,
         UNLOAD_TIMEOUT_MILLIS,
         answer ->
             events.accept(
-                new DispatcherEvent.UnloadAnswered(runner.id(), adapter, number, answer)));
+                new DispatcherEvent.UnloadAnswered(runner.id(), adapter, fencingNumber, answer)));
   }
 
   private void claim(OwnedRunner runner, long nowMillis) {
     String id = runner.runner().id();
     runner.claimRoundStarted();
     if (runner.authority() instanceof FencedAuthority authority) {
-      long number = authority.fencingNumber();
+      long fencingNumber = authority.fencingNumber();
       authority.claimSent(nowMillis);
       engines.claim(
           runner.runner().address(),
-          number,
+          fencingNumber,
           settings.getAuthorityMs(),
           answer ->
-              events.accept(new DispatcherEvent.ClaimAnswered(id, number, nowMillis, answer)));
+              events.accept(
+                  new DispatcherEvent.ClaimAnswered(id, fencingNumber, nowMillis, answer)));
     } else if (runner.authority() instanceof LeasedAuthority authority) {
       leases.claim(id, authority, nowMillis);
     }
   }
 
-  private void fenced(
-      OwnedRunner runner, long number, EngineClient.OrderAnswer answer, long nowMillis) {
+  private void handleFencingRefusal(
+      OwnedRunner runner, long fencingNumber, EngineClient.OrderResponse answer, long nowMillis) {
     if (answer.fenced() && runner.authority() instanceof FencedAuthority authority) {
       claimsRefused.inc();
-      authority.refused(number, answer.highestFencing(), nowMillis);
-      boolean wasHeld = noteAuthority(runner, nowMillis) < 0;
+      authority.fencingNumberRefused(fencingNumber, answer.highestFencing(), nowMillis);
+      boolean wasHeld = recordAuthorityChange(runner, nowMillis) < 0;
       if (wasHeld && !isComputedOwner(runner.runner().id())) {
-        runner.preempted(nowMillis, TERMS_LEFT_TO_OWNER * settings.getAuthorityMs());
+        runner.preempted(nowMillis, TERMS_RESERVED_FOR_OWNER * settings.getAuthorityMs());
       }
     }
   }
 
-  private void readReport(OwnedRunner runner, long nowMillis) {
+  private void requestReport(OwnedRunner runner, long nowMillis) {
     String id = runner.runner().id();
-    runner.reportAsked(nowMillis, settings.getReportPeriodMs());
-    engines.report(
+    runner.reportRequested(nowMillis, settings.getReportPeriodMs());
+    engines.readReport(
         runner.runner().address(),
         REPORT_TIMEOUT_MILLIS,
         nowMillis,
         new EngineClient.ReportListener() {
           @Override
-          public void report(EngineReport report) {
-            events.accept(new DispatcherEvent.Reported(id, report));
+          public void onReport(EngineReport report) {
+            events.accept(new DispatcherEvent.ReportReceived(id, report));
           }
 
           @Override
-          public void failed(String why) {
-            events.accept(new DispatcherEvent.ReportFailed(id, why));
+          public void onFailure(String reason) {
+            events.accept(new DispatcherEvent.ReportFailed(id, reason));
           }
         });
   }
 
-  private int noteAuthority(OwnedRunner runner, long nowMillis) {
+  private int recordAuthorityChange(OwnedRunner runner, long nowMillis) {
     int change = runner.authorityChange(nowMillis);
     if (change > 0) {
       runner.claimSucceeded();
@@ -418,26 +435,27 @@
   }
 
   /**
-   * Returns whether this dispatcher should have the runner, as its owner or in the owner's stead.
+   * Returns whether this dispatcher is to claim the runner, as its computed owner or because an
+   * entry requested it.
    */
   private boolean mayClaim(OwnedRunner runner, long nowMillis) {
-    boolean entitled = isComputedOwner(runner.runner().id()) || runner.isClaimWished(nowMillis);
+    boolean entitled = isComputedOwner(runner.runner().id()) || runner.isClaimRequested(nowMillis);
     return entitled && !stopping;
   }
 
-  private boolean holds(String runnerId, long nowMillis) {
+  private boolean holdsAuthority(String runnerId, long nowMillis) {
     OwnedRunner runner = owned.get(runnerId);
     return runner != null && runner.rights(nowMillis).held();
   }
 
-  private void refuseIfPowerless(OwnedRunner runner, long nowMillis) {
+  private void refuseQueuedWithoutAuthority(OwnedRunner runner, long nowMillis) {
     boolean held = runner.rights(nowMillis).held();
     if (!held && !mayClaim(runner, nowMillis)) {
       runner.controller().rejectQueued("not-owner", "another dispatcher owns the runner", 1);
       return;
     }
-    boolean powerless = !held && runner.cannotGainAuthority();
-    if (powerless && runner.controller().queued() > 0) {
+    boolean authorityUnavailable = !held && runner.cannotGainAuthority();
+    if (authorityUnavailable && runner.controller().queued() > 0) {
       runner
           .controller()
           .rejectQueued(
@@ -450,22 +468,23 @@
   private void dropIfIdle(OwnedRunner runner, long nowMillis) {
     String id = runner.runner().id();
     boolean listed = fleet.runner(id).filter(r -> r.state() == State.LIVE).isPresent();
-    boolean wanted = listed && isComputedOwner(id) && !stopping;
-    if (!wanted && runner.isIdleFor(TERMS_BEFORE_DROP * settings.getAuthorityMs(), nowMillis)) {
-      giveUp(runner);
+    boolean ownedHere = listed && isComputedOwner(id) && !stopping;
+    if (!ownedHere
+        && runner.isIdleFor(IDLE_TERMS_BEFORE_DROP * settings.getAuthorityMs(), nowMillis)) {
+      releaseAuthority(runner);
       owned.remove(id);
       log.info("runner-dropped", "runner", id);
     }
   }
 
-  private void giveUp(OwnedRunner runner) {
-    runner.authority().giveUp();
+  private void releaseAuthority(OwnedRunner runner) {
+    runner.authority().release();
     if (runner.authority() instanceof LeasedAuthority) {
       leases.release(runner.runner().id());
     }
   }
 
-  private OwnedRunner own(Runner runner, long nowMillis) {
+  private OwnedRunner getOrCreateOwned(Runner runner, long nowMillis) {
     return owned.computeIfAbsent(
         runner.id(),
         id -> new OwnedRunner(runner, policy, settings.getAuthorityMs(), fencingTag, nowMillis));
--- a/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/ServiceForwarder.java
+++ b/sequoia-dispatcher/src/main/java/org/sequoiahub/dispatcher/ServiceForwarder.java
@@ -15,7 +15,7 @@
 import org.sequoiahub.core.fleet.Fleet;
 import org.sequoiahub.core.fleet.Fleet.ServiceUpstream;
 import org.sequoiahub.core.fleet.Fleet.State;
-import org.sequoiahub.core.operation.Begin;
+import org.sequoiahub.core.operation.BeginDecision;
 import org.sequoiahub.core.operation.OperationId;
 import org.sequoiahub.core.operation.OperationTable;
 import org.sequoiahub.core.verdict.Verdict;
@@ -33,10 +33,10 @@
 import org.sequoiahub.schema.wire.ServiceCall;
 import org.sequoiahub.wire.WireConnection;
 
-/** Calls of plain services, and the operations that may run at most once. */
+/** Forwards service calls to upstreams, and runs each operation with an id at most once. */
 final class ServiceForwarder {
 
-  private static final int MAX_MINTED = 64;
+  private static final int MAX_IDS_PER_CALL = 64;
 
   private final ServiceClient services;
   private final OperationTable<Outcome> operations;
@@ -44,9 +44,9 @@
   private final Tracing tracing;
   private final EventLog log;
   private final Map<Long, ServiceJob> jobs = new HashMap<>();
-  private final Map<OperationId, List<Waiter>> waiters = new HashMap<>();
-  private final Counter repeated;
-  private final Counter unknown;
+  private final Map<OperationId, List<CallerReference>> waitingCallers = new HashMap<>();
+  private final Counter repeatedCalls;
+  private final Counter unknownOutcomes;
   private long lastJob;
   private Fleet fleet = Fleet.EMPTY;
   private boolean stopping;
@@ -69,8 +69,8 @@
     this.events = events;
     this.tracing = tracing;
     this.log = log;
-    this.repeated = metrics.counter("operations.repeated");
-    this.unknown = metrics.counter("operations.unknown");
+    this.repeatedCalls = metrics.counter("operations.repeated");
+    this.unknownOutcomes = metrics.counter("operations.unknown");
   }
 
   void fleet(Fleet next) {
@@ -85,32 +85,34 @@
     return jobs.size();
   }
 
-  void mint(WireConnection connection, long call, MintCall message, long nowMillis) {
-    int count = Math.max(1, Math.min(MAX_MINTED, message.getCount()));
+  void mintOperationIds(WireConnection connection, long call, MintCall message, long nowMillis) {
+    int count = Math.max(1, Math.min(MAX_IDS_PER_CALL, message.getCount()));
     MintAnswer.Builder answer = MintAnswer.newBuilder().setExpiresInMs(operations.lifetimeMillis());
     operations.mint(count, nowMillis).forEach(id -> answer.addOperationIds(id.toString()));
     connection.send(call, Envelope.newBuilder().setMinted(answer));
   }
 
-  void received(WireConnection connection, long call, ServiceCall message, long nowMillis) {
-    Waiter caller = new Waiter(connection, call);
+  void handleServiceCall(
+      WireConnection connection, long call, ServiceCall message, long nowMillis) {
+    CallerReference caller = new CallerReference(connection, call);
     if (message.getIdempotent()) {
       if (stopping) {
         caller.answer(Outcomes.of(notRun("stopping", "this host is stopping")));
       } else {
-        run(message, caller, null);
+        forward(message, caller, null);
       }
       return;
     }
     Optional<OperationId> id = OperationId.parse(message.getOperationId());
     if (id.isEmpty()) {
-      caller.answer(Outcomes.of(new NotRun("bad-operation-id", "not an operation id", 0)));
+      caller.answer(
+          Outcomes.of(new NotRun("bad-operation-id", "the operation id is malformed", 0)));
       return;
     }
-    begin(message, caller, id.get(), nowMillis);
+    beginOperation(message, caller, id.get(), nowMillis);
   }
 
-  void answered(DispatcherEvent.ServiceAnswered event) {
+  void upstreamAnswered(DispatcherEvent.ServiceAnswered event) {
     ServiceJob job = jobs.remove(event.job());
     if (job == null) {
       return;
@@ -124,23 +126,23 @@
             .setBody(ByteString.copyFrom(event.body()))
             .setRunner(job.upstream.id());
     if (job.operation != null) {
-      operations.answered(job.operation, outcome.build());
+      operations.completed(job.operation, outcome.build());
     }
-    end(job, outcome);
+    complete(job, outcome);
   }
 
-  void failed(DispatcherEvent.ServiceFailed event) {
+  void upstreamFailed(DispatcherEvent.ServiceFailed event) {
     ServiceJob job = jobs.remove(event.job());
     if (job == null) {
       return;
     }
     Verdict verdict =
         event.sent()
-            ? new MayHaveRun("upstream-lost", event.why())
-            : notRun("upstream-unreachable", event.why());
+            ? new MayHaveRun("upstream-lost", event.reason())
+            : notRun("upstream-unreachable", event.reason());
     if (job.operation != null && event.sent()) {
-      unknown.inc();
-      operations.unknown(job.operation);
+      unknownOutcomes.inc();
+      operations.outcomeUnknown(job.operation);
     } else if (job.operation != null) {
       operations.notRun(job.operation);
     }
@@ -153,30 +155,32 @@
         "sent",
         event.sent(),
         "error",
-        event.why());
-    end(job, Outcomes.of(verdict).setRunner(job.upstream.id()));
+        event.reason());
+    complete(job, Outcomes.of(verdict).setRunner(job.upstream.id()));
   }
 
-  private void begin(ServiceCall message, Waiter caller, OperationId id, long nowMillis) {
-    Begin<Outcome> begin = operations.begin(id, nowMillis);
-    if (begin instanceof Begin.Repeat<Outcome> repeat) {
-      repeated.inc();
+  private void beginOperation(
+      ServiceCall message, CallerReference caller, OperationId id, long nowMillis) {
+    BeginDecision<Outcome> begin = operations.begin(id, nowMillis);
+    if (begin instanceof BeginDecision.Replay<Outcome> repeat) {
+      repeatedCalls.inc();
       caller.answer(repeat.answer().toBuilder());
-    } else if (begin instanceof Begin.Wait<Outcome>) {
-      repeated.inc();
-      waiters.computeIfAbsent(id, i -> new ArrayList<>()).add(caller);
-    } else if (begin instanceof Begin.Refuse<Outcome> refuse) {
+    } else if (begin instanceof BeginDecision.Wait<Outcome>) {
+      repeatedCalls.inc();
+      waitingCallers.computeIfAbsent(id, i -> new ArrayList<>()).add(caller);
+    } else if (begin instanceof BeginDecision.Refuse<Outcome> refuse) {
       caller.answer(Outcomes.of(refuse.verdict()));
     } else if (stopping) {
       operations.notRun(id);
       caller.answer(Outcomes.of(notRun("stopping", "this host is stopping")));
     } else {
-      run(message, caller, id);
+      forward(message, caller, id);
     }
   }
 
-  private void run(ServiceCall message, Waiter caller, @Nullable OperationId operation) {
-    Optional<ServiceUpstream> upstream = upstream(message.getService());
+  private void forward(
+      ServiceCall message, CallerReference caller, @Nullable OperationId operation) {
+    Optional<ServiceUpstream> upstream = selectUpstream(message.getService());
     if (upstream.isEmpty()) {
       if (operation != null) {
         operations.notRun(operation);
@@ -200,13 +204,13 @@
         headers,
         message.getBody().toByteArray(),
         Math.max(1, message.getRemainingMs()),
-        new Listener(number));
+        new UpstreamListener(number));
   }
 
-  /** Returns the live upstream of a service with the fewest calls in progress from here. */
-  private Optional<ServiceUpstream> upstream(String service) {
-    Map<String, Long> busy = new HashMap<>();
-    jobs.values().forEach(job -> busy.merge(job.upstream.id(), 1L, Long::sum));
+  /** Returns the live upstream of a service with the fewest calls in flight from this host. */
+  private Optional<ServiceUpstream> selectUpstream(String service) {
+    Map<String, Long> inFlight = new HashMap<>();
+    jobs.values().forEach(job -> inFlight.merge(job.upstream.id(), 1L, Long::sum));
     List<ServiceUpstream> live =
         fleet.upstreams().stream()
             .filter(u -> u.service().equals(service) && u.state() == State.LIVE)
@@ -215,21 +219,21 @@
     for (int i = 0; i < live.size(); i++) {
       ServiceUpstream candidate = live.get((int) ((lastJob + i) % live.size()));
       if (best == null
-          || busy.getOrDefault(candidate.id(), 0L) < busy.getOrDefault(best.id(), 0L)) {
+          || inFlight.getOrDefault(candidate.id(), 0L) < inFlight.getOrDefault(best.id(), 0L)) {
         best = candidate;
       }
     }
     return Optional.ofNullable(best);
   }
 
-  private void end(ServiceJob job, Outcome.Builder outcome) {
+  private void complete(ServiceJob job, Outcome.Builder outcome) {
     job.span.setAttribute("verdict", outcome.getVerdict().name());
     job.span.end();
     job.caller.answer(outcome);
     if (job.operation != null) {
-      List<Waiter> waiting = waiters.remove(job.operation);
+      List<CallerReference> waiting = waitingCallers.remove(job.operation);
       if (waiting != null) {
-        waiting.forEach(waiter -> waiter.answer(outcome));
+        waiting.forEach(waitingCaller -> waitingCaller.answer(outcome));
       }
     }
   }
@@ -238,30 +242,33 @@
     return new NotRun(reason, message, 1);
   }
 
-  private record Waiter(WireConnection connection, long call) {
+  private record CallerReference(WireConnection connection, long call) {
     void answer(Outcome.Builder outcome) {
       connection.send(call, Outcomes.envelope(outcome));
     }
   }
 
   private record ServiceJob(
-      ServiceUpstream upstream, Waiter caller, @Nullable OperationId operation, Span span) {}
+      ServiceUpstream upstream,
+      CallerReference caller,
+      @Nullable OperationId operation,
+      Span span) {}
 
-  private final class Listener implements ServiceClient.Listener {
+  private final class UpstreamListener implements ServiceClient.Listener {
     private final long job;
 
-    Listener(long job) {
+    UpstreamListener(long job) {
       this.job = job;
     }
 
     @Override
-    public void answered(int status, Map<String, String> headers, byte[] body) {
+    public void onResponse(int status, Map<String, String> headers, byte[] body) {
       events.accept(new DispatcherEvent.ServiceAnswered(job, status, headers, body));
     }
 
     @Override
-    public void failed(boolean sent, String why) {
-      events.accept(new DispatcherEvent.ServiceFailed(job, sent, why));
+    public void onFailure(boolean sent, String reason) {
+      events.accept(new DispatcherEvent.ServiceFailed(job, sent, reason));
     }
   }
 }
--- a/sequoia-dispatcher/src/test/java/org/sequoiahub/dispatcher/OwnedRunnerTest.java
+++ b/sequoia-dispatcher/src/test/java/org/sequoiahub/dispatcher/OwnedRunnerTest.java
@@ -16,40 +16,38 @@
   private final OwnedRunner owned = new OwnedRunner(RUNNER, PolicySettings.ashcombe(), 4_000, 7, 0);
 
   /**
-   * Symptom: after a dispatcher was paused for seven seconds, requests for adapters that were not
-   * loaded waited until their deadline, for as long as the load went on.
+   * Guards against two dispatchers that claim a runner from each other in alternation, so that
+   * neither holds it for long enough to evict and requests for adapters that are not loaded wait
+   * until their deadline.
    *
-   * <p>Events: entries took the paused dispatcher's runner to another dispatcher; the owner woke
-   * and claimed it back; the next entry that still avoided the owner had it claimed again, and so
-   * on.
-   *
-   * <p>Cause: a dispatcher that was pre-empted claimed again at the next wish, so neither was ever
-   * alone for long enough to evict.
+   * <p>This happened after the owner had been paused for seven seconds: entries had the runner
+   * claimed by another dispatcher, the owner reclaimed it, and the next entry that still avoided
+   * the owner had it claimed again. It went on for as long as requests arrived.
    */
   @Nested
-  class AfterTheOwnerTookTheRunnerBack {
+  class AfterPreemptionByTheOwner {
 
     @Test
-    void wishesToClaimItAreRefusedForSomeTime() {
-      assertThat(owned.wishClaim(1_000, 4_000)).isTrue();
-      assertThat(owned.isClaimWished(1_001)).isTrue();
+    void claimRequestsAreRefusedUntilThePauseEnds() {
+      assertThat(owned.requestClaim(1_000, 4_000)).isTrue();
+      assertThat(owned.isClaimRequested(1_001)).isTrue();
       owned.preempted(2_000, 20_000);
-      assertThat(owned.isClaimWished(2_001)).isFalse();
-      assertThat(owned.wishClaim(21_999, 4_000)).isFalse();
-      assertThat(owned.wishClaim(22_000, 4_000)).isTrue();
+      assertThat(owned.isClaimRequested(2_001)).isFalse();
+      assertThat(owned.requestClaim(21_999, 4_000)).isFalse();
+      assertThat(owned.requestClaim(22_000, 4_000)).isTrue();
     }
   }
 
   /**
-   * Symptom: right after the whole fleet was started, a request is refused with no-authority.
-   *
-   * <p>Events: every lease granter has just started and abstains for one term, which is three
-   * rounds of claims; all three hosts that may have the runner refuse in turn.
+   * Guards against requests that are refused with no-authority right after a start of the whole
+   * fleet.
    *
-   * <p>Cause: claims were given up after as many rounds as the granters abstain for.
+   * <p>Each lease granter abstains for one term after its start, which is three rounds of claims. A
+   * dispatcher that stops claiming after as many rounds refuses the request, and so does each of
+   * the three hosts that may claim the runner.
    */
   @Test
-  void claimsAreNotGivenUpWhileNewGrantersAbstain() {
+  void claimsContinueWhileNewGrantersAbstain() {
     for (int round = 0; round < 5; round++) {
       owned.claimRoundStarted();
       assertThat(owned.cannotGainAuthority()).isFalse();
@@ -60,9 +58,9 @@
   }
 
   @Test
-  void wishToClaimLapses() {
-    assertThat(owned.wishClaim(0, 4_000)).isTrue();
-    assertThat(owned.isClaimWished(3_999)).isTrue();
-    assertThat(owned.isClaimWished(4_000)).isFalse();
+  void claimRequestExpires() {
+    assertThat(owned.requestClaim(0, 4_000)).isTrue();
+    assertThat(owned.isClaimRequested(3_999)).isTrue();
+    assertThat(owned.isClaimRequested(4_000)).isFalse();
   }
 }
--- a/sequoia-entry/src/main/java/org/sequoiahub/entry/AnswerAssembler.java
+++ b/sequoia-entry/src/main/java/org/sequoiahub/entry/AnswerAssembler.java
@@ -10,14 +10,14 @@
 import java.util.TreeMap;
 import org.jspecify.annotations.Nullable;
 
-/** Puts the events of a streamed answer together into the answer of a plain call. */
+/** Assembles the events of a streamed answer into the answer to a non-streamed call. */
 final class AnswerAssembler {
 
   private static final ObjectMapper MAPPER = new ObjectMapper();
 
   private final boolean chat;
   private final Map<Integer, Choice> choices = new TreeMap<>();
-  private @Nullable JsonNode last;
+  private @Nullable JsonNode lastEvent;
   private @Nullable JsonNode usage;
 
   AnswerAssembler(boolean chat) {
@@ -25,9 +25,9 @@
   }
 
   /**
-   * Takes in one event.
+   * Adds the next event of the stream.
    *
-   * @throws IllegalArgumentException if it is not JSON
+   * @throws IllegalArgumentException if the event is not JSON
    */
   void add(byte[] event) {
     JsonNode node;
@@ -36,7 +36,7 @@
     } catch (IOException e) {
       throw new IllegalArgumentException("event must be JSON", e);
     }
-    last = node;
+    lastEvent = node;
     if (node.has("usage")) {
       usage = node.get("usage");
     }
@@ -50,23 +50,23 @@
     }
   }
 
-  /** Returns the whole answer as JSON. */
+  /** Returns the assembled answer as JSON. */
   byte[] answer() {
     ObjectNode answer = MAPPER.createObjectNode();
-    if (last != null) {
-      answer.put("id", last.path("id").asText());
-      answer.put("model", last.path("model").asText());
+    if (lastEvent != null) {
+      answer.put("id", lastEvent.path("id").asText());
+      answer.put("model", lastEvent.path("model").asText());
     }
     answer.put("object", chat ? "chat.completion" : "text_completion");
     ArrayNode list = answer.putArray("choices");
-    choices.forEach((index, choice) -> list.add(choice.json(index, chat)));
+    choices.forEach((index, choice) -> list.add(choice.toJson(index, chat)));
     if (usage != null) {
       answer.set("usage", usage);
     }
     try {
       return MAPPER.writeValueAsBytes(answer);
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("an assembled answer must be writable", e);
+      throw new IllegalStateException("cannot serialize the assembled answer as JSON", e);
     }
   }
 
@@ -74,7 +74,7 @@
     private final StringBuilder text = new StringBuilder();
     private @Nullable String finishReason;
 
-    ObjectNode json(int index, boolean chat) {
+    ObjectNode toJson(int index, boolean chat) {
       ObjectNode node = MAPPER.createObjectNode();
       node.put("index", index);
       if (chat) {
--- a/sequoia-entry/src/main/java/org/sequoiahub/entry/Entry.java
+++ b/sequoia-entry/src/main/java/org/sequoiahub/entry/Entry.java
@@ -19,8 +19,8 @@
 import org.sequoiahub.core.record.DefaultRecordParser;
 import org.sequoiahub.core.route.RouteSettings;
 import org.sequoiahub.runtime.admin.AdminServer;
+import org.sequoiahub.runtime.duty.DeferredInbox;
 import org.sequoiahub.runtime.duty.Duty;
-import org.sequoiahub.runtime.duty.Inbox;
 import org.sequoiahub.runtime.duty.MonotonicClock;
 import org.sequoiahub.runtime.log.EventLog;
 import org.sequoiahub.runtime.settings.Endpoint;
@@ -31,13 +31,13 @@
 import org.sequoiahub.wire.WireClients;
 import org.sequoiahub.wire.WireThreads;
 
-/** A running entry: its thread, ports and clients. */
+/** The entry process: accepts requests of callers over HTTP and routes them to dispatchers. */
 public final class Entry implements AutoCloseable {
 
-  private static final int RING = 65_536;
-  private static final long TICK_MILLIS = 25;
-  private static final int MAX_THREADS = 16;
-  private static final int MIN_THREADS = 4;
+  private static final int EVENT_QUEUE_CAPACITY = 65_536;
+  private static final long TICK_INTERVAL_MILLIS = 25;
+  private static final int MAX_HTTP_THREADS = 16;
+  private static final int MIN_HTTP_THREADS = 4;
   private static final int MAX_HEADER_BYTES = 16 << 10;
   private static final int CONNECTIONS_PER_REQUEST = 2;
   private static final long IDLE_GRACE_MILLIS = 30_000;
@@ -56,48 +56,48 @@
     this.settings = settings;
     this.log = new EventLog("entry", settings.getHostId());
     final MetricRegistry metrics = new MetricRegistry();
-    this.network = WireThreads.one("wire");
+    this.network = WireThreads.singleThread("wire");
     this.clients = new WireClients(network, settings.getSilenceMs());
     this.tracing = Tracing.create(settings.getTraces(), settings.getOtlpEndpoint(), "entry", log);
-    Inbox<EntryEvent> events = new Inbox<>();
-    EntryDuty state = state(metrics, events);
+    DeferredInbox<EntryEvent> events = new DeferredInbox<>();
+    EntryDuty entryDuty = createDuty(metrics, events);
     ViewFeed feed =
         new ViewFeed(
-            clients.to(Endpoint.of(settings.getWatcher())),
+            clients.clientOf(Endpoint.of(settings.getWatcher())),
             false,
-            update -> events.accept(new EntryEvent.Viewed(update)));
+            update -> events.accept(new EntryEvent.ViewUpdated(update)));
     this.duty =
         new Duty<>(
             "entry",
-            RING,
-            () -> TICK_MILLIS,
-            state::handle,
+            EVENT_QUEUE_CAPACITY,
+            () -> TICK_INTERVAL_MILLIS,
+            entryDuty::handle,
             now -> {
               feed.tick(now);
-              state.tick(now);
+              entryDuty.tick(now);
             },
-            state::failed,
+            entryDuty::logFailure,
             MonotonicClock.SYSTEM);
-    events.connectTo(duty);
+    events.forwardTo(duty);
     this.admin =
         new AdminServer(
             settings.getBindAddress(),
             settings.getAdminPort(),
             metrics,
-            state::isReady,
-            state::status);
-    QueuedThreadPool threads = new QueuedThreadPool(MAX_THREADS, MIN_THREADS);
+            entryDuty::isReady,
+            entryDuty::status);
+    QueuedThreadPool threads = new QueuedThreadPool(MAX_HTTP_THREADS, MIN_HTTP_THREADS);
     threads.setName("http");
     threads.setDaemon(true);
     this.server = new Server(threads);
     this.connector = connector();
     server.addConnector(connector);
-    // Each connection holds buffers. Without a limit a burst of callers fills the heap, and the
-    // process, and every stream through it, ends with an out-of-memory error.
+    // Each connection holds buffers. Without a limit, a burst of callers fills the heap, and an
+    // out-of-memory error ends the process and every stream through it.
     server.addBean(
         new NetworkConnectionLimit(CONNECTIONS_PER_REQUEST * settings.getMaxInFlight(), connector));
     server.setErrorHandler(new EntryErrorHandler());
-    server.setHandler(new EntryHandler(settings, duty, tracing, requestIds()));
+    server.setHandler(new EntryHandler(settings, duty, tracing, createRequestIdSource()));
   }
 
   /**
@@ -115,7 +115,9 @@
     return entry;
   }
 
-  /** Stops admitting, finishes every request in progress, then stops. */
+  /**
+   * Refuses new requests, waits up to the shutdown grace period for those in progress, and stops.
+   */
   @Override
   public void close() throws Exception {
     CountDownLatch drained = new CountDownLatch(1);
@@ -140,12 +142,12 @@
     ServerConnector open = new ServerConnector(server, 1, 1, new HttpConnectionFactory(http));
     open.setHost(settings.getBindAddress());
     open.setPort(settings.getHttpPort());
-    // A queued request sends nothing for as long as it waits: that is no reason to cut it.
+    // The connection of a queued request is idle while it waits and must not be closed for that.
     open.setIdleTimeout(settings.getRequestTimeoutMs() + IDLE_GRACE_MILLIS);
     return open;
   }
 
-  private EntryDuty state(MetricRegistry metrics, Consumer<EntryEvent> events) {
+  private EntryDuty createDuty(MetricRegistry metrics, Consumer<EntryEvent> events) {
     LocalView view = new LocalView(new DefaultRecordParser());
     DispatcherDirectory dispatchers = new DispatcherDirectory(clients);
     SplittableRandom random = new SplittableRandom(new SecureRandom().nextLong());
@@ -153,12 +155,12 @@
         settings.getDeployment().equals("dhuwaan")
             ? RouteSettings.dhuwaan()
             : RouteSettings.ashcombe();
-    InFlightRequests flights =
+    InFlightRequests requests =
         new InFlightRequests(
             settings,
             view,
             dispatchers,
-            new FlightEvents(events),
+            new AttemptListenerFactory(events),
             routing,
             random.split(),
             tracing,
@@ -167,11 +169,11 @@
     ServiceFrontEnd services =
         new ServiceFrontEnd(settings, view, dispatchers, events, random.split(), tracing);
     return new EntryDuty(
-        settings, view, flights, services, dispatchers, MonotonicClock.SYSTEM, metrics, log);
+        settings, view, requests, services, dispatchers, MonotonicClock.SYSTEM, metrics, log);
   }
 
-  /** Returns a source of ids that are unique in the fleet. */
-  private Supplier<String> requestIds() {
+  /** Creates a source of request ids that are unique in the fleet. */
+  private Supplier<String> createRequestIdSource() {
     String incarnation = Long.toHexString(new SecureRandom().nextLong());
     AtomicLong last = new AtomicLong();
     return () -> settings.getHostId() + "-" + incarnation + "-" + last.incrementAndGet();
--- a/sequoia-entry/src/main/java/org/sequoiahub/entry/Flight.java
+++ b/sequoia-entry/src/main/java/org/sequoiahub/entry/InferenceRequest.java
@@ -13,10 +13,15 @@
 import org.sequoiahub.schema.wire.InferenceCall;
 import org.sequoiahub.wire.WireClient;
 
-/** One inference request of a caller, across all its attempts. */
-final class Flight {
+/**
+ * The state of one inference request of a caller, across all its runs and attempts.
+ *
+ * <p>A run assigns the request to a runner; an attempt sends a run to a dispatcher. A run may take
+ * several attempts, and a request several runs.
+ */
+final class InferenceRequest {
 
-  private static final int CHUNKS_AHEAD = 1_024;
+  private static final int MAX_CHUNKS_AHEAD = 1_024;
 
   private final long number;
   private final CallerContext caller;
@@ -28,19 +33,19 @@
   private final long deadlineMillis;
   private final Set<String> excludedRunners = new HashSet<>();
   private final Set<String> excludedHosts = new HashSet<>();
-  private ChunkSequencer sequencer = new ChunkSequencer(0, CHUNKS_AHEAD);
+  private ChunkSequencer sequencer = new ChunkSequencer(0, MAX_CHUNKS_AHEAD);
   private int attempt;
   private int runs;
   private int resumes;
   private @Nullable Runner runner;
   private @Nullable String host;
   private @Nullable WireClient client;
-  private long call;
+  private long callNumber;
   private boolean started;
-  private boolean cancelAsked;
+  private boolean cancelRequested;
   private @Nullable Verdict verdict;
 
-  Flight(
+  InferenceRequest(
       long number,
       CallerContext caller,
       String path,
@@ -93,15 +98,16 @@
     return host;
   }
 
+  /** Returns whether the runner has started the current run. */
   boolean isStarted() {
     return started;
   }
 
-  void started() {
+  void markStarted() {
     started = true;
   }
 
-  long delivered() {
+  long deliveredChunks() {
     return sequencer.delivered();
   }
 
@@ -113,41 +119,41 @@
     return excludedHosts;
   }
 
-  /** Begins a run on a runner; a new run's chunks are numbered from 1 again. */
+  /** Begins a run on the given runner. The chunks of a new run are numbered from 1 again. */
   void beginRun(Runner chosen) {
     runner = chosen;
     runs++;
     started = false;
-    sequencer = new ChunkSequencer(0, CHUNKS_AHEAD);
+    sequencer = new ChunkSequencer(0, MAX_CHUNKS_AHEAD);
     excludedHosts.clear();
   }
 
-  /** Begins an attempt to reach the run through a dispatcher and returns the attempt's number. */
-  int beginAttempt(String throughHost) {
-    host = throughHost;
+  /** Begins an attempt through the dispatcher on the given host and returns its number. */
+  int beginAttempt(String dispatcherHost) {
+    host = dispatcherHost;
     return ++attempt;
   }
 
-  void countResume() {
+  void incrementResumes() {
     resumes++;
   }
 
-  void calling(WireClient through, long number) {
-    client = through;
-    call = number;
+  void setCall(WireClient newClient, long newCallNumber) {
+    client = newClient;
+    callNumber = newCallNumber;
   }
 
-  /** Returns true the first time only: one cancel is enough. */
-  boolean tryCancel() {
-    boolean first = !cancelAsked;
-    cancelAsked = true;
+  /** Returns true on the first invocation only, so that cancellation is requested once. */
+  boolean markCancelRequested() {
+    boolean first = !cancelRequested;
+    cancelRequested = true;
     return first;
   }
 
-  /** Ends the present call: nothing more is wanted of it. */
+  /** Ends the current call to the dispatcher, if any; its later messages are ignored. */
   void endCall() {
     if (client != null) {
-      client.end(call);
+      client.endCall(callNumber);
       client = null;
     }
   }
@@ -156,11 +162,12 @@
     return client;
   }
 
-  long call() {
-    return call;
+  long callNumber() {
+    return callNumber;
   }
 
-  InferenceCall.Builder message(long remainingMillis, boolean fallback, String traceparent) {
+  InferenceCall.Builder newInferenceCall(
+      long remainingMillis, boolean fallback, String traceparent) {
     return InferenceCall.newBuilder()
         .setRequestId(caller.requestId() + "." + runs)
         .setAdapter(adapter().adapter())
@@ -179,37 +186,46 @@
     return engineBody;
   }
 
-  /** Takes in a chunk and passes on what is in order; false if the caller is gone. */
-  boolean chunk(long sequence, byte[] data) {
+  /**
+   * Accepts a chunk and passes all chunks that are now in order on to the caller.
+   *
+   * @return false if the caller is gone or reads too slowly
+   */
+  boolean acceptChunk(long sequence, byte[] data) {
     List<byte[]> ready = sequencer.accept(sequence, data);
-    for (byte[] piece : ready) {
+    for (byte[] next : ready) {
       if (!streamed) {
-        assembler.add(piece);
-      } else if (!caller.reply().event(piece)) {
+        assembler.add(next);
+      } else if (!caller.reply().sendEvent(next)) {
         return false;
       }
     }
     return !caller.reply().isBroken();
   }
 
-  /** Takes in the end marker; returns whether the answer is whole. */
-  boolean end(long chunks) {
+  /**
+   * Accepts the end marker.
+   *
+   * @param chunks the number of chunks in the whole answer
+   * @return whether the answer is complete
+   */
+  boolean acceptEnd(long chunks) {
     sequencer.end(chunks);
     return sequencer.isComplete();
   }
 
-  /** Passes the end of a whole answer on. */
-  void finishWhole() {
+  /** Completes the caller's answer, all chunks of which must have been accepted. */
+  void completeAnswer() {
     if (streamed) {
-      caller.reply().endEvents();
+      caller.reply().completeEvents();
     } else {
-      caller.reply().json(200, assembler.answer());
+      caller.reply().sendJson(200, assembler.answer());
     }
   }
 
-  /** Adds what an attempt's end says about whether the request ran, and returns the sum. */
-  Verdict combine(Verdict ofAttempt) {
-    Verdict combined = verdict == null ? ofAttempt : verdict.combinedWith(ofAttempt);
+  /** Combines an attempt's verdict with those of earlier attempts and returns the result. */
+  Verdict combineVerdict(Verdict attemptVerdict) {
+    Verdict combined = verdict == null ? attemptVerdict : verdict.combinedWith(attemptVerdict);
     verdict = combined;
     return combined;
   }
--- a/sequoia-entry/src/main/java/org/sequoiahub/entry/ServiceFrontEnd.java
+++ b/sequoia-entry/src/main/java/org/sequoiahub/entry/ServiceFrontEnd.java
@@ -27,10 +27,10 @@
 import org.sequoiahub.wire.LocalView;
 import org.sequoiahub.wire.WireClient;
 
-/** Callers' calls of plain services, and their questions which address to use. */
+/** Forwards callers' service calls to dispatchers and answers their address requests. */
 final class ServiceFrontEnd {
 
-  private static final int ALTERNATIVES = 3;
+  private static final int MAX_ALTERNATIVES = 3;
   private static final long RETRY_AFTER_MILLIS = 1_000;
 
   private final EntrySettings settings;
@@ -40,7 +40,7 @@
   private final RetryBudget budget;
   private final SplittableRandom random;
   private final Tracing tracing;
-  private int inProgress;
+  private int callsInProgress;
   private boolean stopping;
 
   ServiceFrontEnd(
@@ -60,33 +60,38 @@
   }
 
   int size() {
-    return inProgress;
+    return callsInProgress;
   }
 
   void stop() {
     stopping = true;
   }
 
-  /** Answers which addresses to use, and with operation ids if some were asked for. */
-  void address(EntryEvent.Address event, long nowMillis) {
-    if (event.operations() == 0) {
-      answerAddress(event.caller(), List.of());
+  /** Sends the addresses to use, along with the requested number of new operation ids. */
+  void handleAddress(EntryEvent.Address event, long nowMillis) {
+    if (event.operationIdCount() == 0) {
+      sendAddresses(event.caller(), List.of());
       return;
     }
-    mint(
-        event.operations(),
+    requestOperationIds(
+        event.operationIdCount(),
         nowMillis,
-        minted -> answerAddress(event.caller(), minted),
+        issued -> sendAddresses(event.caller(), issued),
         () ->
             refuse(
                 event.caller(),
                 HttpStatus.SERVICE_UNAVAILABLE_503,
                 new NotRun(
-                    "no-dispatcher", "no operation ids can be had now", RETRY_AFTER_MILLIS)));
+                    "no-dispatcher",
+                    "no dispatcher can be reached to issue operation ids; retry later",
+                    RETRY_AFTER_MILLIS)));
   }
 
-  /** Makes a service call, or answers 428 with a fresh operation id. */
-  void call(EntryEvent.Service event, long nowMillis) {
+  /**
+   * Forwards a service call to a dispatcher. A call that is not idempotent and has no operation id
+   * is answered with status 428 and a new operation id.
+   */
+  void handleCall(EntryEvent.Service event, long nowMillis) {
     Optional<PlatformRecord.Service> record =
         view.records()
             .record("services/" + event.service())
@@ -110,132 +115,144 @@
             .setRemainingMs(timeout)
             .setTraceparent(tracing.traceparent(event.caller().span()));
     if (record.get().idempotentMethods().contains(event.method())) {
-      send(message.setIdempotent(true), event.caller(), anyOrder(), nowMillis);
+      send(message.setIdempotent(true), event.caller(), shuffledLiveHosts(), nowMillis);
     } else if (event.operationId().isEmpty()) {
-      demandOperationId(event.caller(), nowMillis);
+      requireOperationId(event.caller(), nowMillis);
     } else {
       sendOperation(message, event, nowMillis);
     }
   }
 
-  private void demandOperationId(CallerContext caller, long nowMillis) {
-    mint(
+  private void requireOperationId(CallerContext caller, long nowMillis) {
+    requestOperationIds(
         1,
         nowMillis,
-        minted -> {
-          caller.reply().header(Headers.OPERATION, minted.get(0));
+        issued -> {
+          caller.reply().setHeader(Headers.OPERATION_ID, issued.get(0));
           refuse(
               caller,
               HttpStatus.PRECONDITION_REQUIRED_428,
               new NotRun(
                   "operation-id-required",
-                  "repeat the call with this answer's " + Headers.OPERATION + " header",
+                  "repeat the call with the operation id in this answer's "
+                      + Headers.OPERATION_ID
+                      + " header",
                   1));
         },
         () ->
             refuse(
                 caller,
                 HttpStatus.SERVICE_UNAVAILABLE_503,
-                new NotRun("no-dispatcher", "no operation id can be had now", RETRY_AFTER_MILLIS)));
+                new NotRun(
+                    "no-dispatcher",
+                    "no dispatcher can be reached to issue an operation id; retry later",
+                    RETRY_AFTER_MILLIS)));
   }
 
   /**
-   * Sends an operation to the one host whose dispatcher may run it. If that host cannot be reached,
-   * nobody else can tell whether an earlier call with this id ran, so the verdict is a doubt even
-   * though this call itself was not handed on.
+   * Sends an operation to the only host whose dispatcher may run it. If that host cannot be
+   * reached, no other host knows whether an earlier call with this id ran. The verdict is therefore
+   * {@code MAY_HAVE_RUN}, even if this call itself was never sent.
    */
   private void sendOperation(
       ServiceCall.Builder message, EntryEvent.Service event, long nowMillis) {
     OperationId id = OperationId.parse(event.operationId()).orElseThrow();
-    event.caller().reply().header(Headers.OPERATION, id.toString());
+    event.caller().reply().setHeader(Headers.OPERATION_ID, id.toString());
     Optional<Host> owner = view.fleet().host(id.host());
     if (owner.isEmpty()) {
-      doubt(event.caller(), "operation-owner-gone", "the host that handed the id out is gone");
+      failMayHaveRun(
+          event.caller(),
+          "operation-owner-gone",
+          "the host that issued the operation id is no longer in the fleet;"
+              + " check whether the operation took effect before you repeat it with a new id");
       return;
     }
     message.setOperationId(id.toString());
-    inProgress++;
+    callsInProgress++;
     WireClient client = dispatchers.client(owner.get());
     client.call(
         Envelope.newBuilder().setService(message),
-        new OneAnswer(
+        new SingleAnswerListener(
             client,
-            answer -> answered(event.caller(), answer.getOutcome()),
+            answer -> complete(event.caller(), answer.getOutcome()),
             handedOn ->
-                doubt(
+                failMayHaveRun(
                     event.caller(),
                     "operation-owner-unreachable",
-                    "repeat with the same operation id")));
+                    "the host that issued the operation id cannot be reached;"
+                        + " repeat the call with the same id")));
   }
 
   private void send(
       ServiceCall.Builder message, CallerContext caller, List<Host> hosts, long nowMillis) {
-    Optional<Host> host = dispatchers.bestOf(hosts, nowMillis);
+    Optional<Host> host = dispatchers.preferReachable(hosts, nowMillis);
     if (host.isEmpty()) {
       refuse(
           caller,
           HttpStatus.SERVICE_UNAVAILABLE_503,
-          new NotRun("no-dispatcher", "no dispatcher can be reached", RETRY_AFTER_MILLIS));
+          new NotRun(
+              "no-dispatcher", "no dispatcher can be reached; retry later", RETRY_AFTER_MILLIS));
       return;
     }
-    inProgress++;
+    callsInProgress++;
     budget.recordFirstAttempt();
     List<Host> others = hosts.stream().filter(h -> !h.id().equals(host.get().id())).toList();
     WireClient client = dispatchers.client(host.get());
     client.call(
         Envelope.newBuilder().setService(message),
-        new OneAnswer(
+        new SingleAnswerListener(
             client,
-            answer -> idempotentAnswered(message, caller, others, answer.getOutcome(), nowMillis),
+            answer ->
+                handleIdempotentOutcome(message, caller, others, answer.getOutcome(), nowMillis),
             handedOn -> {
-              dispatchers.failed(host.get().id(), nowMillis);
-              retry(message, caller, others, nowMillis);
+              dispatchers.markUnreachable(host.get().id(), nowMillis);
+              retryOnAnotherHost(message, caller, others, nowMillis);
             }));
   }
 
-  private void idempotentAnswered(
+  private void handleIdempotentOutcome(
       ServiceCall.Builder message,
       CallerContext caller,
       List<Host> others,
       Outcome outcome,
       long nowMillis) {
     if (outcome.getComplete() || others.isEmpty() || !budget.tryAcquireRetry()) {
-      answered(caller, outcome);
+      complete(caller, outcome);
     } else {
-      inProgress--;
+      callsInProgress--;
       send(message, caller, others, nowMillis);
     }
   }
 
-  private void retry(
+  private void retryOnAnotherHost(
       ServiceCall.Builder message, CallerContext caller, List<Host> others, long nowMillis) {
-    inProgress--;
+    callsInProgress--;
     if (others.isEmpty() || !budget.tryAcquireRetry()) {
-      inProgress++;
-      doubt(caller, "dispatcher-lost", "the dispatcher's connection is gone");
+      callsInProgress++;
+      failMayHaveRun(caller, "dispatcher-lost", "the connection to the dispatcher was lost");
     } else {
       send(message, caller, others, nowMillis);
     }
   }
 
-  private void answered(CallerContext caller, Outcome outcome) {
-    inProgress--;
+  private void complete(CallerContext caller, Outcome outcome) {
+    callsInProgress--;
     if (!outcome.getComplete()) {
-      caller.reply().failed(outcome);
+      caller.reply().sendFailure(outcome);
     } else {
-      caller.reply().verdict(RunVerdict.RAN);
-      caller.reply().header(Headers.RUNNER, outcome.getRunner());
-      outcome.getHeadersMap().forEach(caller.reply()::header);
-      caller.reply().bytes(outcome.getStatus(), outcome.getBody().toByteArray());
+      caller.reply().setVerdict(RunVerdict.RAN);
+      caller.reply().setHeader(Headers.RUNNER, outcome.getRunner());
+      outcome.getHeadersMap().forEach(caller.reply()::setHeader);
+      caller.reply().sendBytes(outcome.getStatus(), outcome.getBody().toByteArray());
     }
     endSpan(caller, outcome.getVerdict());
   }
 
-  private void doubt(CallerContext caller, String reason, String message) {
-    inProgress = Math.max(0, inProgress - 1);
+  private void failMayHaveRun(CallerContext caller, String reason, String message) {
+    callsInProgress = Math.max(0, callsInProgress - 1);
     caller
         .reply()
-        .failed(
+        .sendFailure(
             Outcome.newBuilder()
                 .setVerdict(RunVerdict.MAY_HAVE_RUN)
                 .setStatus(HttpStatus.BAD_GATEWAY_502)
@@ -245,40 +262,40 @@
     endSpan(caller, RunVerdict.MAY_HAVE_RUN);
   }
 
-  private void mint(
-      int count, long nowMillis, Consumer<List<String>> minted, Runnable unreachable) {
-    // The dispatcher beside this entry first: the two are replaced together.
-    List<Host> hosts = new ArrayList<>(anyOrder());
-    hosts.sort((a, b) -> Boolean.compare(isHere(b), isHere(a)));
-    Optional<Host> host = dispatchers.bestOf(hosts, nowMillis);
+  private void requestOperationIds(
+      int count, long nowMillis, Consumer<List<String>> onIssued, Runnable onUnreachable) {
+    // The dispatcher on this entry's host comes first because the two are replaced together.
+    List<Host> hosts = new ArrayList<>(shuffledLiveHosts());
+    hosts.sort((a, b) -> Boolean.compare(isLocal(b), isLocal(a)));
+    Optional<Host> host = dispatchers.preferReachable(hosts, nowMillis);
     if (host.isEmpty()) {
-      unreachable.run();
+      onUnreachable.run();
       return;
     }
     WireClient client = dispatchers.client(host.get());
     client.call(
         Envelope.newBuilder().setMint(MintCall.newBuilder().setCount(count)),
-        new OneAnswer(
+        new SingleAnswerListener(
             client,
-            answer -> minted.accept(ids(answer.getMinted())),
+            answer -> onIssued.accept(operationIds(answer.getMinted())),
             handedOn -> {
-              dispatchers.failed(host.get().id(), nowMillis);
-              unreachable.run();
+              dispatchers.markUnreachable(host.get().id(), nowMillis);
+              onUnreachable.run();
             }));
   }
 
-  private void answerAddress(CallerContext caller, List<String> operationIds) {
+  private void sendAddresses(CallerContext caller, List<String> operationIds) {
     List<String> addresses =
-        anyOrder().stream()
-            .filter(host -> !(stopping && isHere(host)))
+        shuffledLiveHosts().stream()
+            .filter(host -> !(stopping && isLocal(host)))
             .map(host -> host.address() + ":" + host.entryPort())
-            .limit(1 + ALTERNATIVES)
+            .limit(1 + MAX_ALTERNATIVES)
             .toList();
     if (addresses.isEmpty()) {
       refuse(
           caller,
           HttpStatus.SERVICE_UNAVAILABLE_503,
-          new NotRun("no-host", "no entry host is known to be live", RETRY_AFTER_MILLIS));
+          new NotRun("no-host", "no live entry host is known; retry later", RETRY_AFTER_MILLIS));
       return;
     }
     Map<String, Object> answer = new LinkedHashMap<>();
@@ -286,13 +303,13 @@
     answer.put("alternatives", addresses.subList(1, addresses.size()));
     answer.put("keep_ms", settings.getAddressTtlMs());
     answer.put("operation_ids", operationIds);
-    caller.reply().verdict(RunVerdict.RAN);
-    caller.reply().json(HttpStatus.OK_200, answer);
+    caller.reply().setVerdict(RunVerdict.RAN);
+    caller.reply().sendJson(HttpStatus.OK_200, answer);
     endSpan(caller, RunVerdict.RAN);
   }
 
-  /** Returns the live hosts in a random order, so that callers spread over them. */
-  private List<Host> anyOrder() {
+  /** Returns the live hosts in random order, so that callers are spread over them. */
+  private List<Host> shuffledLiveHosts() {
     List<Host> hosts = new ArrayList<>(view.fleet().liveHosts());
     for (int i = hosts.size() - 1; i > 0; i--) {
       int j = random.nextInt(i + 1);
@@ -303,12 +320,12 @@
     return hosts;
   }
 
-  private boolean isHere(Host host) {
+  private boolean isLocal(Host host) {
     return host.id().equals(settings.getHostId());
   }
 
   private void refuse(CallerContext caller, int status, NotRun refusal) {
-    caller.reply().notRun(status, refusal);
+    caller.reply().sendNotRun(status, refusal);
     endSpan(caller, RunVerdict.NOT_RUN);
   }
 
@@ -318,31 +335,31 @@
     span.end();
   }
 
-  private static List<String> ids(MintAnswer answer) {
+  private static List<String> operationIds(MintAnswer answer) {
     return answer.getOperationIdsList();
   }
 
-  /** A call with one answer, handled on the duty's thread. */
-  private final class OneAnswer implements CallListener {
+  /** Listens for the single answer to a call and has it handled on the duty's thread. */
+  private final class SingleAnswerListener implements CallListener {
     private final WireClient client;
-    private final Consumer<Envelope> answered;
+    private final Consumer<Envelope> onAnswer;
     private final Consumer<Boolean> lost;
 
-    OneAnswer(WireClient client, Consumer<Envelope> answered, Consumer<Boolean> lost) {
+    SingleAnswerListener(WireClient client, Consumer<Envelope> answered, Consumer<Boolean> lost) {
       this.client = client;
-      this.answered = answered;
+      this.onAnswer = answered;
       this.lost = lost;
     }
 
     @Override
-    public void message(Envelope message) {
-      client.end(message.getCall());
-      events.accept(new EntryEvent.Then(() -> answered.accept(message)));
+    public void onMessage(Envelope message) {
+      client.endCall(message.getCall());
+      events.accept(new EntryEvent.CallCompleted(() -> onAnswer.accept(message)));
     }
 
     @Override
-    public void lost(boolean handedOn) {
-      events.accept(new EntryEvent.Then(() -> lost.accept(handedOn)));
+    public void onConnectionLost(boolean handedOn) {
+      events.accept(new EntryEvent.CallCompleted(() -> lost.accept(handedOn)));
     }
   }
 }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/Node.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/Node.java
@@ -65,8 +65,8 @@
 import org.sequoiahub.usersplatform.OrderClient;
 import org.sequoiahub.usersplatform.RecordDecoder;
 import org.sequoiahub.usersplatform.StoreClient;
+import org.sequoiahub.usersplatform.StoreKeys;
 import org.sequoiahub.usersplatform.StoredItem;
-import org.sequoiahub.usersplatform.StoredKeys;
 import org.sequoiahub.wire.WireClients;
 import org.sequoiahub.wire.WireConnection;
 import org.sequoiahub.wire.WireServer;
@@ -136,7 +136,7 @@
   private final EventLog log;
   private final MetricRegistry metrics = new MetricRegistry();
   private final Random random = new Random(new SecureRandom().nextLong());
-  private final EventLoopGroup network = WireThreads.one("peers");
+  private final EventLoopGroup network = WireThreads.singleThread("peers");
   private final HttpClient storeHttp;
   private final HttpClient runnerHttp;
   private final Duty<Runnable> decisionThread;
@@ -193,7 +193,7 @@
         new AllowanceLimiter(
             spending,
             hostSettings.allowances(),
-            hostSettings.expectsOthers(),
+            hostSettings.expectsOtherHosts(),
             random::nextDouble,
             startedMillis);
     KeyHasher keys = KeyHasher.withRandomSecret(new SecureRandom());
@@ -290,11 +290,11 @@
             storeRegistry,
             newStoreFollower(
                 storeClient,
-                StoredKeys.OPERATOR_PREFIX,
+                StoreKeys.OPERATOR_PREFIX,
                 WatchTiming.within(hostSettings.configurationMillis(), 0)),
             newStoreFollower(
                 storeClient,
-                StoredKeys.RUNNER_PREFIX,
+                StoreKeys.RUNNER_PREFIX,
                 WatchTiming.within(hostSettings.drainMillis(), RUNNER_WATCH_SPACING_MILLIS)),
             new RecordExchange(
                 RecordExchange.callsOver(wireClients, hostSettings.peerPort()),
@@ -468,7 +468,7 @@
       HostState state = other.state();
       hosts = Math.max(hosts, state == null ? 0 : state.getFleetSize());
     }
-    return hosts == 1 && hostSettings.expectsOthers() ? 0 : hosts;
+    return hosts == 1 && hostSettings.expectsOtherHosts() ? 0 : hosts;
   }
 
   private long tickPeriodMillis() {
@@ -704,7 +704,7 @@
 
   private final class PeerHandler implements WireServer.Handler {
     @Override
-    public void message(WireConnection connection, Envelope message) {
+    public void onMessage(WireConnection connection, Envelope message) {
       if (message.hasStorePull()) {
         decisionThread.put(
             () ->
@@ -720,7 +720,7 @@
     }
 
     @Override
-    public void closed(WireConnection connection) {
+    public void onClosed(WireConnection connection) {
       // No state is kept per connection.
     }
   }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/LocalResponses.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/LocalResponses.java
@@ -6,8 +6,8 @@
 import org.eclipse.jetty.http.HttpStatus;
 import org.sequoiahub.node.caller.CallerExchange;
 import org.sequoiahub.runtime.log.EventLog;
-import org.sequoiahub.usersplatform.CallerDialect;
-import org.sequoiahub.usersplatform.CallerDialect.CallerHeaders;
+import org.sequoiahub.usersplatform.HeaderCodec;
+import org.sequoiahub.usersplatform.HeaderCodec.CallerHeaders;
 
 /** Sends the responses that this host generates itself, rather than a runner. */
 final class LocalResponses {
@@ -55,7 +55,7 @@
       long retryAfterMillis) {
     HttpFields.Mutable fields = HttpFields.build();
     if (!headers.requestId().isEmpty()) {
-      fields.put(CallerDialect.requestId(headers.requestId()));
+      fields.put(HeaderCodec.requestId(headers.requestId()));
     }
     if (retryAfterMillis >= 0) {
       fields.put(HttpHeader.RETRY_AFTER, Double.toString(retryAfterMillis / MILLIS_PER_SECOND));
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/RequestCoordinator.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/RequestCoordinator.java
@@ -42,9 +42,9 @@
 import org.sequoiahub.node.upstream.Outcome;
 import org.sequoiahub.node.upstream.UpstreamClient;
 import org.sequoiahub.runtime.log.EventLog;
-import org.sequoiahub.usersplatform.CallerDialect;
-import org.sequoiahub.usersplatform.CallerDialect.CallerHeaders;
-import org.sequoiahub.usersplatform.CallerDialect.RunnerHeaders;
+import org.sequoiahub.usersplatform.HeaderCodec;
+import org.sequoiahub.usersplatform.HeaderCodec.CallerHeaders;
+import org.sequoiahub.usersplatform.HeaderCodec.RunnerHeaders;
 
 /**
  * Coordinates each request from its arrival to the last byte of its response: admission, choice of
@@ -177,7 +177,7 @@
   /** Handles a request whose body has been read completely. */
   public void handle(CallerExchange exchange) {
     final long now = clock.getAsLong();
-    CallerHeaders headers = CallerDialect.decode(exchange.headers(), keyHasher);
+    CallerHeaders headers = HeaderCodec.decodeCaller(exchange.headers(), keyHasher);
     if (shutdown != null) {
       exchange.closeConnectionAfterResponse();
     }
@@ -560,7 +560,7 @@
             call.exchange.method(),
             call.exchange.pathAndQuery(),
             call.id(),
-            CallerDialect.toRunner(call.exchange.headers(), headers),
+            HeaderCodec.toRunner(call.exchange.headers(), headers),
             call.exchange.body(),
             call.route.repeatPolicy().isStream(),
             new CallAttemptListener(call, active));
--- a/sequoia-node/src/main/java/org/sequoiahub/node/holder/HolderService.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/holder/HolderService.java
@@ -335,7 +335,7 @@
         lastKnownMillis.values().removeIf(at -> nowMillis - at > ABSENT_RETENTION_MILLIS);
     if (anyForgotten) {
       firstSeenMillis.keySet().retainAll(lastKnownMillis.keySet());
-      granter.retain(lastKnownMillis.keySet());
+      granter.retainRunners(lastKnownMillis.keySet());
     }
   }
 
@@ -443,7 +443,7 @@
         } else {
           held.exclusiveGranters.remove(host);
         }
-        held.authority.granted(host, grant.getClaimSentMs(), nowMillis);
+        held.authority.claimGranted(host, grant.getClaimSentMs(), nowMillis);
       }
     }
   }
@@ -530,7 +530,7 @@
     if (nowMillis - startedMillis < DISCOVERY_MILLIS || (shape.isLarge() && !shape.isDelegate())) {
       return false;
     }
-    return !settings.expectsOthers() || !members.alive(nowMillis).isEmpty();
+    return !settings.expectsOtherHosts() || !members.alive(nowMillis).isEmpty();
   }
 
   private boolean shouldClaim(RunnerEntry runner, long nowMillis) {
@@ -547,7 +547,7 @@
     Set<String> electorate = members.electorate(nowMillis);
     boolean due = false;
     for (HeldRunner held : heldRunners.values()) {
-      held.authority.granters(electorate, nowMillis);
+      held.authority.updateGranters(electorate, nowMillis);
       due |= held.authority.claimDue(nowMillis);
     }
     if (!due) {
@@ -564,7 +564,7 @@
     for (HeldRunner held : heldRunners.values()) {
       held.authority.roundSent(nowMillis);
       if (granter.grant(held.runner.instance(), settings.host(), LEASE_MILLIS, nowMillis)) {
-        held.authority.granted(settings.host(), nowMillis, nowMillis);
+        held.authority.claimGranted(settings.host(), nowMillis, nowMillis);
       }
     }
   }
@@ -576,9 +576,9 @@
   private List<Member<HostState>> claimRecipients(int electorate, long nowMillis) {
     List<Member<HostState>> reachable = members.reachable(nowMillis);
     boolean renewed =
-        heldRunners.values().stream().allMatch(held -> held.authority.renewedByLastRound());
+        heldRunners.values().stream().allMatch(held -> held.authority.lastRoundSucceeded());
     return shape.isLarge() && renewed
-        ? RenewalRound.asked(reachable, electorate, claimRound++)
+        ? RenewalRound.selectHosts(reachable, electorate, claimRound++)
         : reachable;
   }
 
--- a/sequoia-node/src/main/java/org/sequoiahub/node/store/StoreFollower.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/store/StoreFollower.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.function.Consumer;
 import java.util.function.LongSupplier;
-import org.sequoiahub.usersplatform.StoreClient.Answer;
+import org.sequoiahub.usersplatform.StoreClient.Result;
 import org.sequoiahub.usersplatform.StoreReader;
 import org.sequoiahub.usersplatform.StoredItem;
 
@@ -96,10 +96,10 @@
     decisionExecutor.accept(work);
   }
 
-  private void pageReceived(Answer answer) {
+  private void pageReceived(Result answer) {
     long now = clock.getAsLong();
     callInFlight = false;
-    if (!(answer instanceof Answer.Items items)) {
+    if (!(answer instanceof Result.Items items)) {
       failed(answer, now);
       return;
     }
@@ -126,16 +126,16 @@
     listener.snapshot(prefix, all, revision, now);
   }
 
-  private void changesReceived(Answer answer) {
+  private void changesReceived(Result answer) {
     long now = clock.getAsLong();
     callInFlight = false;
-    if (answer instanceof Answer.Items items) {
+    if (answer instanceof Result.Items items) {
       succeeded(now);
       rereading = false;
       backoffMillis = INITIAL_BACKOFF_MILLIS;
       revision = Math.max(revision, items.revision());
       listener.changes(prefix, items.items(), revision, now);
-    } else if (answer instanceof Answer.HistoryLost) {
+    } else if (answer instanceof Result.HistoryLost) {
       succeeded(now);
       revision = -1;
       rereading = true;
@@ -159,7 +159,7 @@
     }
   }
 
-  private void failed(Answer answer, long nowMillis) {
+  private void failed(Result answer, long nowMillis) {
     dueMillis = nowMillis + nextBackoff();
     answerTimeoutMillis =
         Math.max(
--- a/sequoia-node/src/main/java/org/sequoiahub/node/store/StoreRegistry.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/store/StoreRegistry.java
@@ -18,8 +18,8 @@
 import org.sequoiahub.usersplatform.DecodeException;
 import org.sequoiahub.usersplatform.RecordDecoder;
 import org.sequoiahub.usersplatform.RecordDecoder.PublishedVersion;
+import org.sequoiahub.usersplatform.StoreKeys;
 import org.sequoiahub.usersplatform.StoredItem;
-import org.sequoiahub.usersplatform.StoredKeys;
 
 /**
  * The store's records, as accepted by this host. Runs on the decision thread.
@@ -88,12 +88,12 @@
 
   @Override
   public void snapshot(String prefix, List<StoredItem> items, long revision, long nowMillis) {
-    if (prefix.equals(StoredKeys.RUNNER_PREFIX)) {
+    if (prefix.equals(StoreKeys.RUNNER_PREFIX)) {
       List<Change> entries = new ArrayList<>();
       Set<String> unreadable = new HashSet<>();
       for (StoredItem item : items) {
         if (!addRunnerChange(item, entries)) {
-          unreadable.add(StoredKeys.runnerId(item.key()));
+          unreadable.add(StoreKeys.runnerId(item.key()));
         }
       }
       entries.forEach(this::recordIfRelevant);
@@ -145,7 +145,7 @@
   @Override
   public void changes(String prefix, List<StoredItem> items, long revision, long nowMillis) {
     boolean updated = false;
-    if (prefix.equals(StoredKeys.RUNNER_PREFIX)) {
+    if (prefix.equals(StoreKeys.RUNNER_PREFIX)) {
       List<Change> entries = new ArrayList<>();
       for (StoredItem item : items) {
         addRunnerChange(item, entries);
@@ -178,7 +178,7 @@
 
   /** Applies a record from another host, and returns whether it changed anything. */
   public boolean applyFromPeer(StoredItem item, long nowMillis) {
-    if (!item.key().startsWith(StoredKeys.RUNNER_PREFIX)) {
+    if (!item.key().startsWith(StoreKeys.RUNNER_PREFIX)) {
       return applyOperatorItem(item, true, nowMillis);
     }
     List<Change> entries = new ArrayList<>();
@@ -291,13 +291,13 @@
 
   /** Adds the change that an item represents, and returns whether the item could be read. */
   private boolean addRunnerChange(StoredItem item, List<Change> entries) {
-    String id = StoredKeys.runnerId(item.key());
+    String id = StoreKeys.runnerId(item.key());
     byte @Nullable [] value = item.value();
     if (value == null) {
       entries.add(new Change(id, item.revision(), null));
     } else {
       try {
-        RunnerEntry entry = decoder.runner(id, value);
+        RunnerEntry entry = decoder.decodeRunner(id, value);
         entries.add(new Change(id, item.revision(), entry));
       } catch (DecodeException e) {
         logIgnored(item, e);
@@ -353,13 +353,14 @@
       return false;
     }
     try {
-      if (item.key().equals(StoredKeys.CONFIGURATION)) {
-        pending = new PendingConfiguration(decoder.configuration(value), item.revision(), fromPeer);
+      if (item.key().equals(StoreKeys.CONFIGURATION)) {
+        pending =
+            new PendingConfiguration(decoder.decodeConfiguration(value), item.revision(), fromPeer);
         if (trustsPeers || !fromPeer) {
           activatePending(nowMillis);
         }
-      } else if (item.key().startsWith(StoredKeys.VERSION_PREFIX)) {
-        PublishedVersion version = decoder.version(value);
+      } else if (item.key().startsWith(StoreKeys.VERSION_PREFIX)) {
+        PublishedVersion version = decoder.decodeVersion(value);
         newestVersions.merge(version.target(), version.version(), Math::max);
         log.info("adapter-version", "adapter", version.target(), "version", version.version());
       }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/upstream/Attempt.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/upstream/Attempt.java
@@ -12,8 +12,8 @@
 import org.eclipse.jetty.http.HttpFields;
 import org.eclipse.jetty.http.HttpStatus;
 import org.eclipse.jetty.util.BufferUtil;
-import org.sequoiahub.usersplatform.CallerDialect;
-import org.sequoiahub.usersplatform.CallerDialect.AnswerHeaders;
+import org.sequoiahub.usersplatform.HeaderCodec;
+import org.sequoiahub.usersplatform.HeaderCodec.ResponseHeaders;
 
 /** One attempt to send a request to a runner and to receive its response. */
 public final class Attempt {
@@ -69,7 +69,8 @@
   }
 
   private void handleHeaders(Response response) {
-    AnswerHeaders answer = CallerDialect.decodeAnswer(response.getStatus(), response.getHeaders());
+    ResponseHeaders answer =
+        HeaderCodec.decodeResponse(response.getStatus(), response.getHeaders());
     // A runner may send a second response to an earlier request on the same connection; the request
     // id identifies it.
     if (!answer.requestId().isEmpty() && !answer.requestId().equals(requestId)) {
@@ -104,7 +105,7 @@
     }
     if (!streamStartReported) {
       streamStartReported = true;
-      listener.streamStarted(response.getStatus(), CallerDialect.toCaller(responseHeaders));
+      listener.streamStarted(response.getStatus(), HeaderCodec.toCaller(responseHeaders));
     }
     listener.streamContent(ByteBuffer.wrap(BufferUtil.toArray(content)));
   }
@@ -125,15 +126,15 @@
     int status = result.getResponse().getStatus();
     if (streaming) {
       if (!streamStartReported) {
-        listener.streamStarted(status, CallerDialect.toCaller(responseHeaders));
+        listener.streamStarted(status, HeaderCodec.toCaller(responseHeaders));
       }
       finish(new Outcome.StreamCompleted());
-    } else if (CallerDialect.decodeAnswer(status, responseHeaders).notRun()) {
+    } else if (HeaderCodec.decodeResponse(status, responseHeaders).notRun()) {
       finish(new Outcome.Refused(status));
     } else {
       finish(
           new Outcome.Answered(
-              status, CallerDialect.toCaller(responseHeaders), bufferedBody.toByteArray()));
+              status, HeaderCodec.toCaller(responseHeaders), bufferedBody.toByteArray()));
     }
   }
 
--- a/sequoia-node/src/test/java/org/sequoiahub/node/LoopbackFleet.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/LoopbackFleet.java
@@ -16,7 +16,7 @@
 import org.sequoiahub.runtime.duty.MonotonicClock;
 import org.sequoiahub.runtime.port.FreePorts;
 import org.sequoiahub.schema.settings.NodeSettings;
-import org.sequoiahub.usersplatform.AddressDialect;
+import org.sequoiahub.usersplatform.AddressProtocol;
 import org.sequoiahub.usersplatform.Headers;
 import org.sequoiahub.usersplatform.HostSettings;
 import org.sequoiahub.usersplatform.standin.StandinConfiguration;
@@ -111,7 +111,7 @@
   void startRunnerTerminatedByRequest(String id, String service, String model, String text)
       throws Exception {
     startRunner(id, service, model)
-        .endUnder(
+        .terminateOnRequest(
             text,
             terminated ->
                 replace(
@@ -126,7 +126,7 @@
   void startRunnerTerminatedByLoad(String id, String service, String model, String adapter)
       throws Exception {
     startRunner(id, service, model)
-        .endWhenLoading(
+        .terminateOnLoad(
             adapter,
             terminated ->
                 replace(
@@ -154,12 +154,12 @@
    * is empty.
    */
   void loseResponsesTo(String text) {
-    runners.forEach(runner -> runner.loseAnswersOf(text));
+    runners.forEach(runner -> runner.loseResponsesTo(text));
   }
 
   /** Returns how many runners have terminated. */
   long terminatedRunnerCount() {
-    return runners.stream().filter(StandinRunner::hasEnded).count();
+    return runners.stream().filter(StandinRunner::hasTerminated).count();
   }
 
   /** Returns the number of runs, at all runners, of requests whose id starts with a prefix. */
@@ -219,13 +219,13 @@
   }
 
   boolean isReady(int number) {
-    return status("http://" + ip(number) + ":" + ports.get(1) + AddressDialect.READINESS_PATH)
+    return status("http://" + ip(number) + ":" + ports.get(1) + AddressProtocol.READINESS_PATH)
         == 200;
   }
 
   String advertisedAddresses(int number) throws Exception {
     ContentResponse response =
-        caller.GET("http://" + ip(number) + ":" + ports.get(2) + AddressDialect.ADDRESS_PATH);
+        caller.GET("http://" + ip(number) + ":" + ports.get(2) + AddressProtocol.ADDRESS_PATH);
     return response.getContentAsString();
   }
 
