--- a/sequoia-node/src/test/java/org/sequoiahub/node/NodeTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/NodeTest.java
@@ -210,8 +210,8 @@
                   headers ->
                       headers
                           .put(Headers.MODEL, "m/" + adapter)
-                          .put(Headers.TOKENS, "100,20")
-                          .put(Headers.PROMPT, "aa:60,bb:40"))
+                          .put(Headers.TOKEN_COUNTS, "100,20")
+                          .put(Headers.PROMPT_PARTS, "aa:60,bb:40"))
               .body(new StringRequestContent("prompt"));
       return new CompletableResponseListener(request).send();
     }
@@ -248,8 +248,8 @@
         assertThat(runs(id)).isEqualTo(1);
       }
       for (StandinRunner runner : new StandinRunner[] {first, second}) {
-        assertThat(runner.overloads()).isEqualTo(0);
-        assertThat(runner.orderers().stream().distinct().count()).isAtMost(1);
+        assertThat(runner.capacityViolations()).isEqualTo(0);
+        assertThat(runner.orderHolders().stream().distinct().count()).isAtMost(1);
       }
     }
 
@@ -263,7 +263,7 @@
     void requestRefusedTwiceIsSentToAnotherRunner() throws Exception {
       stream(1, "/s/", "warm", "a1").get(60, TimeUnit.SECONDS);
       StandinRunner refusing = first.runs().containsKey("warm") ? first : second;
-      refusing.refuseModels();
+      refusing.refuseModelRequests();
       ContentResponse response = stream(1, "/s/", "q1", "a1").get(60, TimeUnit.SECONDS);
       assertThat(response.getStatus()).isEqualTo(200);
       assertThat(runs("q1")).isEqualTo(1);
@@ -276,8 +276,8 @@
     @Test
     void brokenStreamResumesAtAnotherRunner() throws Exception {
       stream(1, "/s/", "warm", "a1").get(60, TimeUnit.SECONDS);
-      first.breakAfter(2);
-      second.breakAfter(2);
+      first.abortStreamsAfter(2);
+      second.abortStreamsAfter(2);
       CompletableFuture<ContentResponse> future = stream(1, "/s/", "q1", "a1");
       LoopbackFleet.await("a second run of the request", () -> runs("q1") == 2);
       ContentResponse response = future.get(60, TimeUnit.SECONDS);
@@ -287,8 +287,8 @@
     @Test
     void nonResumableStreamFailsVisibly() throws Exception {
       stream(1, "/once/", "warm", "a1").get(60, TimeUnit.SECONDS);
-      first.breakAfter(2);
-      second.breakAfter(2);
+      first.abortStreamsAfter(2);
+      second.abortStreamsAfter(2);
       CompletableFuture<ContentResponse> future = stream(1, "/once/", "q1", "a1");
       boolean failed =
           future.handle((response, failure) -> failure != null).get(60, TimeUnit.SECONDS);
@@ -304,12 +304,12 @@
     @Test
     void closedCallerConnectionCancelsRun() throws Exception {
       stream(1, "/s/", "warm", "a1").get(60, TimeUnit.SECONDS);
-      first.streams(100_000, 20);
-      second.streams(100_000, 20);
+      first.streamEvents(100_000, 20);
+      second.streamEvents(100_000, 20);
       String request =
           "POST /s/x HTTP/1.1\r\nHost: h.example\r\n"
               + (Headers.REQUEST_ID + ": gone\r\n" + Headers.MODEL + ": m/a1\r\n")
-              + (Headers.TOKENS + ": 100,20\r\nContent-Length: 0\r\n\r\n");
+              + (Headers.TOKEN_COUNTS + ": 100,20\r\nContent-Length: 0\r\n\r\n");
       try (Socket socket =
           new Socket(InetAddress.getByName(LoopbackFleet.ip(1)), fleet.callerPort())) {
         socket.getOutputStream().write(request.getBytes(UTF_8));
@@ -317,7 +317,9 @@
       }
       LoopbackFleet.await(
           "the cancellation of the run",
-          () -> first.cancelled().contains("gone") || second.cancelled().contains("gone"));
+          () ->
+              first.cancelledRequests().contains("gone")
+                  || second.cancelledRequests().contains("gone"));
     }
   }
 
@@ -345,8 +347,8 @@
               Headers.REQUEST_ID + ": q1",
               Headers.DEADLINE + ": 20000",
               Headers.MODEL + ": m/a1",
-              Headers.TOKENS + ": 100,20",
-              Headers.PROMPT + ": aa:60,bb:40",
+              Headers.TOKEN_COUNTS + ": 100,20",
+              Headers.PROMPT_PARTS + ": aa:60,bb:40",
               "Content-Length: 0",
               "",
               "");
@@ -381,7 +383,7 @@
               return false;
             }
           });
-      fleet.store.down(true);
+      fleet.store.setDown(true);
       fleet.startNode(2);
       LoopbackFleet.await(
           "the change at host 2, which never reached the store",
@@ -478,7 +480,7 @@
       // Requests are refused until the hosts have read the entry, so this waits for a successful
       // one.
       awaitServed("new");
-      assertThat(runner.overloads()).isEqualTo(0);
+      assertThat(runner.capacityViolations()).isEqualTo(0);
     }
 
     @Test
@@ -502,7 +504,7 @@
       return fleet
           .request(1, "/m/x", id)
           .method(HttpMethod.POST)
-          .headers(h -> h.put(Headers.MODEL, "m/a1").put(Headers.TOKENS, "10,5"))
+          .headers(h -> h.put(Headers.MODEL, "m/a1").put(Headers.TOKEN_COUNTS, "10,5"))
           .send();
     }
   }
--- a/sequoia-node/src/test/java/org/sequoiahub/node/RunnerTerminatingRequestTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/RunnerTerminatingRequestTest.java
@@ -69,7 +69,7 @@
     return fleet
         .request(sentCount % 2 == 0 ? fleet.caller : otherCaller, number, "/s/" + id, id)
         .method(HttpMethod.POST)
-        .headers(headers -> headers.put(Headers.MODEL, "m").put(Headers.TOKENS, "100,20"))
+        .headers(headers -> headers.put(Headers.MODEL, "m").put(Headers.TOKEN_COUNTS, "100,20"))
         .body(new StringRequestContent(body))
         .send();
   }
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/ConfigurationBoundTest.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/ConfigurationBoundTest.java
@@ -75,9 +75,9 @@
       for (int outage = 3_000; outage <= 9_000; outage += 250) {
         RecordSimulation simulation = new RecordSimulation(outage, HOSTS, DOMAINS);
         simulation.advance(JOIN_MILLIS);
-        simulation.store.fault(Fault.SILENT, host -> true);
+        simulation.store.setFault(Fault.SILENT, host -> true);
         simulation.advance(outage);
-        simulation.store.fault(Fault.NONE, host -> false);
+        simulation.store.setFault(Fault.NONE, host -> false);
         simulation.advance(1_000);
         long version = simulation.configure();
         simulation.advance(RecordSimulation.BOUND_MILLIS);
@@ -103,17 +103,17 @@
     void laterRecordIsPulledToo() {
       RecordSimulation simulation = new RecordSimulation(1, 2, 2);
       for (int adapter = 0; adapter < ADAPTERS; adapter++) {
-        simulation.store.publishVersion(adapterName(adapter), 1);
+        simulation.store.putVersion(adapterName(adapter), 1);
       }
       simulation.advance(JOIN_MILLIS);
       simulation.kill(0);
-      simulation.store.faults(host -> host == 0 ? Fault.SLOW : Fault.REFUSING);
+      simulation.store.setFaults(host -> host == 0 ? Fault.SLOW : Fault.REFUSING);
       simulation.start(0);
       simulation.advance(100);
       // Written between its two pages: the first lacks the configuration, the second has a later
       // record.
       long version = simulation.configure();
-      simulation.store.publishVersion(adapterName(ADAPTERS - 1), 2);
+      simulation.store.putVersion(adapterName(ADAPTERS - 1), 2);
       simulation.advance(JOIN_MILLIS);
       assertWithMessage("at the host that reads the store")
           .that(simulation.host(0).versionInForce())
@@ -136,7 +136,7 @@
     void configurationOfIsolatedHostIsNotUsedWhileItMayBeOutdated() {
       RecordSimulation simulation = new RecordSimulation(3, 3, 3);
       simulation.advance(JOIN_MILLIS);
-      simulation.store.fault(Fault.REFUSING, host -> host > 0);
+      simulation.store.setFault(Fault.REFUSING, host -> host > 0);
       simulation.cut((from, to) -> from == 0 || to == 0);
       simulation.advance(RecordSimulation.BOUND_MILLIS);
       simulation.configure();
@@ -158,7 +158,7 @@
     void configurationOfConnectedHostsIsUsedAtOnce() {
       RecordSimulation simulation = new RecordSimulation(4, 3, 3);
       simulation.advance(JOIN_MILLIS);
-      simulation.store.fault(Fault.REFUSING, host -> host == 2);
+      simulation.store.setFault(Fault.REFUSING, host -> host == 2);
       final long version = simulation.configure();
       simulation.kill(2);
       simulation.start(2);
@@ -179,11 +179,11 @@
       RecordSimulation simulation = new RecordSimulation(hosts, hosts, 4);
       RecordBoundsChecker bounds = new RecordBoundsChecker(simulation, hosts);
       bounds.advance(2 * JOIN_MILLIS);
-      long callsBefore = simulation.store.calls();
+      long callsBefore = simulation.store.callCount();
       simulation.advance(IDLE_MILLIS);
       System.out.printf(
           "store calls of an idle fleet of %d hosts: %.1f per second%n",
-          hosts, (simulation.store.calls() - callsBefore) * 1_000.0 / IDLE_MILLIS);
+          hosts, (simulation.store.callCount() - callsBefore) * 1_000.0 / IDLE_MILLIS);
       for (Kind kind : kinds) {
         bounds.inject(new RecordTrouble(kind, 4, forMillis, 500));
       }
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/RecordBoundsChecker.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/RecordBoundsChecker.java
@@ -82,13 +82,13 @@
       case STORE_SLOW -> injectStoreFault(Fault.SLOW, affected, fault);
       case STORE_LOSES_ANSWERS -> injectStoreFault(Fault.LOSING, affected, fault);
       case STORE_STALE -> {
-        simulation.store.stale(fault.forMillis());
+        simulation.store.setStaleness(fault.forMillis());
         simulation.store.dropHistory();
         awaitStoreFault(fault.forMillis());
-        simulation.store.stale(0);
+        simulation.store.setStaleness(0);
       }
       case WATCHES_QUIET_THEN_HISTORY_DROPPED -> {
-        simulation.store.quietWatches();
+        simulation.store.suppressWatchEvents();
         awaitStoreFault(1_000);
         simulation.store.dropHistory();
         storeFaultyUntil = simulation.now();
@@ -139,7 +139,7 @@
 
   /** Injects a store fault for some hosts; the operator is served unless it affects all of them. */
   private void injectStoreFault(Fault kind, Set<Integer> affected, RecordTrouble fault) {
-    simulation.store.fault(kind, affected::contains);
+    simulation.store.setFault(kind, affected::contains);
     boolean rejectsHosts =
         kind == Fault.SILENT || kind == Fault.REFUSING || kind == Fault.RESETTING;
     if (rejectsHosts && affected.size() < simulation.peers.size()) {
@@ -147,7 +147,7 @@
     } else {
       awaitStoreFault(fault.forMillis());
     }
-    simulation.store.fault(Fault.NONE, host -> false);
+    simulation.store.setFault(Fault.NONE, host -> false);
   }
 
   private void awaitStoreFault(long millis) {
@@ -175,7 +175,7 @@
     switch (random.nextInt(3)) {
       case 0 -> {
         int version = publishedVersions.isEmpty() ? 1 : publishedVersions.lastKey() + 1;
-        simulation.store.publishVersion(ADAPTER, version);
+        simulation.store.putVersion(ADAPTER, version);
         publishedVersions.put(version, simulation.now());
       }
       case 1 -> leaving.put(simulation.now(), simulation.replaceRunner());
--- a/sequoia-node/src/test/java/org/sequoiahub/node/peer/RecordSimulation.java
+++ b/sequoia-node/src/test/java/org/sequoiahub/node/peer/RecordSimulation.java
@@ -21,8 +21,8 @@
 import org.sequoiahub.schema.peer.StorePull;
 import org.sequoiahub.schema.peer.StoreRecords;
 import org.sequoiahub.usersplatform.RecordDecoder;
+import org.sequoiahub.usersplatform.StoreKeys;
 import org.sequoiahub.usersplatform.StoreReader;
-import org.sequoiahub.usersplatform.StoredKeys;
 import org.sequoiahub.usersplatform.standin.VirtualStore;
 
 /**
@@ -95,8 +95,8 @@
               host.topology,
               host.members,
               registry,
-              follower(reader, StoredKeys.OPERATOR_PREFIX, WatchTiming.within(BOUND_MILLIS, 0)),
-              follower(reader, StoredKeys.RUNNER_PREFIX, WatchTiming.within(DRAIN_MILLIS, 600)),
+              follower(reader, StoreKeys.OPERATOR_PREFIX, WatchTiming.within(BOUND_MILLIS, 0)),
+              follower(reader, StoreKeys.RUNNER_PREFIX, WatchTiming.within(DRAIN_MILLIS, 600)),
               new RecordExchange(
                   (ip, pull, answer) -> pull(this, ip, pull, answer),
                   records -> decide(() -> sync().recordsReceived(records, peers.now()))),
@@ -179,7 +179,7 @@
   /** Writes the next configuration and returns its version. */
   long configure() {
     version++;
-    store.configure(version, "/v" + version + "/");
+    store.putConfiguration(version, "/v" + version + "/");
     return version;
   }
 
@@ -189,7 +189,7 @@
 
   void kill(int host) {
     host(host).ended = true;
-    store.forget(host);
+    store.dropCalls(host);
     peers.kill(host);
   }
 
@@ -228,7 +228,7 @@
     heartbeatMillis = peers == null ? 0 : now();
     sequence++;
     for (int runner = 0; runner < RUNNERS; runner++) {
-      store.runner(runnerId(runner), false, sequence);
+      store.putRunner(runnerId(runner), false, sequence);
     }
   }
 
@@ -240,9 +240,9 @@
   String replaceRunner() {
     int runner = random.nextInt(RUNNERS);
     String id = runnerId(runner);
-    store.runner(id, true, ++sequence);
+    store.putRunner(id, true, ++sequence);
     starts.merge(runner, 1, Integer::sum);
-    store.runner(runnerId(runner), false, ++sequence);
+    store.putRunner(runnerId(runner), false, ++sequence);
     return id;
   }
 
--- a/sequoia-runtime/src/main/java/org/sequoiahub/runtime/port/package-info.java
+++ b/sequoia-runtime/src/main/java/org/sequoiahub/runtime/port/package-info.java
@@ -1,6 +1,4 @@
-/**
- * Ports for processes that run beside others on loopback addresses: self-checks, demos and tests.
- */
+/** Free ports for processes that share a loopback interface: self-checks, demos and tests. */
 @NullMarked
 package org.sequoiahub.runtime.port;
 
--- a/sequoia-runtime/src/test/java/org/sequoiahub/runtime/log/RingHandlerTest.java
+++ b/sequoia-runtime/src/test/java/org/sequoiahub/runtime/log/AsyncLogHandlerTest.java
@@ -10,16 +10,16 @@
 import java.util.logging.LogRecord;
 import org.junit.jupiter.api.Test;
 
-class RingHandlerTest {
+class AsyncLogHandlerTest {
 
   private static LogRecord record(int number) {
     return new LogRecord(Level.INFO, "line " + number);
   }
 
   @Test
-  void writesLinesInTheirOrder() {
+  void writesLinesInOrder() {
     ByteArrayOutputStream out = new ByteArrayOutputStream();
-    RingHandler handler = new RingHandler(out, 64);
+    AsyncLogHandler handler = new AsyncLogHandler(out, 64);
     handler.setFormatter(new LineFormatter());
     for (int number = 0; number < 10; number++) {
       handler.publish(record(number));
@@ -32,14 +32,11 @@
   }
 
   /**
-   * Symptom: all requests of a host stall while somebody looks at its log.
-   *
-   * <p>Events: the reader of the output stops reading; lines go on being logged.
-   *
-   * <p>Cause looked for: a thread that waits for the reader.
+   * Guards against requests of a host that stall while its log is being viewed: the reader of the
+   * output stops reading, and a thread that logs further lines blocks until it continues.
    */
   @Test
-  void dropsInsteadOfWaiting() throws Exception {
+  void dropsLinesInsteadOfBlocking() throws Exception {
     CountDownLatch reading = new CountDownLatch(1);
     ByteArrayOutputStream read = new ByteArrayOutputStream();
     OutputStream stalled =
@@ -54,7 +51,7 @@
             read.write(next);
           }
         };
-    RingHandler handler = new RingHandler(stalled, 16);
+    AsyncLogHandler handler = new AsyncLogHandler(stalled, 16);
     handler.setFormatter(new LineFormatter());
     for (int number = 0; number < 5_000; number++) {
       handler.publish(record(number));
--- a/sequoia-soak/src/main/java/org/sequoiahub/soak/Callers.java
+++ b/sequoia-soak/src/main/java/org/sequoiahub/soak/Callers.java
@@ -11,13 +11,13 @@
 import org.eclipse.jetty.client.Request;
 import org.eclipse.jetty.client.StringRequestContent;
 import org.eclipse.jetty.http.HttpMethod;
-import org.sequoiahub.soak.Asked.Kind;
+import org.sequoiahub.soak.RequestResult.Kind;
 import org.sequoiahub.usersplatform.Headers;
 
-/** Callers that send requests to hosts drawn at random and note what comes of each. */
+/** Sends requests to randomly chosen hosts, as callers do, and records the result of each. */
 final class Callers {
 
-  /** How long a caller waits for its whole answer (ms). */
+  /** How long a caller waits for the complete response (ms). */
   static final long DEADLINE_MILLIS = 4_000;
 
   private static final int ADAPTERS = 12;
@@ -26,38 +26,39 @@
   private final List<HostProcess> hosts;
   private final int port;
   private final Random random;
-  private final String run;
-  private final AtomicInteger sent = new AtomicInteger();
-  private final AtomicInteger open = new AtomicInteger();
-  private final Queue<Asked> asked = new ConcurrentLinkedQueue<>();
+  private final String runId;
+  private final AtomicInteger sentCount = new AtomicInteger();
+  private final AtomicInteger inProgress = new AtomicInteger();
+  private final Queue<RequestResult> results = new ConcurrentLinkedQueue<>();
 
   /**
    * Creates callers.
    *
-   * @param run goes into each request's id, so that runs do not share any
+   * @param port the port on which each host serves callers
+   * @param runId the prefix of each request id, which keeps the ids of different runs distinct
    */
-  Callers(HttpClient http, List<HostProcess> hosts, int port, Random random, String run) {
+  Callers(HttpClient http, List<HostProcess> hosts, int port, Random random, String runId) {
     this.http = http;
     this.hosts = hosts;
     this.port = port;
     this.random = random;
-    this.run = run;
+    this.runId = runId;
   }
 
-  /** Returns the requests that have ended. */
-  Queue<Asked> asked() {
-    return asked;
+  /** Returns the results of the requests that have ended. */
+  Queue<RequestResult> results() {
+    return results;
   }
 
-  /** Returns how many requests have not ended. */
-  int open() {
-    return open.get();
+  /** Returns the number of requests that have not ended. */
+  int inProgress() {
+    return inProgress.get();
   }
 
-  /** Sends one request. */
+  /** Sends one request of a random kind to a random host, without waiting for its response. */
   void send() {
     Kind kind = Kind.values()[random.nextInt(Kind.values().length)];
-    String id = run + "-" + sent.incrementAndGet();
+    String id = runId + "-" + sentCount.incrementAndGet();
     HostProcess host = hosts.get(random.nextInt(hosts.size()));
     Request request =
         http.newRequest("http://" + host.ip() + ":" + port)
@@ -76,20 +77,21 @@
           headers ->
               headers
                   .put(Headers.MODEL, model)
-                  .put(Headers.TOKENS, "100,20")
-                  .put(Headers.PROMPT, "aa:60,bb:40"));
+                  .put(Headers.TOKEN_COUNTS, "100,20")
+                  .put(Headers.PROMPT_PARTS, "aa:60,bb:40"));
     }
     request.body(new StringRequestContent("body of " + id));
-    open.incrementAndGet();
+    inProgress.incrementAndGet();
     new CompletableResponseListener(request)
         .send()
         .whenComplete(
             (response, failure) -> {
-              asked.add(
+              results.add(
                   failure != null || response == null
-                      ? new Asked(id, kind, 0, null)
-                      : new Asked(id, kind, response.getStatus(), response.getContentAsString()));
-              open.decrementAndGet();
+                      ? new RequestResult(id, kind, 0, null)
+                      : new RequestResult(
+                          id, kind, response.getStatus(), response.getContentAsString()));
+              inProgress.decrementAndGet();
             });
   }
 }
--- a/sequoia-soak/src/main/java/org/sequoiahub/soak/HostProcess.java
+++ b/sequoia-soak/src/main/java/org/sequoiahub/soak/HostProcess.java
@@ -9,14 +9,14 @@
 import org.jspecify.annotations.Nullable;
 import org.sequoiahub.usersplatform.SettingsFile;
 
-/** The program of one host as a process of its own, through all its starts. */
+/** Runs the program of one host in a separate process, which can be restarted. */
 final class HostProcess implements AutoCloseable {
 
   private static final int GRACE_SECONDS = 4;
 
   /**
-   * A process that is still there after the grace time is killed. Only time in which it can run is
-   * counted: a process that is paused when the time is over cannot end itself.
+   * The grace period after which a process that has not exited is killed (ms). Only running time
+   * counts, because a process that is paused when the period ends cannot exit by itself.
    */
   static final long GRACE_MILLIS = GRACE_SECONDS * 1_000L;
 
@@ -28,14 +28,18 @@
   private final Path directory;
   private final Function<Boolean, String> settings;
   private @Nullable Process process;
-  private boolean started;
-  private volatile long thawedNanos = System.nanoTime();
-  private final RunningTime running = new RunningTime();
+  private boolean startedBefore;
+  private volatile long lastResumedNanos = System.nanoTime();
+  private final RunningTime runningTime = new RunningTime();
 
   /**
-   * Creates a host whose process does not run yet.
+   * Creates a host whose process is not started yet.
    *
-   * @param settings the text of the settings file, given whether this is the first start of all
+   * @param name the host's name, which also names its settings and log files
+   * @param ip the host's loopback address
+   * @param jar the host program
+   * @param directory where the settings and log files are written
+   * @param settings returns the text of the settings file; its argument is true for the first start
    */
   HostProcess(
       String name, String ip, Path jar, Path directory, Function<Boolean, String> settings) {
@@ -54,20 +58,20 @@
     return ip;
   }
 
-  /** Returns when the process last began to run again, on the steady clock. */
-  long thawedNanos() {
-    return thawedNanos;
+  /** Returns when the process was last started or resumed, in {@link System#nanoTime()}. */
+  long lastResumedNanos() {
+    return lastResumedNanos;
   }
 
-  /** Starts the process unless it runs. */
+  /** Starts the process unless it is running. */
   synchronized void start() throws IOException {
     Process current = process;
     if (current != null && current.isAlive()) {
       return;
     }
     Path file = directory.resolve(name + ".conf");
-    Files.writeString(file, settings.apply(!started));
-    started = true;
+    Files.writeString(file, settings.apply(!startedBefore));
+    startedBefore = true;
     ProcessBuilder builder =
         new ProcessBuilder(
             "java",
@@ -77,51 +81,64 @@
             "-XX:TieredStopAtLevel=1",
             "-jar",
             jar.toString());
-    builder.environment().put(SettingsFile.VARIABLE, file.toString());
+    builder.environment().put(SettingsFile.PATH_VARIABLE, file.toString());
     File log = directory.resolve(name + ".log").toFile();
     builder.redirectErrorStream(true);
     builder.redirectOutput(ProcessBuilder.Redirect.appendTo(log));
     process = builder.start();
-    thawedNanos = System.nanoTime();
-    running.resumed(thawedNanos);
+    lastResumedNanos = System.nanoTime();
+    runningTime.markResumed(lastResumedNanos);
   }
 
-  /** Sends the process a signal by its name, such as STOP. */
+  /**
+   * Sends a signal to the process if it is running.
+   *
+   * @param signal the signal's name without its prefix, such as STOP
+   */
   synchronized void signal(String signal) throws IOException, InterruptedException {
     Process current = process;
     if (current != null && current.isAlive()) {
       new ProcessBuilder("kill", "-" + signal, Long.toString(current.pid())).start().waitFor();
     }
     if (signal.equals("CONT")) {
-      thawedNanos = System.nanoTime();
-      running.resumed(thawedNanos);
+      lastResumedNanos = System.nanoTime();
+      runningTime.markResumed(lastResumedNanos);
     }
     if (signal.equals("STOP")) {
-      running.paused(System.nanoTime());
+      runningTime.markPaused(System.nanoTime());
     }
   }
 
-  /** Kills the process and waits until it has gone. */
+  /** Kills the process and waits for it to exit. */
   void kill() throws IOException, InterruptedException {
     signal("KILL");
-    // A killed process ends also while it is paused, after which no time counts as running.
-    running.resumed(System.nanoTime());
-    await(GRACE_MILLIS);
+    // SIGKILL also ends a paused process, so the wait for its exit must count time again.
+    runningTime.markResumed(System.nanoTime());
+    awaitTermination(GRACE_MILLIS);
   }
 
-  /** Asks the process to stop, and kills it after the grace time; returns whether it had to. */
+  /**
+   * Asks the process to stop, and kills it if it has not exited after {@link #GRACE_MILLIS} of
+   * running time.
+   *
+   * @return whether the process had to be killed
+   */
   boolean stop() throws IOException, InterruptedException {
     signal("CONT");
     signal("TERM");
-    boolean gone = await(GRACE_MILLIS);
-    if (!gone) {
+    boolean exited = awaitTermination(GRACE_MILLIS);
+    if (!exited) {
       kill();
     }
-    return !gone;
+    return !exited;
   }
 
-  /** Waits until the process has gone, or has had this much time to run in. */
-  private boolean await(long millis) throws InterruptedException {
+  /**
+   * Waits until the process has exited or has had the given running time.
+   *
+   * @return whether the process has exited
+   */
+  private boolean awaitTermination(long millis) throws InterruptedException {
     Process current;
     synchronized (this) {
       current = process;
@@ -129,8 +146,8 @@
     if (current == null) {
       return true;
     }
-    long end = running.nanos(System.nanoTime()) + TimeUnit.MILLISECONDS.toNanos(millis);
-    while (running.nanos(System.nanoTime()) < end) {
+    long end = runningTime.runningNanos(System.nanoTime()) + TimeUnit.MILLISECONDS.toNanos(millis);
+    while (runningTime.runningNanos(System.nanoTime()) < end) {
       if (current.waitFor(POLL_MILLIS, TimeUnit.MILLISECONDS)) {
         return true;
       }
--- a/sequoia-soak/src/main/java/org/sequoiahub/soak/Soak.java
+++ b/sequoia-soak/src/main/java/org/sequoiahub/soak/Soak.java
@@ -16,31 +16,37 @@
 import org.eclipse.jetty.client.HttpClient;
 import org.sequoiahub.node.upstream.UpstreamClient;
 import org.sequoiahub.runtime.port.FreePorts;
-import org.sequoiahub.usersplatform.AddressDialect;
-import org.sequoiahub.usersplatform.StoredKeys;
+import org.sequoiahub.usersplatform.AddressProtocol;
+import org.sequoiahub.usersplatform.StoreKeys;
 import org.sequoiahub.usersplatform.standin.StandinConfiguration;
 import org.sequoiahub.usersplatform.standin.StandinRunner;
 import org.sequoiahub.usersplatform.standin.StandinSettings;
 import org.sequoiahub.usersplatform.standin.StandinStore;
 
-/** One run: hosts, runners and a store on loopback, callers, and faults drawn from a seed. */
+/**
+ * One run of the soak test: host processes, runners and a store on loopback, callers that send
+ * requests, and faults drawn at random from a seed.
+ */
 final class Soak implements AutoCloseable {
 
-  private static final int PORTS = 5;
+  private static final int PORTS_PER_HOST = 5;
   private static final int RUNNERS_OF_EACH_KIND = 3;
-  private static final int PLACES = 4;
-  private static final int EVENTS = 12;
-  private static final int EVENT_MILLIS = 25;
-  private static final int PLAIN_MILLIS = 15;
-  private static final long REQUEST_MILLIS = 25;
+  private static final int ADAPTERS_PER_RUNNER = 4;
+  private static final int EVENTS_PER_STREAM = 12;
+  private static final int EVENT_INTERVAL_MILLIS = 25;
+  private static final int PLAIN_DURATION_MILLIS = 15;
+  private static final long REQUEST_INTERVAL_MILLIS = 25;
 
-  /** How long all may take to serve again once nothing is harmed any more (ms). */
+  /** How long each condition is awaited, such as the recovery after the last fault (ms). */
   private static final long RECOVERY_MILLIS = 20_000;
 
-  /** Requests that must be served after the recovery, out of {@link #LAST_REQUESTS}. */
-  private static final int SERVED_AT_LAST = 15;
+  /**
+   * How many of the last {@link #RECOVERY_SAMPLE_REQUESTS} requests must succeed for the hosts to
+   * count as recovered.
+   */
+  private static final int MIN_SERVED_AFTER_RECOVERY = 15;
 
-  private static final int LAST_REQUESTS = 20;
+  private static final int RECOVERY_SAMPLE_REQUESTS = 20;
 
   private final long seed;
   private final Random random;
@@ -51,25 +57,27 @@
   private final List<FaultProxy> storeProxies = new ArrayList<>();
   private final List<FaultProxy> runnerProxies = new ArrayList<>();
   private final List<StandinRunner> runners = new ArrayList<>();
-  private final List<StandinRunner> everyRunner = new ArrayList<>();
-  private final ScheduledExecutorService later = Executors.newScheduledThreadPool(4);
+  private final List<StandinRunner> allRunners = new ArrayList<>();
+  private final ScheduledExecutorService scheduler = Executors.newScheduledThreadPool(4);
   private final List<Integer> ports;
-  private final List<String> killedAtStop = new ArrayList<>();
-  private long configuration;
-  private int runnerNumber;
+  private final List<String> hostsKilledAtStop = new ArrayList<>();
+  private long configurationVersion;
+  private int nextRunnerNumber;
 
   /**
    * Creates a run.
    *
-   * @param jar the host's program
-   * @param directory where logs and settings go
+   * @param seed the seed of the random choice of faults and requests
+   * @param hostCount the number of hosts, 3 or more
+   * @param jar the host program
+   * @param directory where log and settings files are written
    */
   Soak(long seed, int hostCount, Path jar, Path directory) throws Exception {
     this.seed = seed;
     this.random = new Random(seed);
     this.directory = Files.createDirectories(directory);
-    this.ports = FreePorts.find(PORTS, new SecureRandom());
-    configure();
+    this.ports = FreePorts.find(PORTS_PER_HOST, new SecureRandom());
+    writeConfiguration();
     for (int i = 0; i < RUNNERS_OF_EACH_KIND; i++) {
       addRunner("plain", "");
       addRunner("llm", "m");
@@ -80,7 +88,7 @@
       String name = "host-" + number;
       String ip = ip(number);
       hosts.add(
-          new HostProcess(name, ip, jar, directory, first -> settings(name, ip, first, proxy)));
+          new HostProcess(name, ip, jar, directory, first -> settingsText(name, ip, first, proxy)));
     }
   }
 
@@ -88,87 +96,102 @@
     return "127." + (1 + Math.floorMod(seed, 200)) + ".0." + (1 + number);
   }
 
-  private String settings(String name, String ip, boolean first, FaultProxy proxy) {
+  private String settingsText(String name, String ip, boolean first, FaultProxy proxy) {
     List<String> seeds = List.of(ip(0), ip(1), ip(2));
     int grace = (int) TimeUnit.MILLISECONDS.toSeconds(HostProcess.GRACE_MILLIS);
     return StandinSettings.text(name, "z", ip, ports, seeds, first, proxy.address(), grace);
   }
 
-  private void configure() {
+  private void writeConfiguration() {
     List<String> routes = new ArrayList<>();
-    routes.add(StandinConfiguration.route(Asked.Kind.PLAIN.prefix(), "safe", "plain", false));
     routes.add(
-        StandinConfiguration.route(Asked.Kind.PLAIN_ONCE.prefix(), "unsafe", "plain", false));
-    routes.add(StandinConfiguration.route(Asked.Kind.STREAM.prefix(), "streaming", "llm", true));
+        StandinConfiguration.route(RequestResult.Kind.PLAIN.prefix(), "safe", "plain", false));
+    routes.add(
+        StandinConfiguration.route(
+            RequestResult.Kind.PLAIN_ONCE.prefix(), "unsafe", "plain", false));
     routes.add(
-        StandinConfiguration.route(Asked.Kind.STREAM_ONCE.prefix(), "streaming", "llm", false));
+        StandinConfiguration.route(RequestResult.Kind.STREAM.prefix(), "streaming", "llm", true));
+    routes.add(
+        StandinConfiguration.route(
+            RequestResult.Kind.STREAM_ONCE.prefix(), "streaming", "llm", false));
     store.put(
-        StandinConfiguration.key(), StandinConfiguration.configuration(++configuration, routes));
+        StandinConfiguration.key(),
+        StandinConfiguration.configuration(++configurationVersion, routes));
   }
 
-  private StandinRunner runner(String service, String model) throws Exception {
+  private StandinRunner createRunner(String service, String model) throws Exception {
     StandinRunner runner =
-        new StandinRunner("i-" + seed + "-" + runnerNumber++, service, model, PLACES);
-    runner.streams(EVENTS, EVENT_MILLIS);
-    runner.plainMillis(PLAIN_MILLIS);
-    everyRunner.add(runner);
+        new StandinRunner(
+            "i-" + seed + "-" + nextRunnerNumber++, service, model, ADAPTERS_PER_RUNNER);
+    runner.streamEvents(EVENTS_PER_STREAM, EVENT_INTERVAL_MILLIS);
+    runner.plainMillis(PLAIN_DURATION_MILLIS);
+    allRunners.add(runner);
     return runner;
   }
 
   private void addRunner(String service, String model) throws Exception {
-    StandinRunner runner = runner(service, model);
+    StandinRunner runner = createRunner(service, model);
     runners.add(runner);
     runnerProxies.add(new FaultProxy(runner.address()));
-    publish(runners.size() - 1, "ready");
+    publishRunner(runners.size() - 1, "ready");
   }
 
-  private void publish(int index, String state) {
+  private void publishRunner(int index, String state) {
     StandinRunner runner = runners.get(index);
     store.put(
-        StoredKeys.RUNNER_PREFIX + runner.id(),
+        StoreKeys.RUNNER_PREFIX + runner.id(),
         runner.entry(state, runnerProxies.get(index).address()));
   }
 
-  /** Plays the run and returns what was broken, a line each. */
-  List<String> play(long faultMillis) throws Exception {
+  /**
+   * Runs the test.
+   *
+   * @param faultMillis how long faults are injected (ms)
+   * @return a description of each violated guarantee; empty if all of them held
+   */
+  List<String> run(long faultMillis) throws Exception {
     for (HostProcess host : hosts) {
       host.start();
     }
     await(this::isEveryHostReady);
     Callers callers =
         new Callers(http, hosts, ports.get(0), new Random(random.nextLong()), "s" + seed);
-    later.scheduleAtFixedRate(callers::send, 0, REQUEST_MILLIS, TimeUnit.MILLISECONDS);
-    Faults faults = new Faults(this, random, later);
+    scheduler.scheduleAtFixedRate(callers::send, 0, REQUEST_INTERVAL_MILLIS, TimeUnit.MILLISECONDS);
+    FaultInjector faults = new FaultInjector(this, random, scheduler);
     long end = System.nanoTime() + TimeUnit.MILLISECONDS.toNanos(faultMillis);
     while (System.nanoTime() < end) {
-      faults.next();
+      faults.injectNext();
       TimeUnit.MILLISECONDS.sleep(50 + random.nextInt(900));
     }
     faults.undoAll();
     boolean recovered = await(this::isEveryHostReady);
-    final boolean served = recovered && await(() -> isServed(callers));
-    later.shutdown();
-    await(() -> callers.open() == 0);
-    Map<String, HostProcess> byName = new HashMap<>();
-    hosts.forEach(host -> byName.put(host.name(), host));
-    List<String> broken =
+    final boolean servingAgain = recovered && await(() -> isServingAgain(callers));
+    scheduler.shutdown();
+    await(() -> callers.inProgress() == 0);
+    Map<String, HostProcess> hostsByName = new HashMap<>();
+    hosts.forEach(host -> hostsByName.put(host.name(), host));
+    List<String> violations =
         new ArrayList<>(
-            new Promises(everyRunner, byName, EVENTS).broken(List.copyOf(callers.asked())));
-    if (!served) {
-      broken.add("requests are not served again after the last fault");
+            new GuaranteeChecker(allRunners, hostsByName, EVENTS_PER_STREAM)
+                .violations(List.copyOf(callers.results())));
+    if (!servingAgain) {
+      violations.add("requests are not served again after the last fault: see the host logs");
     }
-    killedAtStop.forEach(name -> broken.add(name + " was still there after the grace time"));
-    long good = callers.asked().stream().filter(request -> request.status() == 200).count();
+    hostsKilledAtStop.forEach(
+        name -> violations.add(name + " did not stop within the grace period and was killed"));
+    long succeeded = callers.results().stream().filter(request -> request.status() == 200).count();
     System.out.printf(
         "event=soak seed=%d requests=%d good=%d faults=%d broken=%d%n",
-        seed, callers.asked().size(), good, faults.count(), broken.size());
-    return broken;
+        seed, callers.results().size(), succeeded, faults.count(), violations.size());
+    return violations;
   }
 
-  private boolean isServed(Callers callers) {
-    List<Asked> all = List.copyOf(callers.asked());
-    List<Asked> last = all.subList(Math.max(0, all.size() - LAST_REQUESTS), all.size());
-    return last.stream().filter(request -> request.status() == 200).count() >= SERVED_AT_LAST;
+  private boolean isServingAgain(Callers callers) {
+    List<RequestResult> all = List.copyOf(callers.results());
+    List<RequestResult> sample =
+        all.subList(Math.max(0, all.size() - RECOVERY_SAMPLE_REQUESTS), all.size());
+    return sample.stream().filter(request -> request.status() == 200).count()
+        >= MIN_SERVED_AFTER_RECOVERY;
   }
 
   private boolean isEveryHostReady() {
@@ -176,14 +199,14 @@
   }
 
   private boolean isReady(HostProcess host) {
-    String uri = "http://" + host.ip() + ":" + ports.get(1) + AddressDialect.READINESS_PATH;
+    String uri = "http://" + host.ip() + ":" + ports.get(1) + AddressProtocol.READINESS_PATH;
     try {
       return http.newRequest(uri).timeout(1, TimeUnit.SECONDS).send().getStatus() == 200;
     } catch (InterruptedException e) {
       Thread.currentThread().interrupt();
       return false;
     } catch (Exception e) {
-      // The process is not up yet: asked again.
+      // The process does not accept connections yet; the caller polls again.
       return false;
     }
   }
@@ -215,34 +238,40 @@
     return store;
   }
 
-  /** Writes the configuration again under a new version. */
-  void changeConfiguration() {
-    configure();
+  /** Rewrites the configuration with the same routes under a new version. */
+  void rewriteConfiguration() {
+    writeConfiguration();
   }
 
-  /** Notes that a process did not end by itself when asked to. */
-  synchronized void killedAtStop(HostProcess host) {
-    killedAtStop.add(host.name());
+  /** Records that a host did not stop within the grace period and was killed. */
+  synchronized void recordKilledAtStop(HostProcess host) {
+    hostsKilledAtStop.add(host.name());
   }
 
-  /** Replaces a runner by a new one at its address; it tells before if it is asked to leave. */
+  /**
+   * Replaces a runner by a new one at the same address.
+   *
+   * @param index the index of the runner
+   * @param announced whether the old runner is published as draining before its record is deleted
+   */
   void replaceRunner(int index, boolean announced) throws Exception {
     StandinRunner old = runners.get(index);
     if (announced) {
-      publish(index, "draining");
+      publishRunner(index, "draining");
       TimeUnit.SECONDS.sleep(2);
     }
-    store.delete(StoredKeys.RUNNER_PREFIX + old.id());
-    StandinRunner fresh = runner(index % 2 == 0 ? "plain" : "llm", index % 2 == 0 ? "" : "m");
-    runners.set(index, fresh);
-    runnerProxies.get(index).target(fresh.address());
-    runnerProxies.get(index).reset();
-    publish(index, "ready");
+    store.delete(StoreKeys.RUNNER_PREFIX + old.id());
+    StandinRunner replacement =
+        createRunner(index % 2 == 0 ? "plain" : "llm", index % 2 == 0 ? "" : "m");
+    runners.set(index, replacement);
+    runnerProxies.get(index).target(replacement.address());
+    runnerProxies.get(index).resetConnections();
+    publishRunner(index, "ready");
   }
 
   @Override
   public void close() throws Exception {
-    later.shutdownNow();
+    scheduler.shutdownNow();
     for (HostProcess host : hosts) {
       host.close();
     }
@@ -253,13 +282,13 @@
     for (FaultProxy proxy : runnerProxies) {
       proxy.close();
     }
-    for (StandinRunner runner : everyRunner) {
+    for (StandinRunner runner : allRunners) {
       runner.close();
     }
     try {
       store.close();
     } catch (IOException e) {
-      // A watch that still waits is cut; nothing is lost with it.
+      // A watch request that is still waiting is interrupted, which loses no data.
     }
   }
 }
--- a/sequoia-standins/src/main/java/org/sequoiahub/standins/DemoCaller.java
+++ b/sequoia-standins/src/main/java/org/sequoiahub/standins/DemoCaller.java
@@ -17,61 +17,63 @@
 import org.eclipse.jetty.client.HttpClient;
 import org.eclipse.jetty.client.StringRequestContent;
 
-/** Makes the demo's calls and checks every answer. */
+/** Sends the demo's calls, verifies every response and prints the results. */
 final class DemoCaller {
 
-  private static final String TRACE = "4bf92f3577b34da6a3ce929d0e0e4736";
+  private static final String TRACE_ID = "4bf92f3577b34da6a3ce929d0e0e4736";
   private static final int TOKENS = 6;
-  private static final int READY_TRIES = 200;
+  private static final int READY_ATTEMPTS = 200;
   private static final long READY_PAUSE_MILLIS = 100;
 
   private final HttpClient http;
   private final PrintStream out;
-  private int wrong;
+  private int wrongCount;
 
   DemoCaller(HttpClient http, PrintStream out) {
     this.http = http;
     this.out = out;
   }
 
-  /** Waits until an entry's administration interface says that it is ready. */
+  /** Waits until the process with this administration address reports that it is ready. */
   void awaitReady(String admin) throws Exception {
-    for (int i = 0; i < READY_TRIES; i++) {
+    for (int i = 0; i < READY_ATTEMPTS; i++) {
       try {
         if (http.GET("http://" + admin + "/readyz").getStatus() == 200) {
           return;
         }
       } catch (ExecutionException e) {
-        // Not listening yet.
+        // The process does not listen yet.
       }
       Thread.sleep(READY_PAUSE_MILLIS);
     }
-    throw new IOException(admin + " did not become ready");
+    throw new IOException(admin + " did not become ready; check the log of its process");
   }
 
   /**
-   * Makes every call through the address that {@code entry} answers; returns how many were wrong.
+   * Sends every call to the address that {@code entry} returns.
+   *
+   * @return the number of failed checks
    */
   int run(String entry, int adapters, List<Path> logs) throws Exception {
     JsonNode address = json(http.GET("http://" + entry + "/v1/address?operations=1"));
-    out.println("address answer: " + address);
+    out.println("address response: " + address);
     String target = address.path("address").asText();
     for (int i = 1; i <= adapters; i++) {
       String name = "adapter-" + i;
-      inference(target, name + "@1", i % 2 == 0, i == 1);
+      checkInference(target, name + "@1", i % 2 == 0, i == 1);
       if (i % 2 == 0) {
-        inference(target, name + "@2", i % 4 == 0, false);
-        inference(target, name, false, false);
+        checkInference(target, name + "@2", i % 4 == 0, false);
+        checkInference(target, name, false, false);
       }
     }
-    booking(target, address.path("operation_ids").get(0).asText());
-    refusals(target);
+    checkBooking(target, address.path("operation_ids").get(0).asText());
+    checkRefusals(target);
     Thread.sleep(500);
     printSpans(logs);
-    return wrong;
+    return wrongCount;
   }
 
-  private void inference(String target, String model, boolean stream, boolean traced)
+  private void checkInference(String target, String model, boolean stream, boolean traced)
       throws Exception {
     String body =
         String.format(
@@ -85,34 +87,36 @@
             .body(new StringRequestContent("application/json", body))
             .timeout(20, TimeUnit.SECONDS);
     if (traced) {
-      request.headers(h -> h.put("traceparent", "00-" + TRACE + "-00f067aa0ba902b7-01"));
+      request.headers(h -> h.put("traceparent", "00-" + TRACE_ID + "-00f067aa0ba902b7-01"));
     }
     ContentResponse response = request.send();
     String adapter = response.getHeaders().get("Sequoia-Adapter");
     String text = stream ? streamedText(response) : plainText(response);
-    boolean named = adapter != null && (adapter.equals(model) || adapter.startsWith(model + "@"));
-    boolean right = response.getStatus() == 200 && named && text.equals(whole(adapter));
-    note(right, model, stream ? "streamed" : "plain", response);
+    boolean adapterMatches =
+        adapter != null && (adapter.equals(model) || adapter.startsWith(model + "@"));
+    boolean correct =
+        response.getStatus() == 200 && adapterMatches && text.equals(expectedText(adapter));
+    recordResult(correct, model, stream ? "streamed" : "plain", response);
   }
 
-  private void booking(String target, String operation) throws Exception {
+  private void checkBooking(String target, String operation) throws Exception {
     String url = "http://" + target + "/services/bookings/slots";
     String body = "{\"booking\":\"demo-1\"}";
-    ContentResponse demanded = post(url, body, "");
-    note(demanded.getStatus() == 428, "bookings", "without operation id", demanded);
+    ContentResponse withoutId = post(url, body, "");
+    recordResult(withoutId.getStatus() == 428, "bookings", "without operation id", withoutId);
     ContentResponse first = post(url, body, operation);
-    note(first.getStatus() == 201, "bookings", "first", first);
+    recordResult(first.getStatus() == 201, "bookings", "first", first);
     ContentResponse repeat = post(url, body, operation);
     boolean same = repeat.getContentAsString().equals(first.getContentAsString());
-    note(same && json(repeat).path("times").asInt() == 1, "bookings", "repeat", repeat);
+    recordResult(same && json(repeat).path("times").asInt() == 1, "bookings", "repeat", repeat);
   }
 
-  private void refusals(String target) throws Exception {
+  private void checkRefusals(String target) throws Exception {
     String url = "http://" + target + "/v1/completions";
     ContentResponse unknown = post(url, "{\"model\":\"nobody\",\"prompt\":\"x\"}", "");
-    note(notRun(unknown, 404), "nobody", "unknown adapter", unknown);
+    recordResult(isNotRun(unknown, 404), "nobody", "unknown adapter", unknown);
     ContentResponse malformed = post(url, "{\"model\":", "");
-    note(notRun(malformed, 400), "-", "malformed body", malformed);
+    recordResult(isNotRun(malformed, 400), "-", "malformed body", malformed);
   }
 
   private ContentResponse post(String url, String body, String operation) throws Exception {
@@ -123,13 +127,13 @@
     return request.timeout(20, TimeUnit.SECONDS).send();
   }
 
-  private void note(boolean right, String model, String kind, ContentResponse response) {
-    if (!right) {
-      wrong++;
+  private void recordResult(boolean correct, String model, String kind, ContentResponse response) {
+    if (!correct) {
+      wrongCount++;
     }
     out.printf(
         "%-5s %-14s %-22s status=%d adapter=%s runner=%s verdict=%s%n",
-        right ? "ok" : "WRONG",
+        correct ? "ok" : "WRONG",
         model,
         kind,
         response.getStatus(),
@@ -138,12 +142,12 @@
         response.getHeaders().get("Sequoia-Verdict"));
   }
 
-  private static boolean notRun(ContentResponse response, int status) {
+  private static boolean isNotRun(ContentResponse response, int status) {
     return response.getStatus() == status
         && "not-run".equals(response.getHeaders().get("Sequoia-Verdict"));
   }
 
-  private static String whole(String adapter) {
+  private static String expectedText(String adapter) {
     StringBuilder text = new StringBuilder();
     for (int i = 1; i <= TOKENS; i++) {
       text.append('[').append(adapter).append(':').append(i).append('/').append(TOKENS).append(']');
@@ -173,12 +177,12 @@
     return StandinServer.MAPPER.readTree(response.getContent());
   }
 
-  /** Prints the spans of the traced request, each below its parent. */
+  /** Prints the spans of the traced request as a tree, each below its parent. */
   private void printSpans(List<Path> logs) throws IOException {
     List<Map<String, String>> spans = new ArrayList<>();
     for (Path log : logs) {
       for (String line : Files.readAllLines(log, StandardCharsets.UTF_8)) {
-        if (line.contains("event=span") && line.contains("trace=" + TRACE)) {
+        if (line.contains("event=span") && line.contains("trace=" + TRACE_ID)) {
           spans.add(fields(line));
         }
       }
@@ -191,8 +195,8 @@
       }
     }
     if (spans.size() < 2) {
-      wrong++;
-      out.println("WRONG: a span of each hop was expected");
+      wrongCount++;
+      out.println("WRONG: expected at least two spans of the traced request; check the log files");
     }
   }
 
--- a/sequoia-standins/src/main/java/org/sequoiahub/standins/EngineRequest.java
+++ b/sequoia-standins/src/main/java/org/sequoiahub/standins/EngineRequest.java
@@ -9,22 +9,26 @@
 import java.util.Collections;
 import java.util.List;
 import org.eclipse.jetty.http.HttpHeader;
-import org.sequoiahub.runtime.http.PieceWriter;
+import org.sequoiahub.runtime.http.ChunkWriter;
 import org.sequoiahub.standins.StandinServer.Exchange;
 
-/** One request inside an engine stand-in; guarded by the engine's lock. */
+/**
+ * A completion request that an {@link EngineStandin} runs, and the streams that read it.
+ *
+ * <p>Not thread-safe: the engine's lock guards it.
+ */
 final class EngineRequest {
 
   private final String id;
   private final String model;
   private final int tokens;
   private final boolean chat;
-  private final boolean urgent;
+  private final boolean highPriority;
   private final EngineFaults faults;
   private final List<Reader> readers = new ArrayList<>();
   private long nextTokenMillis = -1;
-  private int made;
-  private boolean over;
+  private int generatedTokens;
+  private boolean ended;
   private long endedMillis = Long.MAX_VALUE;
 
   EngineRequest(
@@ -33,7 +37,7 @@
     this.model = model;
     this.tokens = tokens;
     this.chat = chat;
-    this.urgent = urgent;
+    this.highPriority = urgent;
     this.faults = faults;
   }
 
@@ -45,93 +49,99 @@
     return model;
   }
 
-  boolean isUrgent() {
-    return urgent;
+  boolean isHighPriority() {
+    return highPriority;
   }
 
   boolean isActive() {
-    return !over;
+    return !ended;
   }
 
   boolean isRunning() {
     return nextTokenMillis >= 0;
   }
 
-  void run(long firstTokenMillis) {
+  void start(long firstTokenMillis) {
     nextTokenMillis = firstTokenMillis;
   }
 
-  /** Makes the next token if it is due. */
-  void step(long nowMillis) {
-    if (over || nextTokenMillis < 0 || nowMillis < nextTokenMillis) {
+  /** Generates the next token if it is due and sends it to every attached reader. */
+  void generateTokenIfDue(long nowMillis) {
+    if (ended || nextTokenMillis < 0 || nowMillis < nextTokenMillis) {
       return;
     }
-    made++;
-    if (made == tokens) {
-      over = true;
+    generatedTokens++;
+    if (generatedTokens == tokens) {
+      ended = true;
       endedMillis = nowMillis;
     }
-    readers.forEach(this::feed);
+    readers.forEach(this::sendPendingEvents);
   }
 
-  void attach(Exchange exchange, int after) {
+  /**
+   * Opens an event stream on this request.
+   *
+   * @param after the sequence number of the last event that the reader already has; 0 for none
+   */
+  void attachReader(Exchange exchange, int after) {
     exchange.response().setStatus(200);
     exchange.response().getHeaders().put(HttpHeader.CONTENT_TYPE, "text/event-stream");
-    Reader reader = new Reader(new PieceWriter(exchange.response(), exchange.callback()), after);
+    Reader reader = new Reader(new ChunkWriter(exchange.response(), exchange.callback()), after);
     reader.writer.write(ByteBuffer.wrap(": open\n\n".getBytes(StandardCharsets.UTF_8)), false);
     readers.add(reader);
-    feed(reader);
+    sendPendingEvents(reader);
   }
 
   void cancel() {
-    if (!over) {
-      breakOff();
+    if (!ended) {
+      abort();
     }
   }
 
-  /** Ends the request without its end marker. */
-  void breakOff() {
-    over = true;
+  /** Ends the request and aborts its streams without the end marker. */
+  void abort() {
+    ended = true;
     endedMillis = 0;
-    readers.forEach(reader -> reader.writer.abort(new IOException("broken off")));
+    readers.forEach(
+        reader -> reader.writer.abort(new IOException("stream aborted by the engine stand-in")));
     readers.clear();
   }
 
-  /** Lets every open connection go silent; later ones work. */
-  void silence() {
+  /** Stops sending on every open stream without closing it; streams opened later work. */
+  void detachReaders() {
     readers.clear();
   }
 
   boolean endedBefore(long millis) {
-    return over && endedMillis < millis;
+    return ended && endedMillis < millis;
   }
 
-  private void feed(Reader reader) {
-    List<Integer> due = new ArrayList<>();
-    for (int i = reader.sent + 1; i <= made; i++) {
-      due.add(i);
+  private void sendPendingEvents(Reader reader) {
+    List<Integer> pending = new ArrayList<>();
+    for (int i = reader.lastSent + 1; i <= generatedTokens; i++) {
+      pending.add(i);
     }
-    reader.sent = Math.max(reader.sent, made);
-    if (faults.reorders() && due.size() > 1) {
-      Collections.reverse(due);
+    reader.lastSent = Math.max(reader.lastSent, generatedTokens);
+    if (faults.reordersEvents() && pending.size() > 1) {
+      Collections.reverse(pending);
     }
-    for (int i : due) {
-      reader.writer.write(event(i), false);
-      if (faults.duplicates()) {
-        reader.writer.write(event(i), false);
+    for (int i : pending) {
+      reader.writer.write(tokenEvent(i), false);
+      if (faults.duplicatesEvents()) {
+        reader.writer.write(tokenEvent(i), false);
       }
     }
-    if (over && made == tokens && !reader.ended) {
+    if (ended && generatedTokens == tokens && !reader.ended) {
       reader.ended = true;
       reader.writer.write(sse("[DONE]"), true);
     }
   }
 
-  private ByteBuffer event(int sequence) {
-    String named = faults.answerAs(model);
-    final String text = "[" + named + ":" + sequence + "/" + tokens + "]";
+  private ByteBuffer tokenEvent(int sequence) {
+    String reported = faults.reportedModel(model);
+    final String text = "[" + reported + ":" + sequence + "/" + tokens + "]";
     ObjectNode event = StandinServer.MAPPER.createObjectNode();
-    event.put("id", id).put("model", named).put("seq", sequence);
+    event.put("id", id).put("model", reported).put("seq", sequence);
     event.put("object", chat ? "chat.completion.chunk" : "text_completion");
     ObjectNode choice = event.putArray("choices").addObject();
     choice.put("index", 0);
@@ -144,7 +154,7 @@
     try {
       return sse(StandinServer.MAPPER.writeValueAsString(event));
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("an event must be JSON", e);
+      throw new IllegalStateException("could not serialize a token event", e);
     }
   }
 
@@ -153,13 +163,13 @@
   }
 
   private static final class Reader {
-    private final PieceWriter writer;
-    private int sent;
+    private final ChunkWriter writer;
+    private int lastSent;
     private boolean ended;
 
-    Reader(PieceWriter writer, int after) {
+    Reader(ChunkWriter writer, int after) {
       this.writer = writer;
-      this.sent = after;
+      this.lastSent = after;
     }
   }
 }
--- a/sequoia-standins/src/main/java/org/sequoiahub/standins/HostListStandin.java
+++ b/sequoia-standins/src/main/java/org/sequoiahub/standins/HostListStandin.java
@@ -11,7 +11,7 @@
 import java.util.Map;
 import java.util.concurrent.TimeUnit;
 
-/** A host list whose readers see each change only after a while. */
+/** Serves a host list whose changes become visible to readers after a fixed delay. */
 public final class HostListStandin extends StandinServer {
 
   private final long lagMillis;
@@ -19,7 +19,7 @@
   private ObjectNode latest = MAPPER.createObjectNode();
   private long revision;
 
-  /** Creates an empty list on {@code port} that lags by {@code lagMillis}. */
+  /** Creates an empty list on {@code port} whose changes become visible after {@code lagMillis}. */
   public HostListStandin(int port, long lagMillis) {
     super(port);
     this.lagMillis = lagMillis;
@@ -32,24 +32,28 @@
   @Override
   void handle(Exchange exchange) throws IOException {
     if (exchange.path().equals("/v1/hosts")) {
-      exchange.answer(200, visible());
+      exchange.respond(200, visibleJson());
     } else if (exchange.path().startsWith("/operator/state/")) {
       String id = exchange.path().substring("/operator/state/".length());
-      state(id, exchange.query("state", "leaving"));
-      exchange.answer(200, Map.of());
+      setState(id, exchange.query("state", "leaving"));
+      exchange.respond(200, Map.of());
     } else {
-      exchange.error(404, "no such path");
+      exchange.respondWithError(404, "no such path");
     }
   }
 
-  /** Adds a host, runner or upstream. */
+  /**
+   * Adds an item to the list.
+   *
+   * @param kind {@code hosts}, {@code runners} or {@code upstreams}
+   */
   synchronized void add(String kind, ObjectNode item) {
     ((ArrayNode) latest.get(kind)).add(item);
     publish();
   }
 
-  /** Sets the state of whatever is named {@code id}; {@code gone} removes it. */
-  synchronized void state(String id, String state) {
+  /** Sets the state of every item with this id; the state {@code gone} removes it. */
+  synchronized void setState(String id, String state) {
     for (JsonNode kind : latest) {
       if (kind instanceof ArrayNode items) {
         for (int i = items.size() - 1; i >= 0; i--) {
@@ -74,20 +78,24 @@
     latest = copy.deepCopy();
   }
 
-  private synchronized byte[] visible() {
-    while (versions.size() > 1 && secondIsVisible()) {
+  private synchronized byte[] visibleJson() {
+    while (versions.size() > 1 && isNextVersionVisible()) {
       versions.removeFirst();
     }
     return versions.getFirst().json.getBytes(UTF_8);
   }
 
-  private boolean secondIsVisible() {
-    return versions.stream().skip(1).findFirst().filter(v -> v.visibleMillis <= now()).isPresent();
+  private boolean isNextVersionVisible() {
+    return versions.stream()
+        .skip(1)
+        .findFirst()
+        .filter(v -> v.visibleFromMillis <= now())
+        .isPresent();
   }
 
   private static long now() {
     return TimeUnit.NANOSECONDS.toMillis(System.nanoTime());
   }
 
-  private record Version(String json, long visibleMillis) {}
+  private record Version(String json, long visibleFromMillis) {}
 }
--- a/sequoia-standins/src/main/java/org/sequoiahub/standins/Load.java
+++ b/sequoia-standins/src/main/java/org/sequoiahub/standins/LoadGenerator.java
@@ -18,16 +18,16 @@
 import org.jspecify.annotations.Nullable;
 
 /**
- * An open load: calls start at a fixed rate, however long earlier ones take.
+ * Generates an open load: calls start at a fixed rate, regardless of how long earlier ones take.
  *
- * <p>A call that was refused as not run, or that an unreachable entry never took, goes to another
- * entry, as callers do; a booking keeps its operation id across all its tries.
+ * <p>A call that was refused as not run, or that found its entry unreachable, is retried at another
+ * entry, as callers do. A booking keeps its operation id across all its attempts.
  */
-final class Load {
+final class LoadGenerator {
 
   private static final long NANOS_PER_SECOND = 1_000_000_000L;
-  private static final int MAX_TRIES = 8;
-  private static final long RETRY_MILLIS = 250;
+  private static final int MAX_ATTEMPTS = 8;
+  private static final long RETRY_DELAY_MILLIS = 250;
   private static final int TIMEOUT_SECONDS = 60;
 
   private final List<String> entries;
@@ -36,13 +36,13 @@
   private final int seconds;
   private final int adapters;
   private final int tokens;
-  private final int bookings;
+  private final int bookingInterval;
   private final SplittableRandom random;
   private final LoadStats stats = new LoadStats();
-  private final Phaser open = new Phaser(1);
+  private final Phaser callsInProgress = new Phaser(1);
   private final HttpClient http = new HttpClient();
 
-  Load(
+  LoadGenerator(
       List<String> entries,
       boolean direct,
       double rate,
@@ -57,10 +57,11 @@
     this.seconds = seconds;
     this.adapters = adapters;
     this.tokens = tokens;
-    this.bookings = bookings;
+    this.bookingInterval = bookings;
     this.random = new SplittableRandom(seed);
   }
 
+  /** Runs the load and returns its outcome once every call has ended. */
   LoadStats run() throws Exception {
     http.setMaxConnectionsPerDestination(4_096);
     http.setConnectTimeout(1_000);
@@ -72,51 +73,51 @@
       while (System.nanoTime() < due) {
         LockSupport.parkNanos(Math.max(1, due - System.nanoTime()));
       }
-      open.register();
-      if (bookings > 0 && i % bookings == 0) {
-        new Booking("b" + i).begin();
+      callsInProgress.register();
+      if (bookingInterval > 0 && i % bookingInterval == 0) {
+        new Booking("b" + i).send();
       } else {
-        new Inference(skewedAdapter(), i).begin();
+        new Inference(skewedAdapter(), i).send();
       }
     }
-    open.arriveAndAwaitAdvance();
+    callsInProgress.arriveAndAwaitAdvance();
     http.stop();
     return stats;
   }
 
-  /** Returns an adapter's number; low numbers come up far more often. */
+  /** Returns a random adapter number, skewed towards low numbers. */
   private int skewedAdapter() {
     return 1 + (int) (adapters * Math.pow(random.nextDouble(), 3));
   }
 
-  private String entry(int turn) {
-    return entries.get(Math.floorMod(turn, entries.size()));
+  private String entryForAttempt(int attempt) {
+    return entries.get(Math.floorMod(attempt, entries.size()));
   }
 
-  private void later(Runnable work) {
-    http.getScheduler().schedule(work, RETRY_MILLIS, TimeUnit.MILLISECONDS);
+  private void scheduleRetry(Runnable attempt) {
+    http.getScheduler().schedule(attempt, RETRY_DELAY_MILLIS, TimeUnit.MILLISECONDS);
   }
 
   private static boolean isNotRun(Response response) {
     return "not-run".equals(response.getHeaders().get("Sequoia-Verdict"));
   }
 
-  /** One inference call. */
+  /** A streamed inference call, across all its attempts. */
   private final class Inference {
     private final String model;
     private final long number;
-    private final long beganNanos = System.nanoTime();
+    private final long startedNanos = System.nanoTime();
     private final StringBuilder text = new StringBuilder();
-    private long firstNanos;
-    private int tries;
+    private long firstByteNanos;
+    private int attempts;
 
     Inference(int adapter, long number) {
       this.model = "adapter-" + adapter + "@1";
       this.number = number;
     }
 
-    void begin() {
-      tries++;
+    void send() {
+      attempts++;
       text.setLength(0);
       String body =
           String.format(
@@ -125,108 +126,119 @@
               model,
               tokens);
       Request request =
-          http.POST("http://" + entry((int) number + tries) + "/v1/completions")
+          http.POST("http://" + entryForAttempt((int) number + attempts) + "/v1/completions")
               .body(new StringRequestContent("application/json", body))
               .timeout(TIMEOUT_SECONDS, TimeUnit.SECONDS);
       if (direct) {
         String id = "direct-" + ThreadLocalRandom.current().nextLong();
         request.headers(headers -> headers.put("X-Request-Id", id));
       }
-      request.onResponseContent((Response response, ByteBuffer content) -> content(content));
+      request.onResponseContent((Response response, ByteBuffer content) -> onContent(content));
       request.send(
-          result -> ended(result.getResponse(), result.isFailed() ? result.getFailure() : null));
+          result ->
+              onComplete(result.getResponse(), result.isFailed() ? result.getFailure() : null));
     }
 
-    private void content(ByteBuffer content) {
-      if (firstNanos == 0) {
-        firstNanos = System.nanoTime();
+    private void onContent(ByteBuffer content) {
+      if (firstByteNanos == 0) {
+        firstByteNanos = System.nanoTime();
       }
       text.append(UTF_8.decode(content));
     }
 
-    private void ended(Response response, @Nullable Throwable failure) {
+    private void onComplete(Response response, @Nullable Throwable failure) {
       int status = response.getStatus();
       if (failure == null && status == 200) {
-        judge();
+        verifyText();
       } else if (isNotRun(response) || status == 0) {
         stats.count(status == 0 ? "unreachable" : "not_run");
-        if (tries < MAX_TRIES) {
-          later(this::begin);
+        if (attempts < MAX_ATTEMPTS) {
+          scheduleRetry(this::send);
           return;
         }
         stats.count("gave_up");
       } else {
         stats.count("verdict_" + response.getHeaders().get("Sequoia-Verdict"));
       }
-      open.arriveAndDeregister();
+      callsInProgress.arriveAndDeregister();
     }
 
-    private void judge() {
-      StringBuilder got = new StringBuilder();
+    private void verifyText() {
+      StringBuilder actual = new StringBuilder();
       String marker = "\"text\":\"";
       for (int at = text.indexOf(marker); at >= 0; at = text.indexOf(marker, at + 1)) {
-        got.append(text, at + marker.length(), text.indexOf("\"", at + marker.length()));
+        actual.append(text, at + marker.length(), text.indexOf("\"", at + marker.length()));
       }
-      StringBuilder want = new StringBuilder();
+      StringBuilder expected = new StringBuilder();
       for (int i = 1; i <= tokens; i++) {
-        want.append('[').append(model).append(':').append(i).append('/').append(tokens).append(']');
+        expected
+            .append('[')
+            .append(model)
+            .append(':')
+            .append(i)
+            .append('/')
+            .append(tokens)
+            .append(']');
       }
       long now = System.nanoTime();
       if (!text.toString().endsWith("data: [DONE]\n\n")) {
         stats.count("told_not_whole");
-      } else if (want.toString().contentEquals(got)) {
-        stats.whole(now - beganNanos, firstNanos - beganNanos, now);
+      } else if (expected.toString().contentEquals(actual)) {
+        stats.recordComplete(now - startedNanos, firstByteNanos - startedNanos, now);
       } else {
         stats.count("wrong");
       }
     }
   }
 
-  /** One booking, which must not run twice. */
+  /** A booking call, which must not run twice, across all its attempts. */
   private final class Booking {
     private final String name;
-    private String operation = "";
-    private int tries;
+    private String operationId = "";
+    private int attempts;
 
     Booking(String name) {
       this.name = name;
     }
 
-    void begin() {
-      tries++;
+    void send() {
+      attempts++;
       Request request =
-          http.POST("http://" + entry(name.hashCode() + tries) + "/services/bookings/slots")
+          http.POST(
+                  "http://"
+                      + entryForAttempt(name.hashCode() + attempts)
+                      + "/services/bookings/slots")
               .body(new StringRequestContent("application/json", "{\"booking\":\"" + name + "\"}"))
               .timeout(TIMEOUT_SECONDS, TimeUnit.SECONDS);
-      if (!operation.isEmpty()) {
-        request.headers(headers -> headers.put("Sequoia-Operation", operation));
+      if (!operationId.isEmpty()) {
+        request.headers(headers -> headers.put("Sequoia-Operation", operationId));
       }
       new CompletableResponseListener(request)
           .send()
           .whenComplete(
               (response, failure) -> {
                 if (failure != null) {
-                  again("booking_unreachable");
+                  countAndRetry("booking_unreachable");
                 } else if (response.getStatus() == 428) {
-                  operation = response.getHeaders().get("Sequoia-Operation");
-                  begin();
+                  operationId = response.getHeaders().get("Sequoia-Operation");
+                  send();
                 } else if (response.getStatus() == 201) {
                   boolean own = response.getContentAsString().contains("\"" + name + "\"");
                   stats.count(own ? "booked" : "other_booking");
-                  open.arriveAndDeregister();
+                  callsInProgress.arriveAndDeregister();
                 } else {
-                  again("booking_" + response.getHeaders().get("Sequoia-Verdict"));
+                  countAndRetry("booking_" + response.getHeaders().get("Sequoia-Verdict"));
                 }
               });
     }
 
-    private void again(String why) {
-      stats.count(why);
-      if (tries < MAX_TRIES) {
-        later(this::begin);
+    private void countAndRetry(String outcome) {
+      stats.count(outcome);
+      if (attempts < MAX_ATTEMPTS) {
+        scheduleRetry(this::send);
       } else {
         stats.count("booking_gave_up");
-        open.arriveAndDeregister();
+        callsInProgress.arriveAndDeregister();
       }
     }
   }
--- a/sequoia-standins/src/main/java/org/sequoiahub/standins/LoadMain.java
+++ b/sequoia-standins/src/main/java/org/sequoiahub/standins/LoadMain.java
@@ -8,12 +8,12 @@
 import org.apache.commons.cli.Options;
 import org.sequoiahub.runtime.log.LineFormatter;
 
-/** Sends a bounded load of calls to loopback addresses and checks every answer. */
+/** Command-line program that runs a {@link LoadGenerator} and verifies every response. */
 public final class LoadMain {
 
   private LoadMain() {}
 
-  /** Runs the load and prints one line of figures; exits 1 if an answer was wrong. */
+  /** Runs the load and prints one line of statistics; exits with 1 if a response was wrong. */
   public static void main(String[] arguments) throws Exception {
     LineFormatter.install(Level.WARNING);
     Options options = new Options();
@@ -21,10 +21,14 @@
         List.of("entries", "rate", "seconds", "adapters", "tokens", "bookings", "seed", "label")) {
       options.addOption(Option.builder().longOpt(name).hasArg().build());
     }
-    options.addOption(Option.builder().longOpt("direct").desc("entries are engines").build());
+    options.addOption(
+        Option.builder()
+            .longOpt("direct")
+            .desc("the entries are engines, called without the serving layer")
+            .build());
     CommandLine line = new DefaultParser().parse(options, arguments);
-    Load load =
-        new Load(
+    LoadGenerator load =
+        new LoadGenerator(
             List.of(line.getOptionValue("entries").split(",")),
             line.hasOption("direct"),
             Double.parseDouble(line.getOptionValue("rate", "50")),
@@ -34,7 +38,7 @@
             Integer.parseInt(line.getOptionValue("bookings", "0")),
             Long.parseLong(line.getOptionValue("seed", "1")));
     LoadStats stats = load.run();
-    System.out.println("load=" + line.getOptionValue("label", "-") + " " + stats.line());
-    System.exit(stats.of("wrong") + stats.of("other_booking") == 0 ? 0 : 1);
+    System.out.println("load=" + line.getOptionValue("label", "-") + " " + stats.summary());
+    System.exit(stats.countOf("wrong") + stats.countOf("other_booking") == 0 ? 0 : 1);
   }
 }
--- a/sequoia-standins/src/main/java/org/sequoiahub/standins/ServiceStandin.java
+++ b/sequoia-standins/src/main/java/org/sequoiahub/standins/ServiceStandin.java
@@ -5,15 +5,19 @@
 import java.util.Map;
 import java.util.TreeMap;
 
-/** A plain booking service whose POST must not be repeated; it counts what ran. */
+/**
+ * Simulates an upstream of a booking service whose POST must not be repeated.
+ *
+ * <p>It counts how often each booking ran.
+ */
 public final class ServiceStandin extends StandinServer {
 
   private final String id;
   private final Map<String, Integer> bookings = new TreeMap<>();
-  private int dropAnswers;
-  private long slowMillis;
+  private int responsesToDrop;
+  private long delayMillis;
 
-  /** Creates a service upstream on {@code port}. */
+  /** Creates an upstream on {@code port}. */
   public ServiceStandin(String id, int port) {
     super(port);
     this.id = id;
@@ -22,42 +26,42 @@
   @Override
   void handle(Exchange exchange) throws IOException {
     if (exchange.path().equals("/faults")) {
-      JsonNode wanted = exchange.json();
+      JsonNode requested = exchange.json();
       synchronized (this) {
-        dropAnswers = wanted.path("drop_answers").asInt(dropAnswers);
-        slowMillis = wanted.path("slow_ms").asLong(slowMillis);
+        responsesToDrop = requested.path("drop_answers").asInt(responsesToDrop);
+        delayMillis = requested.path("slow_ms").asLong(delayMillis);
       }
-      exchange.answer(200, Map.of());
+      exchange.respond(200, Map.of());
     } else if (exchange.path().equals("/counters")) {
-      exchange.answer(200, counters());
+      exchange.respond(200, counters());
     } else if (exchange.method().equals("POST")) {
       book(exchange);
     } else {
-      exchange.answer(200, Map.of("upstream", id, "path", exchange.path()));
+      exchange.respond(200, Map.of("upstream", id, "path", exchange.path()));
     }
   }
 
   private void book(Exchange exchange) throws IOException {
     String booking = exchange.json().path("booking").asText("none");
     int times;
-    boolean drop;
-    long pause;
+    boolean dropResponse;
+    long delay;
     synchronized (this) {
       times = bookings.merge(booking, 1, Integer::sum);
-      drop = dropAnswers > 0 && dropAnswers-- > 0;
-      pause = slowMillis;
+      dropResponse = responsesToDrop > 0 && responsesToDrop-- > 0;
+      delay = delayMillis;
     }
-    if (pause > 0) {
+    if (delay > 0) {
       try {
-        Thread.sleep(pause);
+        Thread.sleep(delay);
       } catch (InterruptedException e) {
         Thread.currentThread().interrupt();
       }
     }
-    if (drop) {
-      exchange.cut();
+    if (dropResponse) {
+      exchange.closeConnection();
     } else {
-      exchange.answer(201, Map.of("booking", booking, "times", times, "upstream", id));
+      exchange.respond(201, Map.of("booking", booking, "times", times, "upstream", id));
     }
   }
 
--- a/sequoia-standins/src/main/java/org/sequoiahub/standins/WeightStoreStandin.java
+++ b/sequoia-standins/src/main/java/org/sequoiahub/standins/WeightStoreStandin.java
@@ -3,50 +3,58 @@
 import java.io.IOException;
 import java.util.Map;
 
-/** A weight store that gives full speed to one load at a time and allows a few loads a second. */
+/**
+ * Simulates a weight store with limited capacity.
+ *
+ * <p>A load runs at full speed only while no other is active, and a limited number of loads start
+ * per second.
+ */
 public final class WeightStoreStandin extends StandinServer {
 
   private static final long MILLIS_PER_SECOND = 1_000;
   private static final long NANOS_PER_MILLI = 1_000_000;
 
-  private final long spacingMillis;
-  private int active;
+  private final long startIntervalMillis;
+  private int activeLoads;
   private long nextStartMillis = Long.MIN_VALUE;
-  private double slowness = 1;
+  private double slowdownFactor = 1;
 
-  /** Creates a store on {@code port} that allows {@code loadsPerSecond}. */
+  /** Creates a store on {@code port} that starts at most {@code loadsPerSecond}. */
   public WeightStoreStandin(int port, int loadsPerSecond) {
     super(port);
-    this.spacingMillis = MILLIS_PER_SECOND / loadsPerSecond;
+    this.startIntervalMillis = MILLIS_PER_SECOND / loadsPerSecond;
   }
 
   @Override
   void handle(Exchange exchange) throws IOException {
     if (exchange.path().equals("/faults")) {
-      double wanted = exchange.json().path("slowness").asDouble(1);
+      double requested = exchange.json().path("slowness").asDouble(1);
       synchronized (this) {
-        slowness = wanted;
+        slowdownFactor = requested;
       }
-      exchange.answer(200, Map.of());
+      exchange.respond(200, Map.of());
     } else {
-      exchange.answer(200, status());
+      exchange.respond(200, status());
     }
   }
 
-  /** Begins a load and returns how long it takes: longer beside others and above the rate. */
-  synchronized long begin(long fullSpeedMillis) {
-    active++;
+  /**
+   * Begins a load and returns its duration in milliseconds, which grows with the number of active
+   * loads and includes the wait for a start within the rate limit.
+   */
+  synchronized long beginLoad(long fullSpeedMillis) {
+    activeLoads++;
     long now = System.nanoTime() / NANOS_PER_MILLI;
     long start = Math.max(now, nextStartMillis);
-    nextStartMillis = start + spacingMillis;
-    return start - now + Math.round(fullSpeedMillis * active * slowness);
+    nextStartMillis = start + startIntervalMillis;
+    return start - now + Math.round(fullSpeedMillis * activeLoads * slowdownFactor);
   }
 
-  synchronized void end() {
-    active--;
+  synchronized void endLoad() {
+    activeLoads--;
   }
 
   private synchronized Map<String, Object> status() {
-    return Map.of("active", active);
+    return Map.of("active", activeLoads);
   }
 }
--- a/sequoia-standins/src/test/java/org/sequoiahub/standins/OneHost.java
+++ b/sequoia-standins/src/test/java/org/sequoiahub/standins/SingleHostPlatform.java
@@ -19,11 +19,11 @@
 import org.sequoiahub.schema.settings.WatcherSettings;
 import org.sequoiahub.watcher.Watcher;
 
-/** A platform of stand-ins and one host's three processes, all in this virtual machine. */
-final class OneHost implements AutoCloseable {
+/** Runs the stand-ins and one host's watcher, dispatcher and entry in this virtual machine. */
+final class SingleHostPlatform implements AutoCloseable {
 
-  private static final int PATIENCE_SECONDS = 60;
-  private static final int PORTS = 6;
+  private static final int TIMEOUT_SECONDS = 60;
+  private static final int PORT_COUNT = 6;
 
   final Standins platform;
   final EngineStandin engine;
@@ -32,13 +32,13 @@
   final Watcher watcher;
   final Dispatcher dispatcher;
   final Entry entry;
-  private final List<Integer> ports = FreePorts.find(PORTS, new SecureRandom());
+  private final List<Integer> ports = FreePorts.find(PORT_COUNT, new SecureRandom());
 
-  OneHost() throws Exception {
+  SingleHostPlatform() throws Exception {
     platform = new Standins(0, 0, 20);
-    engine = platform.engine(new EngineOptions("runner-1", 0, 3, 4, 20, 5, 2, 20, true), "m1");
-    bookings = platform.service("bookings-1", "bookings", 0);
-    platform.host("host-1", ports.get(0), ports.get(1), ports.get(2), 1);
+    engine = platform.startEngine(new EngineOptions("runner-1", 0, 3, 4, 20, 5, 2, 20, true), "m1");
+    bookings = platform.startService("bookings-1", "bookings", 0);
+    platform.addHost("host-1", ports.get(0), ports.get(1), ports.get(2), 1);
     put(
         "adapters/soot",
         "{\"schema\":1,\"adapter\":\"soot\",\"version\":\"1\",\"base_model\":\"m1\"}");
@@ -47,16 +47,16 @@
         "{\"schema\":2,\"name\":\"booth\",\"base_model\":\"m1\",\"versions\":["
             + "{\"version\":\"1\",\"weight\":0},{\"version\":\"2\",\"weight\":1}]}");
     put("services/bookings", "{\"schema\":1,\"name\":\"bookings\"}");
-    List<String> published = platform.addresses();
+    List<String> addresses = platform.addresses();
     watcher =
         Watcher.start(
             settings(
                 WatcherSettings.getDefaultInstance(),
                 2,
                 "--configuration-service",
-                published.get(0),
+                addresses.get(0),
                 "--host-list",
-                published.get(1),
+                addresses.get(1),
                 "--hosts-period-ms",
                 "50"));
     dispatcher =
@@ -67,7 +67,7 @@
                 "--watcher",
                 "127.0.0.1:" + ports.get(2),
                 "--weight-store",
-                published.get(2),
+                addresses.get(2),
                 "--loads-per-second",
                 "20",
                 "--report-period-ms",
@@ -93,7 +93,7 @@
     platform.configuration().put(key, json.getBytes(UTF_8));
   }
 
-  void fault(String address, String json) throws Exception {
+  void injectFaults(String address, String json) throws Exception {
     post("http://" + address + "/faults", json, Map.of());
   }
 
@@ -105,7 +105,7 @@
     return http.POST(url)
         .body(new StringRequestContent("application/json", json))
         .headers(fields -> headers.forEach(fields::put))
-        .timeout(PATIENCE_SECONDS, TimeUnit.SECONDS)
+        .timeout(TIMEOUT_SECONDS, TimeUnit.SECONDS)
         .send();
   }
 
@@ -113,8 +113,8 @@
     return "http://127.0.0.1:" + ports.get(0) + path;
   }
 
-  /** The whole text that the engine makes for {@code model}. */
-  static String whole(String model, int tokens) {
+  /** Returns the complete text that the engine generates for {@code model}. */
+  static String expectedText(String model, int tokens) {
     StringBuilder text = new StringBuilder();
     for (int i = 1; i <= tokens; i++) {
       text.append('[').append(model).append(':').append(i).append('/').append(tokens).append(']');
@@ -131,7 +131,7 @@
     platform.close();
   }
 
-  private <T extends Message> T settings(T prototype, int port, String... flags) {
+  private <T extends Message> T settings(T prototype, int port, String... specificFlags) {
     String[] common = {
       "--host-id",
       "host-1",
@@ -142,9 +142,9 @@
       "--admin-port",
       "" + ports.get(port + 3)
     };
-    String[] all = new String[common.length + flags.length];
+    String[] all = new String[common.length + specificFlags.length];
     System.arraycopy(common, 0, all, 0, common.length);
-    System.arraycopy(flags, 0, all, common.length, flags.length);
+    System.arraycopy(specificFlags, 0, all, common.length, specificFlags.length);
     return new SettingsLoader<>("test", "test", prototype)
         .load(all, Map.of())
         .fold(
@@ -158,12 +158,12 @@
   }
 
   private void awaitReady(int adminPort) throws Exception {
-    for (int i = 0; i < PATIENCE_SECONDS * 50; i++) {
+    for (int i = 0; i < TIMEOUT_SECONDS * 50; i++) {
       if (http.GET("http://127.0.0.1:" + adminPort + "/readyz").getStatus() == 200) {
         return;
       }
       Thread.sleep(20);
     }
-    throw new AssertionError("not ready on admin port " + adminPort);
+    throw new AssertionError("process did not become ready on admin port " + adminPort);
   }
 }
--- a/sequoia-watcher/src/main/java/org/sequoiahub/watcher/Watcher.java
+++ b/sequoia-watcher/src/main/java/org/sequoiahub/watcher/Watcher.java
@@ -20,11 +20,11 @@
 import org.sequoiahub.wire.WireServer;
 import org.sequoiahub.wire.WireThreads;
 
-/** A running watcher: its threads, ports and clients. */
+/** A running watcher, which owns its threads, ports and clients. */
 public final class Watcher implements AutoCloseable {
 
-  private static final int RING = 4_096;
-  private static final long TICK_MILLIS = 100;
+  private static final int EVENT_QUEUE_CAPACITY = 4_096;
+  private static final long TICK_PERIOD_MILLIS = 100;
 
   private final Duty<WatcherEvent> duty;
   private final SourceReader configuration;
@@ -39,7 +39,7 @@
   private Watcher(WatcherSettings settings) throws Exception {
     this.log = new EventLog("watcher", settings.getHostId());
     final MetricRegistry metrics = new MetricRegistry();
-    this.network = WireThreads.one("wire");
+    this.network = WireThreads.singleThread("wire");
     this.http = HttpClients.start();
     this.peers = new WireClients(network, settings.getSilenceMs());
     WatcherDuty state =
@@ -47,19 +47,19 @@
     this.duty =
         new Duty<>(
             "watcher",
-            RING,
-            () -> TICK_MILLIS,
+            EVENT_QUEUE_CAPACITY,
+            () -> TICK_PERIOD_MILLIS,
             state::handle,
             state::tick,
-            state::failed,
+            state::onFailure,
             MonotonicClock.SYSTEM);
-    state.connectTo(duty);
+    state.attachTo(duty);
     ConfigurationClient service =
         new ConfigurationClient(http, Endpoint.of(settings.getConfigurationService()));
     this.configuration =
         SourceReader.ofConfiguration(service, settings.getWatchWaitMs(), duty::put, metrics, log);
     this.hosts =
-        SourceReader.ofHosts(
+        SourceReader.ofHostList(
             new HostListClient(http, Endpoint.of(settings.getHostList())),
             settings.getHostsPeriodMs(),
             duty::put,
@@ -82,7 +82,7 @@
   }
 
   /**
-   * Starts a watcher.
+   * Starts a watcher: opens its ports and begins to read its sources.
    *
    * @throws IOException if a port cannot be opened
    */
@@ -96,7 +96,7 @@
     return watcher;
   }
 
-  /** Returns the administration interface's port. */
+  /** Returns the port of the administration interface. */
   public int adminPort() {
     return admin.port();
   }
@@ -116,13 +116,13 @@
 
   private final class Inbound implements WireServer.Handler {
     @Override
-    public void message(WireConnection connection, Envelope message) {
-      duty.put(new WatcherEvent.Received(connection, message));
+    public void onMessage(WireConnection connection, Envelope message) {
+      duty.put(new WatcherEvent.MessageReceived(connection, message));
     }
 
     @Override
-    public void closed(WireConnection connection) {
-      duty.put(new WatcherEvent.Closed(connection));
+    public void onClosed(WireConnection connection) {
+      duty.put(new WatcherEvent.ConnectionClosed(connection));
     }
   }
 }
