--- a/sequoia-core/src/main/java/org/sequoiahub/core/allowance/AllowanceLimiter.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/allowance/AllowanceLimiter.java
@@ -274,11 +274,18 @@
   }
 
   /**
-   * The amount that a source is assumed to spend in each slot after its last reported or assumed
-   * one.
+   * What the hosts of a source are assumed to spend in each slot for which no amount is kept.
+   *
+   * @param afterSlot the source's newest slot with a reported or assumed amount; the rate holds for
+   *     the slots after it
+   * @param perSlot the units per slot of all hosts that the source represents
    */
   private record UnreportedRate(long afterSlot, double perSlot) {}
 
+  /**
+   * Returns what each source is assumed to spend on a workspace in slots without a kept amount:
+   * what each of its hosts spent per slot before its last report, times the hosts it represents.
+   */
   private List<UnreportedRate> unreportedRates(String workspace) {
     List<UnreportedRate> unreported = new ArrayList<>();
     for (Source source : spending.sources()) {
--- a/sequoia-core/src/main/java/org/sequoiahub/core/allowance/FleetSpending.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/allowance/FleetSpending.java
@@ -212,7 +212,15 @@
     return new SpendingReport(newest, REPORTED_SLOTS, age, covered + missing, spent);
   }
 
-  /** Adds the assumed spending of hosts that were covered by reports before and no longer are. */
+  /**
+   * Adds the assumed spending of hosts that only the fleet-wide total covered, for the slots after
+   * its newest reported one. The amounts kept for those slots are assumed for all {@link
+   * #unreportedHosts()}, so the fraction {@code missing / unreportedHosts()} of them is added, at
+   * most all.
+   *
+   * @param missing how many hosts the report is to cover that are neither this host nor covered by
+   *     an included source
+   */
   private void addAssumed(Map<String, List<Long>> spent, int missing, long newest) {
     Source fleetTotal = sources.get(FLEET_TOTAL);
     int unreported = unreportedHosts();
@@ -309,7 +317,10 @@
     return hosts;
   }
 
-  /** Returns how many hosts only the fleet-wide total covers or covered. */
+  /**
+   * Returns how many hosts only the fleet-wide total covers: the hosts that its last report counts,
+   * less this host and the hosts of all other kept sources; 0 without such a total.
+   */
   private int unreportedHosts() {
     Source fleetTotal = sources.get(FLEET_TOTAL);
     return fleetTotal == null ? 0 : Math.max(0, fleetTotal.hostCount - 1 - reportedHosts());
--- a/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/PrefixCacheEstimate.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/dispatch/PrefixCacheEstimate.java
@@ -31,7 +31,7 @@
     this.capacityTokens = capacityTokens;
   }
 
-  /** Returns how many of the prompt's tokens the runner would probably have to read. */
+  /** Returns the estimated number of prompt tokens that are not in the runner's prefix cache. */
   public int unreadTokens(Generation generation) {
     int known = 0;
     StringBuilder key = new StringBuilder(generation.target());
--- a/sequoia-core/src/main/java/org/sequoiahub/core/holding/WarmCapacity.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/holding/WarmCapacity.java
@@ -22,10 +22,10 @@
   /**
    * Creates an estimate.
    *
-   * @param initial the number assumed before any reload was observed
+   * @param initial the warm capacity assumed before any reload was observed (adapters), above 0
    */
   public WarmCapacity(int initial) {
-    checkArgument(initial > 0, "initial must be above 0, was %s", initial);
+    checkArgument(initial > 0, "the initial warm capacity must be above 0, was %s", initial);
     this.known = initial;
   }
 
--- a/sequoia-core/src/main/java/org/sequoiahub/core/load/LoadTurns.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/load/LoadTurns.java
@@ -24,7 +24,11 @@
 
   private static final double MILLIS_PER_SECOND = 1_000;
 
-  /** Added to the score of an urgent request, so that it precedes all others. */
+  /**
+   * Added to the score of an urgent request: about the score of 1000 requests that have waited for
+   * 1 s. A request that is not urgent precedes an urgent one only if its score exceeds the other's
+   * without the bonus by at least this much.
+   */
   private static final double URGENT_BONUS = 1e6;
 
   private final double spacingMillis;
@@ -55,7 +59,8 @@
    *
    * @param who the requester
    * @param requestsWaiting the number of requests that wait for the load
-   * @param urgent whether the request precedes all that are not urgent
+   * @param urgent whether the request precedes those that are not urgent, except one that stands
+   *     for so many requests, or is so old, that it makes up for the bonus of the urgent one
    */
   public void request(T who, int requestsWaiting, boolean urgent, long nowMillis) {
     TurnRequest earlier = waiting.get(who);
@@ -107,8 +112,9 @@
 
   private record TurnRequest(int requests, boolean urgent, long sinceMillis) {
     /**
-     * Returns the approximate waiting time that the load saves: more and older requests score
-     * higher, and urgent ones highest.
+     * Returns the score by which the next turn is chosen, the highest first: the approximate
+     * waiting time that the load saves (the number of requests times the age in ms), plus {@link
+     * #URGENT_BONUS} if urgent.
      */
     double score(long nowMillis) {
       return (urgent ? URGENT_BONUS : 0) + requests * (double) (1 + nowMillis - sinceMillis);
--- a/sequoia-core/src/main/java/org/sequoiahub/core/placement/Placement.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/placement/Placement.java
@@ -33,7 +33,8 @@
 
   /**
    * Returns the hosts to contact for {@code runnerId}, its owner first. A later host is contacted
-   * only if the earlier ones are unreachable or reject the request; it may then claim the runner.
+   * only if the earlier ones are unreachable or reject the request; that later host may then claim
+   * the runner.
    *
    * @param count the maximum number of hosts
    */
--- a/sequoia-core/src/main/java/org/sequoiahub/core/runner/RunnerController.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/runner/RunnerController.java
@@ -51,7 +51,13 @@
   private final PolicySettings policy;
   private final Map<AdapterVersion, Slot> slots = new LinkedHashMap<>();
   private final Map<String, RunningRequest> running = new LinkedHashMap<>();
+
+  /**
+   * Until when an adapter whose eviction has an unknown result gets no new slot (ms): the eviction
+   * order may still arrive before. This is not the quarantine of requests.
+   */
   private final Map<AdapterVersion, Long> quarantinedUntilMillis = new HashMap<>();
+
   private final Map<AdapterVersion, Long> retryLoadFromMillis = new HashMap<>();
   private final RequestQueue queue;
   private final Popularity popularity = new Popularity();
@@ -186,7 +192,12 @@
     endPendingLoad(adapter);
   }
 
-  /** Records the result of an eviction order. */
+  /**
+   * Records the result of an eviction order.
+   *
+   * @param result the result; if it is {@code UNKNOWN}, the order may still arrive at the engine,
+   *     and the adapter is neither used nor loaded again until the order no longer can
+   */
   public void unloadAnswered(AdapterVersion adapter, OrderResult result, long nowMillis) {
     Slot slot = slots.get(adapter);
     if (slot == null || !slot.is(State.UNLOADING)) {
--- a/sequoia-core/src/main/java/org/sequoiahub/core/stream/ChunkSequencer.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/stream/ChunkSequencer.java
@@ -31,7 +31,10 @@
    * @param maxAhead the maximum number of chunks that are buffered while an earlier one is missing
    */
   public ChunkSequencer(long delivered, int maxAhead) {
-    checkArgument(delivered >= 0, "delivered must not be negative, was %s", delivered);
+    checkArgument(
+        delivered >= 0,
+        "delivered (the number of the last delivered chunk) must not be negative, was %s",
+        delivered);
     checkArgument(maxAhead > 0, "maxAhead must be above 0, was %s", maxAhead);
     this.delivered = delivered;
     this.maxAhead = maxAhead;
--- a/sequoia-core/src/main/java/org/sequoiahub/core/workspace/HashedKey.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/workspace/HashedKey.java
@@ -11,7 +11,10 @@
  */
 public record HashedKey(long value) {
 
-  /** The value for a request without a usable key. No key is assumed to hash to it. */
+  /**
+   * The value for a request without a usable key. That a key hashes to this value is neglected: it
+   * happens for one in 2<sup>64</sup> keys, and the key would then count as absent.
+   */
   public static final HashedKey NONE = new HashedKey(0);
 
   /** Returns whether there is a key. */
--- a/sequoia-core/src/main/java/org/sequoiahub/core/workspace/Workspace.java
+++ b/sequoia-core/src/main/java/org/sequoiahub/core/workspace/Workspace.java
@@ -18,6 +18,7 @@
   /** Checks the arguments. */
   public Workspace {
     checkArgument(!name.isEmpty(), "name must not be empty");
-    checkArgument(priority >= ROUTE_DECIDES, "priority must not be negative, was %s", priority);
+    checkArgument(
+        priority >= ROUTE_DECIDES, "priority must be 0 or more, or -1 for none, was %s", priority);
   }
 }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/Node.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/Node.java
@@ -349,10 +349,11 @@
   }
 
   /**
-   * Applies settings that have changed while the process is running.
+   * Applies the seeds of settings that were read again while the process is running.
    *
-   * <p>Only changed seeds are applied at once. Changes of other settings are logged as needing a
-   * restart and take effect when the process is started again.
+   * <p>All other settings keep the values with which the process was started; a change of any of
+   * them takes effect only after a restart. The log line states the number of seeds and whether any
+   * other setting has changed, but not which.
    */
   public void reload(HostSettings changed) {
     log.info(
@@ -576,6 +577,10 @@
     advertisedAddresses = callerAddresses.advertised(ready && !leaving, nowMillis);
   }
 
+  /**
+   * Passes a datagram to the decision thread. If that thread's queue is full, the datagram is
+   * dropped without a log line, as if the network had lost it.
+   */
   private void datagramReceived(String ip, PeerDatagram datagram) {
     decisionThread.offer(() -> handleDatagram(ip, datagram));
   }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/FleetView.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/FleetView.java
@@ -117,7 +117,7 @@
     }
   }
 
-  /** Returns the configuration in force. */
+  /** Returns the configuration in force; empty until the first one has been applied. */
   public Optional<RoutingTable> table() {
     return Optional.ofNullable(table);
   }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/RequestCoordinator.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/RequestCoordinator.java
@@ -355,7 +355,11 @@
     List<Candidate> candidates = candidates(call, null, nowMillis);
     Optional<Candidate> chosen = servicePlacement.choose(candidates, random.nextDouble());
     if (chosen.isEmpty()) {
-      fail(call, "no usable runner for the service", NO_RUNNER_RETRY_AFTER_MILLIS);
+      fail(
+          call,
+          "no usable runner for the service: no registered runner accepts requests, or this request"
+              + " was tried at all that do",
+          NO_RUNNER_RETRY_AFTER_MILLIS);
       return;
     }
     startAttempt(call, chosen.get().runner(), 0, nowMillis);
@@ -369,7 +373,11 @@
         generationPlacement.choose(
             generation, limits, candidates, before == null ? "" : before.id());
     if (chosen.isEmpty()) {
-      fail(call, "no usable runner for the service", NO_RUNNER_RETRY_AFTER_MILLIS);
+      fail(
+          call,
+          "no usable runner for the service: no registered runner accepts requests, or this request"
+              + " was tried at all that do",
+          NO_RUNNER_RETRY_AFTER_MILLIS);
       return;
     }
     GenerationPlacement.Choice choice = chosen.get();
--- a/sequoia-node/src/main/java/org/sequoiahub/node/call/RetryGate.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/call/RetryGate.java
@@ -53,7 +53,12 @@
         || recordDenial(call, "sent", nowMillis);
   }
 
-  /** Charges a send beside an active attempt to the budget; false if it must not be made. */
+  /**
+   * Charges a second send of a request whose first one is still active to the budget.
+   *
+   * @return false if the budget has no retry left and the send must not be made; this denial is
+   *     neither logged nor counted
+   */
   boolean chargeHedge(Call call, long nowMillis) {
     return budget.tryAcquireRetry(call.service, fleet.hostCount(nowMillis), nowMillis);
   }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/holder/HolderService.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/holder/HolderService.java
@@ -142,9 +142,10 @@
   private final long startedMillis;
 
   /**
-   * The runners whose lease this host holds or claims, by instance id. A lease outlives the
-   * runner's process; otherwise two hosts could send orders to a restarted runner within less than
-   * the platform's lease time.
+   * The runners whose lease this host holds or claims, by instance id. An entry alone thus gives no
+   * right to send orders; a runner whose lease was never gained has no residency. A lease outlives
+   * the runner's process; otherwise two hosts could send orders to a restarted runner within less
+   * than the platform's lease time.
    */
   private final Map<String, HeldRunner> heldRunners = new HashMap<>();
 
@@ -182,7 +183,7 @@
    */
   private record SentHoldings(long changeCount, long sentMillis) {}
 
-  /** One runner whose lease this host holds or claims. */
+  /** One runner whose lease this host holds, or only claims so far. */
   private static final class HeldRunner {
     RunnerEntry runner;
     final EngineSpec engine;
@@ -641,10 +642,12 @@
         isFirstHolder(held, nowMillis)
             ? nowMillis
             : nowMillis + settings.leaseMillis() + ORDER_IN_FLIGHT_MILLIS;
+    // The tag is derived from this host's name, so that tokens of different hosts rarely coincide.
     long tag = Math.floorMod(settings.host().hashCode(), TOKEN_TAG_COUNT);
     long minimum =
         highestTokenByAddress.getOrDefault(held.runner.address(), 0L) / TOKEN_TAG_COUNT + 1;
     held.token = Math.max(wallClock.getAsLong(), minimum) * TOKEN_TAG_COUNT + tag;
+    // orders_in_ms is the time until this host may send orders to the runner.
     log.info(
         "runner-held",
         "runner",
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/RecordExchange.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/RecordExchange.java
@@ -99,7 +99,10 @@
     calls.pull(ip, pull, records -> recordsListener.accept(PulledRecords.decode(ip, records)));
   }
 
-  /** Records that a host has answered. */
+  /**
+   * Records that a host has answered a pull, so that it may be asked again; without this, it is
+   * skipped until the response timeout has passed.
+   */
   public void answered(String ip) {
     pendingSinceMillis.remove(ip);
   }
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/RecordSync.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/RecordSync.java
@@ -63,7 +63,8 @@
   /**
    * Creates the sync of a host.
    *
-   * @param boundMillis the propagation bound: the time within which a change must be known (ms)
+   * @param boundMillis the propagation bound: the time within which this host must know a change of
+   *     the store's records (ms), above 0
    * @param startedMillis when this host's process started
    * @param operators follows the operators' records
    * @param runners follows the runners' entries
--- a/sequoia-node/src/main/java/org/sequoiahub/node/peer/StateCodec.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/peer/StateCodec.java
@@ -28,12 +28,20 @@
 
   private StateCodec() {}
 
-  /** Adds the loads that a host has in flight. */
+  /**
+   * Adds the requests that a host has in flight at each runner, with the number of requests that
+   * use each adapter.
+   */
   public static void addLoads(HostState.Builder state, Map<String, FleetLoad.Use> uses) {
     uses.forEach((runner, use) -> state.addLoads(encodeLoad(runner, use, true)));
   }
 
-  /** Encodes the load in flight at a runner. */
+  /**
+   * Encodes the load of requests that one source has in flight at a runner; this is not the loading
+   * of adapters.
+   *
+   * @param withAdapters whether the number of requests that use each adapter is included
+   */
   static RunnerLoad.Builder encodeLoad(String runner, FleetLoad.Use use, boolean withAdapters) {
     RunnerLoad.Builder load =
         RunnerLoad.newBuilder()
--- a/sequoia-node/src/main/java/org/sequoiahub/node/store/StoreRegistry.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/store/StoreRegistry.java
@@ -169,6 +169,7 @@
   @Override
   public void reachabilityChanged(
       String prefix, boolean reachable, String why, long calledMillisAgo, long nowMillis) {
+    // asked_ms_ago is how long ago the call was made that failed, or that succeeded again.
     if (reachable) {
       log.info("store-regained", "prefix", prefix, "asked_ms_ago", calledMillisAgo);
     } else {
--- a/sequoia-node/src/main/java/org/sequoiahub/node/store/WatchTiming.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/store/WatchTiming.java
@@ -20,7 +20,10 @@
   private static final int HOLD_DIVISOR = 2;
   private static final int ANSWER_DIVISOR = 4;
 
-  /** Checks that a watch can be answered before it times out. */
+  /**
+   * Checks that the hold and the timeout are above 0 and the interval is not negative. Whether the
+   * hold and the timeout add up to less than a bound is not checked; see {@link #within}.
+   */
   public WatchTiming {
     checkArgument(holdMillis > 0, "holdMillis must be above 0, was %s", holdMillis);
     checkArgument(
--- a/sequoia-node/src/main/java/org/sequoiahub/node/upstream/Attempt.java
+++ b/sequoia-node/src/main/java/org/sequoiahub/node/upstream/Attempt.java
@@ -68,6 +68,13 @@
     return requestBegun;
   }
 
+  /**
+   * Checks the headers of a response and ends the attempt if they cannot be trusted.
+   *
+   * <p>A successful response must have this request's id and be intact: it has the runner's digest
+   * and no content encoding. The {@code false} in the outcomes states that the connection did not
+   * break: the runner's process was still running to send the response.
+   */
   private void handleHeaders(Response response) {
     ResponseHeaders answer =
         HeaderCodec.decodeResponse(response.getStatus(), response.getHeaders());
